--- a/crates/oatdale-policy/src/relay.rs
+++ b/crates/oatdale-policy/src/relay.rs
@@ -40,8 +40,8 @@
 pub use crate::relay::placement::{Candidate, Placement, choose};
 pub use crate::relay::quarantine::{Cleared, MAX_CRASHES, QUARANTINE_TIME, Quarantine};
 pub use crate::relay::readers::{
-    READERS, REGISTERED, ReaderCandidate, Sources, first_wait, longest_passed_on, ranked, readers,
-    registers_after,
+    READERS_PER_DOMAIN, REGISTERED_PER_DOMAIN, ReaderCandidate, ReaderSelector,
+    max_forwarded_bytes, rank_readers, registration_delay, select_readers, start_delay,
 };
 pub use crate::relay::repeats::{Allowance, Repeats};
 pub use crate::relay::roll_out::{
--- a/crates/oatdale-policy/src/relay/addresses.rs
+++ b/crates/oatdale-policy/src/relay/addresses.rs
@@ -15,9 +15,9 @@
 
 /// The nodes that a caller is told of, as positions, at the most so many: those of its own failure domain first,
 /// and then others, for each domain's callers different ones.
-pub fn advertised_addresses(nodes: &[AddressCandidate], most: usize) -> Vec<usize> {
+pub fn advertised_addresses(nodes: &[AddressCandidate], limit: usize) -> Vec<usize> {
     let mut ranked: Vec<usize> = (0..nodes.len()).collect();
     ranked.sort_by_key(|&i| (!nodes[i].same_domain, nodes[i].hash));
-    ranked.truncate(most);
+    ranked.truncate(limit);
     ranked
 }
--- a/crates/oatdale-policy/src/relay/engine.rs
+++ b/crates/oatdale-policy/src/relay/engine.rs
@@ -19,7 +19,7 @@
     /// itself. A busy one answers late; another one would let the request wait from the beginning. Only
     /// the engine can tell these apart before the caller has left.
     pub fn has_lost(&self, id: &str) -> bool {
-        let reads_none = self.active <= self.generating.len();
-        self.waiting == 0 && reads_none && !self.generating.iter().any(|g| g == id)
+        let is_prefill_idle = self.active <= self.generating.len();
+        self.waiting == 0 && is_prefill_idle && !self.generating.iter().any(|g| g == id)
     }
 }
--- a/crates/oatdale-policy/src/relay/evidence.rs
+++ b/crates/oatdale-policy/src/relay/evidence.rs
@@ -10,24 +10,24 @@
 /// The logarithm of the evidence that a bad version has to leave: one false end in 100 roll-outs of
 /// good ones. Undoing a good version costs another order; completing a bad one costs every caller
 /// of the service, and the old endpoints are gone then.
-const BOUND: f64 = 4.6;
+const LOG_EVIDENCE_BOUND: f64 = 4.6;
 
 /// The logarithm of the evidence that has to be left without the endpoint that speaks most against
 /// the version: it is four times as likely there too that it is bad.
-const SUPPORT: f64 = 1.4;
+const LEAVE_ONE_OUT_LOG_BOUND: f64 = 1.4;
 
 /// Bad answers of a single endpoint that count in full if no other one has answered: a pool may have
 /// only one endpoint of the version.
-const ENOUGH_OF_ONE: u64 = 12;
+const MIN_BAD_SINGLE_ENDPOINT: u64 = 12;
 
 /// The share of bad answers by which a version may exceed the old one and still be good: old and
 /// new endpoints never have quite the same load.
-const TOLERANCE: f64 = 0.02;
+const SHARE_TOLERANCE: f64 = 0.02;
 
 /// Routes and endpoints that one node counts apart; further ones are counted together. What a
 /// node tells others of them has to fit into a datagram.
-const MOST_ROUTES: usize = 6;
-const MOST_ENDPOINTS: usize = 4;
+const MAX_ROUTES: usize = 6;
+const MAX_ENDPOINTS: usize = 4;
 
 /// Counts of answers.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
@@ -80,7 +80,7 @@
 #[derive(Clone, Copy, Default)]
 struct Cases {
     bad: u64,
-    of: u64,
+    samples: u64,
 }
 
 /// What can be bad about answers.
@@ -106,14 +106,19 @@
     /// The counts of an origin, to add to them. With many routes or endpoints it is one that stands
     /// for several.
     pub fn at(&mut self, origin: Origin) -> &mut Counts {
-        let known = |key: u32, of: fn(&Origin) -> u32, most: usize| {
-            let all: BTreeSet<u32> = self.by_origin.keys().map(of).filter(|k| *k != 0).collect();
-            let fits = all.contains(&key) || all.len() < most;
+        let bounded_key = |key: u32, key_of: fn(&Origin) -> u32, max_keys: usize| {
+            let known_keys: BTreeSet<u32> = self
+                .by_origin
+                .keys()
+                .map(key_of)
+                .filter(|k| *k != 0)
+                .collect();
+            let fits = known_keys.contains(&key) || known_keys.len() < max_keys;
             if fits { key } else { 0 }
         };
         let origin = Origin {
-            route: known(origin.route, |o| o.route, MOST_ROUTES),
-            endpoint: known(origin.endpoint, |o| o.endpoint, MOST_ENDPOINTS),
+            route: bounded_key(origin.route, |o| o.route, MAX_ROUTES),
+            endpoint: bounded_key(origin.endpoint, |o| o.endpoint, MAX_ENDPOINTS),
         };
         self.by_origin.entry(origin).or_default()
     }
@@ -137,16 +142,16 @@
         counts.fold(Counts::default(), |sum, c| sum.plus(*c))
     }
 
-    fn cases(&self, fault: Fault, wanted: impl Fn(&Origin) -> bool) -> Cases {
-        let wanted = self.by_origin.iter().filter(|(o, _)| wanted(o));
-        wanted.fold(Cases::default(), |sum, (_, counts)| {
-            let (bad, of) = match fault {
+    fn cases(&self, fault: Fault, is_included: impl Fn(&Origin) -> bool) -> Cases {
+        let included = self.by_origin.iter().filter(|(o, _)| is_included(o));
+        included.fold(Cases::default(), |sum, (_, counts)| {
+            let (bad, samples) = match fault {
                 Fault::Failed => (counts.failed, counts.answers),
                 Fault::Slow => (counts.slow, counts.timed),
             };
             Cases {
                 bad: sum.bad + bad,
-                of: sum.of + of,
+                samples: sum.samples + samples,
             }
         })
     }
@@ -176,56 +181,58 @@
 /// Failures and slow answers are each compared with those of the old version, so that neither hides
 /// the other, and trouble that hits all endpoints alike is not blamed on the new version.
 pub fn verdict(tally: &Tally) -> Verdict {
-    match speaks_against(tally, Fault::Failed) || speaks_against(tally, Fault::Slow) {
+    match is_worse(tally, Fault::Failed) || is_worse(tally, Fault::Slow) {
         true => Verdict::Bad,
         false => Verdict::Sound,
     }
 }
 
-fn speaks_against(tally: &Tally, fault: Fault) -> bool {
-    if log_mean(&evidence(tally, fault, |_| true)) <= BOUND {
+fn is_worse(tally: &Tally, fault: Fault) -> bool {
+    if log_mean(&log_evidence_terms(tally, fault, |_| true)) <= LOG_EVIDENCE_BOUND {
         return false;
     }
     let endpoints: BTreeSet<u32> = tally.new.by_origin.keys().map(|o| o.endpoint).collect();
     if endpoints.len() == 1 {
-        return tally.new.cases(fault, |_| true).bad >= ENOUGH_OF_ONE;
+        return tally.new.cases(fault, |_| true).bad >= MIN_BAD_SINGLE_ENDPOINT;
     }
     // An endpoint that is failing or slow by itself looks like a bad version while it has a part of
     // the trial; a bad version is bad at the others too.
     endpoints.iter().all(|&endpoint| {
-        let others = evidence(tally, fault, |o| o.endpoint != endpoint);
-        others.into_iter().fold(f64::MIN, f64::max) > SUPPORT
+        let others = log_evidence_terms(tally, fault, |o| o.endpoint != endpoint);
+        others.into_iter().fold(f64::MIN, f64::max) > LEAVE_ONE_OUT_LOG_BOUND
     })
 }
 
 /// The logarithms of the evidence that the version is bad on all routes, and on each of them; the
 /// first has the weight of all others together.
-fn evidence(tally: &Tally, fault: Fault, counts: impl Fn(&Origin) -> bool) -> Vec<f64> {
-    let against = |route: Option<u32>| {
-        let on = |o: &Origin| route.is_none_or(|r| o.route == r);
-        let new = tally.new.cases(fault, |o| on(o) && counts(o));
-        let old = tally.old.cases(fault, on);
-        log_evidence(new.bad, new.of, usual(old))
+fn log_evidence_terms(tally: &Tally, fault: Fault, includes: impl Fn(&Origin) -> bool) -> Vec<f64> {
+    let log_evidence_on = |route: Option<u32>| {
+        let is_on_route = |o: &Origin| route.is_none_or(|r| o.route == r);
+        let new = tally.new.cases(fault, |o| is_on_route(o) && includes(o));
+        let old = tally.old.cases(fault, is_on_route);
+        log_evidence(new.bad, new.samples, baseline_share(old))
     };
     let routes: BTreeSet<u32> = tally.new.by_origin.keys().map(|o| o.route).collect();
-    let each = routes.into_iter().map(|route| against(Some(route)));
-    std::iter::once(against(None)).chain(each).collect()
+    let by_route = routes.into_iter().map(|route| log_evidence_on(Some(route)));
+    std::iter::once(log_evidence_on(None))
+        .chain(by_route)
+        .collect()
 }
 
 /// The logarithm of the mean of evidence for exclusive faults: like each part of it, a good version
 /// raises it above a bound of `1 / p` with probability at most `p`.
 fn log_mean(evidence: &[f64]) -> f64 {
-    let (all, each) = (evidence[0], &evidence[1..]);
-    let most = evidence.iter().copied().fold(f64::MIN, f64::max);
-    let sum: f64 = each.iter().map(|e| (e - most).exp()).sum();
-    let mean = sum / each.len().max(1) as f64;
-    most + (0.5 * (all - most).exp() + 0.5 * mean).ln()
+    let (overall, by_route) = (evidence[0], &evidence[1..]);
+    let largest = evidence.iter().copied().fold(f64::MIN, f64::max);
+    let sum: f64 = by_route.iter().map(|e| (e - largest).exp()).sum();
+    let mean = sum / by_route.len().max(1) as f64;
+    largest + (0.5 * (overall - largest).exp() + 0.5 * mean).ln()
 }
 
 /// The share of bad answers that says nothing against a version, from those of the old one.
-fn usual(old: Cases) -> f64 {
-    let of = old.of as f64 + 4.0;
-    let share = (old.bad as f64 + 0.2) / of;
-    let error = (share * (1.0 - share) / of).sqrt();
-    (share + error + TOLERANCE).min(0.95)
+fn baseline_share(old: Cases) -> f64 {
+    let samples = old.samples as f64 + 4.0;
+    let share = (old.bad as f64 + 0.2) / samples;
+    let std_error = (share * (1.0 - share) / samples).sqrt();
+    (share + std_error + SHARE_TOLERANCE).min(0.95)
 }
--- a/crates/oatdale-policy/src/relay/ladder.rs
+++ b/crates/oatdale-policy/src/relay/ladder.rs
@@ -29,42 +29,43 @@
 }
 
 /// Up to this wait the threshold stays as it is.
-const EASY_WAIT: f64 = 0.3;
+const FULL_THRESHOLD_WAIT: f64 = 0.3;
 
 /// From this wait on only the least part of the threshold is left.
-const HARD_WAIT: f64 = 0.8;
+const MIN_THRESHOLD_WAIT: f64 = 0.8;
 
 /// The part of the threshold that is always left: answers of which the model is not sure at all
 /// are worth nothing, also when they are in time.
-const LEAST_PART: f64 = 0.25;
+const MIN_THRESHOLD_SHARE: f64 = 0.25;
 
 /// The part of an answer's value that does not depend on its size, as the users count it.
-const BASE_VALUE: f64 = 0.3;
+const BASE_VALUE_SHARE: f64 = 0.3;
 
 /// Sizes, as multiples of the usual one, below and above which the value changes no more.
-const LEAST_SIZE: f64 = 0.05;
-const MOST_SIZE: f64 = 4.0;
+const MIN_SIZE: f64 = 0.05;
+const MAX_VALUE_SIZE: f64 = 4.0;
 
 /// Bounds of what the size does to the threshold: a rough guess of a model stays one.
-const LEAST_VALUE: f64 = 0.4;
-const MOST_VALUE: f64 = 1.25;
+const MIN_SIZE_FACTOR: f64 = 0.4;
+const MAX_SIZE_FACTOR: f64 = 1.25;
 
 impl Ladder {
     /// Decides about an answer of the model at `at` in a ladder of `sizes` models.
     ///
     /// `room` says whether a further run is allowed and would be in time.
-    pub fn step(&self, at: usize, sizes: usize, confidence: Option<u8>, room: bool) -> Step {
+    pub fn step(&self, pos: usize, sizes: usize, confidence: Option<u8>, may_run: bool) -> Step {
         let top = sizes.saturating_sub(1);
         match confidence {
-            Some(sure) if room && at < top && f64::from(sure) < self.bound() => Step::Up(top),
+            Some(score) if may_run && pos < top && f64::from(score) < self.bound() => Step::Up(top),
             _ => Step::Keep,
         }
     }
 
     fn bound(&self) -> f64 {
-        let hard = (self.wait - EASY_WAIT) / (HARD_WAIT - EASY_WAIT);
-        let wait = (1.0 - hard).clamp(LEAST_PART, 1.0);
-        f64::from(self.threshold) * wait * self.value_for_cost()
+        let overload =
+            (self.wait - FULL_THRESHOLD_WAIT) / (MIN_THRESHOLD_WAIT - FULL_THRESHOLD_WAIT);
+        let wait_factor = (1.0 - overload).clamp(MIN_THRESHOLD_SHARE, 1.0);
+        f64::from(self.threshold) * wait_factor * self.size_factor()
     }
 
     /// How much more, or less, sure an answer of this size has to be.
@@ -72,9 +73,11 @@
     /// What making it again costs grows with its size; what callers gain by it has a part that every
     /// answer has, grows less, and does not grow beyond a few times the usual size. Among 120 days with
     /// and without this, callers got 0.0025 more of what they could get, for the same cost.
-    fn value_for_cost(&self) -> f64 {
-        let size = self.size.max(LEAST_SIZE);
-        let value = BASE_VALUE + (1.0 - BASE_VALUE) * size.min(MOST_SIZE);
-        (value / size).sqrt().clamp(LEAST_VALUE, MOST_VALUE)
+    fn size_factor(&self) -> f64 {
+        let size = self.size.max(MIN_SIZE);
+        let value = BASE_VALUE_SHARE + (1.0 - BASE_VALUE_SHARE) * size.min(MAX_VALUE_SIZE);
+        (value / size)
+            .sqrt()
+            .clamp(MIN_SIZE_FACTOR, MAX_SIZE_FACTOR)
     }
 }
--- a/crates/oatdale-policy/src/relay/placement.rs
+++ b/crates/oatdale-policy/src/relay/placement.rs
@@ -2,15 +2,15 @@
 
 /// How far above the mean load an endpoint may be and still get a request for the prefix it keeps.
 /// Above it the wait costs more than reading the prefix again.
-const AFFINITY_BOUND: f64 = 1.1;
+const AFFINITY_LOAD_FACTOR: f64 = 1.1;
 
 /// Load, in requests, that is no reason to leave the endpoint that keeps the prefix: with few
 /// requests under way the mean says little.
-const AFFINITY_SLACK: f64 = 2.0;
+const AFFINITY_SLACK_REQUESTS: f64 = 2.0;
 
 /// Load, in requests, that an endpoint of another failure domain must be below one of the node's
 /// own to be preferred: it costs bytes between domains and a longer way.
-const DOMAIN_ADVANTAGE: f64 = 1.5;
+const CROSS_DOMAIN_PENALTY_REQUESTS: f64 = 1.5;
 
 /// An endpoint that may take a request.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
@@ -38,29 +38,29 @@
 /// Picks an endpoint; `draw` decides between equals, so that nodes do not all pick the same one.
 pub fn choose(candidates: &[Candidate], placement: Placement, draw: u64) -> Option<usize> {
     match placement {
-        Placement::Affinity => by_affinity(candidates),
-        Placement::Load => by_load(candidates, draw),
+        Placement::Affinity => choose_by_affinity(candidates),
+        Placement::Load => choose_by_load(candidates, draw),
     }
 }
 
-fn by_affinity(candidates: &[Candidate]) -> Option<usize> {
+fn choose_by_affinity(candidates: &[Candidate]) -> Option<usize> {
     let sum: f64 = candidates.iter().map(|c| c.in_flight).sum();
     let mean = sum / candidates.len().max(1) as f64;
-    let bound = mean * AFFINITY_BOUND + AFFINITY_SLACK;
-    let best = |may: &dyn Fn(&Candidate) -> bool| {
-        let kept = (0..candidates.len()).filter(|&i| may(&candidates[i]));
-        kept.max_by_key(|&i| candidates[i].affinity)
+    let bound = mean * AFFINITY_LOAD_FACTOR + AFFINITY_SLACK_REQUESTS;
+    let best = |is_allowed: &dyn Fn(&Candidate) -> bool| {
+        let allowed = (0..candidates.len()).filter(|&i| is_allowed(&candidates[i]));
+        allowed.max_by_key(|&i| candidates[i].affinity)
     };
     // Few nodes may send to a cold one: those that may make up for the others.
     best(&|c| c.warms_up && c.in_flight < mean)
         .or_else(|| best(&|c| c.in_flight <= bound))
-        .or_else(|| by_load(candidates, 0))
+        .or_else(|| choose_by_load(candidates, 0))
 }
 
-fn by_load(candidates: &[Candidate], draw: u64) -> Option<usize> {
+fn choose_by_load(candidates: &[Candidate], draw: u64) -> Option<usize> {
     let cost = |c: &Candidate| match c.same_domain {
         true => c.in_flight,
-        false => c.in_flight + DOMAIN_ADVANTAGE,
+        false => c.in_flight + CROSS_DOMAIN_PENALTY_REQUESTS,
     };
     let n = candidates.len();
     let start = draw as usize % n.max(1);
--- a/crates/oatdale-policy/src/relay/quarantine.rs
+++ b/crates/oatdale-policy/src/relay/quarantine.rs
@@ -22,7 +22,7 @@
 const SUSPECT_TIME: Duration = Duration::from_secs(60);
 
 /// Requests that are tracked at the most.
-const MAX_TRACKED: usize = 4_096;
+const MAX_TRACKED_REQUESTS: usize = 4_096;
 
 /// Requests under which endpoints crashed, as one node has seen them.
 #[derive(Clone, Debug, Default)]
@@ -34,7 +34,7 @@
 struct Tracked {
     state: State,
     /// When it is forgotten.
-    until: Duration,
+    expires_at: Duration,
 }
 
 #[derive(Clone, Debug)]
@@ -65,19 +65,19 @@
     ///
     /// `endpoint` stands for one start of it: several nodes report the same crash.
     pub fn note_crash(&mut self, now: Duration, request: Fingerprint, endpoint: u32) -> bool {
-        self.make_room(now, request);
+        self.ensure_capacity(now, request);
         let tracked = self.tracked.entry(request).or_insert_with(|| Tracked {
             state: State::Suspected(SmallVec::new()),
-            until: now,
+            expires_at: now,
         });
-        let State::Suspected(crashed) = &mut tracked.state else {
+        let State::Suspected(crashed_endpoints) = &mut tracked.state else {
             return false;
         };
-        if !crashed.contains(&endpoint) {
-            crashed.push(endpoint);
+        if !crashed_endpoints.contains(&endpoint) {
+            crashed_endpoints.push(endpoint);
         }
-        tracked.until = now + SUSPECT_TIME;
-        crashed.len() >= MAX_CRASHES && self.hold(now, request)
+        tracked.expires_at = now + SUSPECT_TIME;
+        crashed_endpoints.len() >= MAX_CRASHES && self.hold(now, request)
     }
 
     /// Quarantines a request, and says whether it was not yet.
@@ -85,10 +85,10 @@
         if self.left(now, request).is_some() {
             return false;
         }
-        self.make_room(now, request);
+        self.ensure_capacity(now, request);
         let tracked = Tracked {
             state: State::Quarantined,
-            until: now + QUARANTINE_TIME,
+            expires_at: now + QUARANTINE_TIME,
         };
         self.tracked.insert(request, tracked);
         true
@@ -99,16 +99,16 @@
         let tracked = self.tracked.get(&request)?;
         match tracked.state {
             State::Quarantined => tracked
-                .until
+                .expires_at
                 .checked_sub(now)
-                .filter(|left| !left.is_zero()),
+                .filter(|remaining| !remaining.is_zero()),
             State::Suspected(_) => None,
         }
     }
 
     /// Whether endpoints crashed under a request, though too few to refuse it.
     pub fn is_suspected(&self, now: Duration, request: Fingerprint) -> bool {
-        let tracked = self.tracked.get(&request).filter(|t| t.until > now);
+        let tracked = self.tracked.get(&request).filter(|t| t.expires_at > now);
         tracked.is_some_and(|t| matches!(t.state, State::Suspected(_)))
     }
 
@@ -123,7 +123,7 @@
 
     /// Forgets what is old.
     pub fn expire(&mut self, now: Duration) {
-        self.tracked.retain(|_, t| t.until > now);
+        self.tracked.retain(|_, t| t.expires_at > now);
     }
 
     /// The requests that are refused now.
@@ -133,17 +133,21 @@
     }
 
     /// Makes room for a request that is not tracked: suspected ones go first.
-    fn make_room(&mut self, now: Duration, request: Fingerprint) {
-        if self.tracked.get(&request).is_some_and(|t| t.until > now) {
+    fn ensure_capacity(&mut self, now: Duration, request: Fingerprint) {
+        if self
+            .tracked
+            .get(&request)
+            .is_some_and(|t| t.expires_at > now)
+        {
             return;
         }
         self.expire(now);
-        if self.tracked.len() < MAX_TRACKED {
+        if self.tracked.len() < MAX_TRACKED_REQUESTS {
             return;
         }
-        let rank = |t: &Tracked| (matches!(t.state, State::Quarantined), t.until);
-        let first = self.tracked.iter().min_by_key(|(_, t)| rank(t));
-        if let Some(request) = first.map(|(request, _)| *request) {
+        let eviction_key = |t: &Tracked| (matches!(t.state, State::Quarantined), t.expires_at);
+        let evicted = self.tracked.iter().min_by_key(|(_, t)| eviction_key(t));
+        if let Some(request) = evicted.map(|(request, _)| *request) {
             self.tracked.remove(&request);
         }
     }
--- a/crates/oatdale-policy/src/relay/readers.rs
+++ b/crates/oatdale-policy/src/relay/readers.rs
@@ -9,37 +9,37 @@
 use std::time::Duration;
 
 /// Readers of a failure domain: while one is gone and the others do not know it yet, the other one goes on.
-pub const READERS: usize = 2;
+pub const READERS_PER_DOMAIN: usize = 2;
 
 /// Nodes in a failure domain from which on some read for the others. With fewer, nearly all would be readers,
 /// and each call that is left would come a step later.
-const LEAST_NODES: usize = 4;
+const MIN_DOMAIN_NODES: usize = 4;
 
 /// Nodes of a failure domain that keep a record of their own in the service: the readers, and one that takes a
 /// reader's place when it dies. The others are told of by the readers at which they read, since leases of all of
 /// them are renewed again and again.
-pub const REGISTERED: usize = 3;
+pub const REGISTERED_PER_DOMAIN: usize = 3;
 
 /// Time between two nodes that take the place of registered ones which are gone: the first is known to the others
 /// by then.
-const NEXT: Duration = Duration::from_millis(700);
+const TAKEOVER_INTERVAL: Duration = Duration::from_millis(700);
 
 /// The longest wait of a node that starts with all others.
-const FIRST_WAIT: Duration = Duration::from_millis(2_400);
+const MAX_START_DELAY: Duration = Duration::from_millis(2_400);
 
 /// Link speed in Mbit/s of a node that waits for half of that.
-const USUAL_LINK: f64 = 20.0;
+const HALF_DELAY_LINK_MBPS: f64 = 20.0;
 
 /// The part of a second for which a change may fill a reader's link.
-const LINK_TIME: f64 = 1.0;
+const FORWARD_LINK_SECONDS: f64 = 1.0;
 
 /// Bytes of a record that are passed on over any link: endpoints, nodes, usual configurations.
-const SHORT: usize = 64 << 10;
+const MIN_FORWARDED_BYTES: usize = 64 << 10;
 
 /// How long a reader that did not answer is left alone: the first time, doubled each time up to the last.
-const FIRST_REST: Duration = Duration::from_secs(1);
-const REFUSED_REST: Duration = Duration::from_millis(250);
-const LAST_REST: Duration = Duration::from_secs(2);
+const INITIAL_BACKOFF: Duration = Duration::from_secs(1);
+const REFUSED_BACKOFF: Duration = Duration::from_millis(250);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// A node of the own failure domain.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -52,45 +52,47 @@
 
 /// The nodes that read for a failure domain of so many nodes, as positions among the registered ones, the best
 /// first; none if each reads for itself.
-pub fn readers(registered: &[ReaderCandidate], nodes: usize) -> Vec<usize> {
-    if nodes < LEAST_NODES {
+pub fn select_readers(registered: &[ReaderCandidate], nodes: usize) -> Vec<usize> {
+    if nodes < MIN_DOMAIN_NODES {
         return Vec::new();
     }
-    let mut ranked = ranked(registered);
-    ranked.truncate(READERS);
-    ranked
+    let mut order = rank_readers(registered);
+    order.truncate(READERS_PER_DOMAIN);
+    order
 }
 
 /// The order in which nodes become readers.
-pub fn ranked(nodes: &[ReaderCandidate]) -> Vec<usize> {
-    let mut ranked: Vec<usize> = (0..nodes.len()).collect();
-    ranked.sort_by_key(|&i| std::cmp::Reverse((nodes[i].link_mbps, nodes[i].hash)));
-    ranked
+pub fn rank_readers(nodes: &[ReaderCandidate]) -> Vec<usize> {
+    let mut order: Vec<usize> = (0..nodes.len()).collect();
+    order.sort_by_key(|&i| std::cmp::Reverse((nodes[i].link_mbps, nodes[i].hash)));
+    order
 }
 
 /// How long after too few other nodes are registered the one of this rank among the rest registers too; `None` if
 /// there are enough.
-pub fn registers_after(registered: usize, rank: usize) -> Option<Duration> {
-    let missing = REGISTERED.checked_sub(registered).filter(|n| *n > 0)?;
+pub fn registration_delay(registered: usize, rank: usize) -> Option<Duration> {
+    let missing = REGISTERED_PER_DOMAIN
+        .checked_sub(registered)
+        .filter(|n| *n > 0)?;
     let turn = u32::try_from(rank / missing).unwrap_or(u32::MAX);
-    Some(NEXT.saturating_mul(turn))
+    Some(TAKEOVER_INTERVAL.saturating_mul(turn))
 }
 
 /// How long a node waits that starts when all others do: those with fast links are registered when the others look
 /// who is there. `draw` is from 0 to 1; nodes with equal links would come all at once.
-pub fn first_wait(link_mbps: u32, draw: f64) -> Duration {
-    let slowness = USUAL_LINK / (USUAL_LINK + f64::from(link_mbps));
-    FIRST_WAIT.mul_f64(slowness * (1.0 + draw) / 2.0)
+pub fn start_delay(link_mbps: u32, draw: f64) -> Duration {
+    let slowness = HALF_DELAY_LINK_MBPS / (HALF_DELAY_LINK_MBPS + f64::from(link_mbps));
+    MAX_START_DELAY.mul_f64(slowness * (1.0 + draw) / 2.0)
 }
 
 /// Bytes up to which a reader passes a record on to so many followers; those of longer ones read it themselves.
 ///
 /// A configuration of some thousand routes is a megabyte. Sent to thirty followers over a slow link it would
 /// come to the last one after many seconds, and all other news would wait behind it.
-pub fn longest_passed_on(link_mbps: u32, followers: usize) -> usize {
-    let link = f64::from(link_mbps) * 125_000.0 * LINK_TIME;
-    let each = link / followers.max(1) as f64;
-    SHORT.max(each as usize)
+pub fn max_forwarded_bytes(link_mbps: u32, followers: usize) -> usize {
+    let link_bytes = f64::from(link_mbps) * 125_000.0 * FORWARD_LINK_SECONDS;
+    let bytes_each = link_bytes / followers.max(1) as f64;
+    MIN_FORWARDED_BYTES.max(bytes_each as usize)
 }
 
 /// Where a node that has readers reads: at one that answers, at the service while none does.
@@ -98,61 +100,61 @@
 /// A reader that hangs is noticed late. Were another one asked next, and to hang too, the node would go on with
 /// what it last heard for longer than an endpoint has to leave. So the service is asked in between.
 #[derive(Clone, Debug)]
-pub struct Sources<K> {
-    failed: BTreeMap<K, Failed>,
+pub struct ReaderSelector<K> {
+    backoffs: BTreeMap<K, Backoff>,
     /// Whether the last one that was asked failed.
-    is_behind: bool,
+    is_service_next: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Failed {
+struct Backoff {
     until: Duration,
-    rest: Duration,
+    delay: Duration,
 }
 
-impl<K> Default for Sources<K> {
+impl<K> Default for ReaderSelector<K> {
     fn default() -> Self {
-        Sources {
-            failed: BTreeMap::new(),
-            is_behind: false,
+        ReaderSelector {
+            backoffs: BTreeMap::new(),
+            is_service_next: false,
         }
     }
 }
 
-impl<K: Copy + Ord> Sources<K> {
+impl<K: Copy + Ord> ReaderSelector<K> {
     /// The first of these readers that may be asked; `None` if the service has to be.
-    pub fn pick(&mut self, now: Duration, readers: &[K]) -> Option<K> {
-        if std::mem::take(&mut self.is_behind) {
+    pub fn select(&mut self, now: Duration, readers: &[K]) -> Option<K> {
+        if std::mem::take(&mut self.is_service_next) {
             return None;
         }
-        self.failed.retain(|reader, _| readers.contains(reader));
-        let rests = |reader: &K| self.failed.get(reader).is_some_and(|f| now < f.until);
-        readers.iter().copied().find(|reader| !rests(reader))
+        self.backoffs.retain(|reader, _| readers.contains(reader));
+        let is_waiting = |reader: &K| self.backoffs.get(reader).is_some_and(|b| now < b.until);
+        readers.iter().copied().find(|reader| !is_waiting(reader))
     }
 
     /// Notes that a reader answered.
-    pub fn answered(&mut self, reader: K) {
-        self.failed.remove(&reader);
+    pub fn record_success(&mut self, reader: K) {
+        self.backoffs.remove(&reader);
     }
 
     /// Notes that a reader says that it has nothing to tell: the service does not answer it.
     ///
     /// It can be asked again soon, since it answers at once.
-    pub fn refused(&mut self, now: Duration, reader: K) {
-        let failed = Failed {
-            until: now + REFUSED_REST,
-            rest: REFUSED_REST,
+    pub fn record_refusal(&mut self, now: Duration, reader: K) {
+        let backoff = Backoff {
+            until: now + REFUSED_BACKOFF,
+            delay: REFUSED_BACKOFF,
         };
-        self.failed.insert(reader, failed);
-        self.is_behind = true;
+        self.backoffs.insert(reader, backoff);
+        self.is_service_next = true;
     }
 
     /// Notes that a reader did not answer.
-    pub fn failed(&mut self, now: Duration, reader: K) {
-        let before = self.failed.get(&reader).map(|f| f.rest);
-        let rest = before.map_or(FIRST_REST, |rest| (rest * 2).min(LAST_REST));
-        let until = now + rest;
-        self.failed.insert(reader, Failed { until, rest });
-        self.is_behind = true;
+    pub fn record_failure(&mut self, now: Duration, reader: K) {
+        let previous = self.backoffs.get(&reader).map(|b| b.delay);
+        let delay = previous.map_or(INITIAL_BACKOFF, |delay| (delay * 2).min(MAX_BACKOFF));
+        let until = now + delay;
+        self.backoffs.insert(reader, Backoff { until, delay });
+        self.is_service_next = true;
     }
 }
--- a/crates/oatdale-policy/src/relay/repeats.rs
+++ b/crates/oatdale-policy/src/relay/repeats.rs
@@ -5,7 +5,7 @@
 
 /// Parts of the window that are counted apart: the oldest one counts in full on the side of the repeats
 /// and not at all on that of the requests, which leaves a twentieth unused.
-const PARTS: u32 = 20;
+const WINDOW_SLOTS: u32 = 20;
 
 /// What operators allow: in any span of `window`, no more repeats for a service than `ratio` times its
 /// requests, and `slack` beyond.
@@ -29,13 +29,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct Repeats {
     /// The newest first.
-    parts: VecDeque<Part>,
+    slots: VecDeque<Slot>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Part {
+struct Slot {
     /// Which part of time it is, counted from the beginning of the clock.
-    number: u128,
+    index: u128,
     requests: u32,
     repeats: u32,
 }
@@ -43,41 +43,41 @@
 impl Repeats {
     /// Notes a request of a caller.
     pub fn request(&mut self, now: Duration, allowed: &Allowance) {
-        self.part(now, allowed).requests += 1;
+        self.current_slot(now, allowed).requests += 1;
     }
 
     /// Notes one repeat if it is allowed and this part of what is allowed is left then.
     ///
     /// A use that can wait leaves something for one that cannot.
-    pub fn repeat(&mut self, now: Duration, allowed: &Allowance, kept: f64) -> bool {
-        self.part(now, allowed);
-        let newest = self.parts[0].number;
-        let whole = self.parts.iter();
-        let whole = whole.take_while(|p| p.number + u128::from(PARTS) > newest);
-        let requests: u32 = whole.map(|p| p.requests).sum();
-        let repeats: u32 = self.parts.iter().map(|p| p.repeats).sum();
-        let most = f64::from(requests) * allowed.ratio + allowed.slack;
-        let may = f64::from(repeats) + 1.0 <= most * (1.0 - kept);
-        self.parts[0].repeats += u32::from(may);
-        may
+    pub fn repeat(&mut self, now: Duration, allowed: &Allowance, reserved_share: f64) -> bool {
+        self.current_slot(now, allowed);
+        let newest = self.slots[0].index;
+        let in_window = self.slots.iter();
+        let in_window = in_window.take_while(|s| s.index + u128::from(WINDOW_SLOTS) > newest);
+        let requests: u32 = in_window.map(|s| s.requests).sum();
+        let repeats: u32 = self.slots.iter().map(|s| s.repeats).sum();
+        let limit = f64::from(requests) * allowed.ratio + allowed.slack;
+        let is_allowed = f64::from(repeats) + 1.0 <= limit * (1.0 - reserved_share);
+        self.slots[0].repeats += u32::from(is_allowed);
+        is_allowed
     }
 
     /// The part that is now; forgets those that are no longer within the window.
-    fn part(&mut self, now: Duration, allowed: &Allowance) -> &mut Part {
-        let length = (allowed.window / PARTS).max(Duration::from_millis(1));
-        let number = now.as_nanos() / length.as_nanos();
-        if self.parts.front().is_none_or(|p| p.number < number) {
-            let part = Part {
-                number,
+    fn current_slot(&mut self, now: Duration, allowed: &Allowance) -> &mut Slot {
+        let slot_length = (allowed.window / WINDOW_SLOTS).max(Duration::from_millis(1));
+        let index = now.as_nanos() / slot_length.as_nanos();
+        if self.slots.front().is_none_or(|s| s.index < index) {
+            let slot = Slot {
+                index,
                 requests: 0,
                 repeats: 0,
             };
-            self.parts.push_front(part);
+            self.slots.push_front(slot);
         }
-        let oldest = number.saturating_sub(u128::from(PARTS));
-        while self.parts.back().is_some_and(|p| p.number < oldest) {
-            self.parts.pop_back();
+        let oldest = index.saturating_sub(u128::from(WINDOW_SLOTS));
+        while self.slots.back().is_some_and(|s| s.index < oldest) {
+            self.slots.pop_back();
         }
-        &mut self.parts[0]
+        &mut self.slots[0]
     }
 }
--- a/crates/oatdale-policy/src/relay/roll_out.rs
+++ b/crates/oatdale-policy/src/relay/roll_out.rs
@@ -13,14 +13,14 @@
 
 /// Bounds of the share of requests that try the new version: less tells nothing in time, more is no
 /// trial.
-const LEAST_TRIAL: f64 = 0.03;
+const MIN_TRIAL_SHARE: f64 = 0.03;
 
 /// The largest share of requests that try a new version.
 pub const MOST_TRIAL: f64 = 0.25;
 
 /// The part of the exposure that operators allow which the plan uses up: nodes count apart from each
 /// other, and each request may be sent more than once.
-const PLANNED: f64 = 0.8;
+const PLANNED_EXPOSURE_SHARE: f64 = 0.8;
 
 /// Shares are rounded down to multiples of this, so that nodes whose counts differ a little come to
 /// the same one.
@@ -28,33 +28,33 @@
 
 /// When the trial begins, as a part of the duration, and at the latest. Nodes then know of each
 /// other which sessions began on the old version.
-const TRIAL_AT: f64 = 0.1;
-const TRIAL_AT_LATEST: Duration = Duration::from_millis(1_000);
+const TRIAL_START_FRACTION: f64 = 0.1;
+const MAX_TRIAL_START: Duration = Duration::from_millis(1_000);
 
 /// The time before the end in which all requests go to the new version: this part of the duration,
 /// and no more and no less than these. The end is written half a second before the order's time;
 /// what is short on the old version ends before, and the new version goes on with the rest. A longer
 /// time leaves less of what operators allow for the trial, from which a bad version is found.
-const SWITCHED_FOR: f64 = 0.06;
-const SWITCHED_AT_MOST: Duration = Duration::from_millis(1_600);
-const SWITCHED_AT_LEAST: Duration = Duration::from_millis(700);
+const SWITCH_LEAD_FRACTION: f64 = 0.06;
+const MAX_SWITCH_LEAD: Duration = Duration::from_millis(1_600);
+const MIN_SWITCH_LEAD: Duration = Duration::from_millis(700);
 
 /// How many times more requests than usual are expected after the switch: callers come in waves.
-const PEAK: f64 = 1.15;
+const PEAK_FACTOR: f64 = 1.15;
 
 /// Nodes whose counts differ a little come to the same time if it is a multiple of this.
-const SWITCHED_STEP: Duration = Duration::from_millis(100);
+const SWITCH_LEAD_STEP: Duration = Duration::from_millis(100);
 
 /// The time before the latest end from which on it is written if nothing is under way on the old
 /// version. Not sooner: the end can't be taken back, and a version that is bad under load or on one
 /// route shows it in the first answers after the switch.
-const SOONER_IF_IDLE: Duration = Duration::from_millis(100);
+const IDLE_END_LEAD: Duration = Duration::from_millis(100);
 
 /// The part of that time after which the end is written though old work is left, and the time before
 /// the end of the order in which it is written at the latest: a node looks five times a second, and an end
 /// that is written at the last moment may come too late to count.
-const COMPLETE_ANYWAY: f64 = 0.5;
-const WRITTEN_BEFORE: Duration = Duration::from_millis(500);
+const GRACE_FRACTION: f64 = 0.5;
+const MIN_END_MARGIN: Duration = Duration::from_millis(500);
 
 /// Where a roll-out is by its plan.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -74,27 +74,27 @@
 pub struct Schedule {
     duration: Duration,
     /// How long before the end all requests go to the new version.
-    switched: Duration,
+    lead: Duration,
 }
 
 impl Schedule {
     /// The schedule of an order that gives so much time.
     pub fn new(duration: Duration) -> Self {
-        let switched = duration
-            .mul_f64(SWITCHED_FOR)
-            .clamp(SWITCHED_AT_LEAST, SWITCHED_AT_MOST)
+        let lead = duration
+            .mul_f64(SWITCH_LEAD_FRACTION)
+            .clamp(MIN_SWITCH_LEAD, MAX_SWITCH_LEAD)
             .min(duration);
-        Schedule { duration, switched }
+        Schedule { duration, lead }
     }
 
     /// Where a roll-out is, `since` the order.
     pub fn phase(&self, since: Duration, verdict: Verdict) -> Phase {
-        let done = self.latest_end().saturating_sub(SOONER_IF_IDLE);
-        let trial = TRIAL_AT_LATEST.min(self.duration.mul_f64(TRIAL_AT));
+        let idle_end = self.latest_end().saturating_sub(IDLE_END_LEAD);
+        let trial_start = MAX_TRIAL_START.min(self.duration.mul_f64(TRIAL_START_FRACTION));
         match verdict {
-            _ if since < trial => Phase::Announced,
-            Verdict::Sound if since >= done.max(self.switch()) => Phase::Done,
-            Verdict::Sound if since >= self.switch() => Phase::Switched,
+            _ if since < trial_start => Phase::Announced,
+            Verdict::Sound if since >= idle_end.max(self.switch_at()) => Phase::Done,
+            Verdict::Sound if since >= self.switch_at() => Phase::Switched,
             _ => Phase::Trial,
         }
     }
@@ -103,31 +103,31 @@
     ///
     /// A burst that begins after the share of the trial was settled would send the new version more
     /// requests after the switch than are allowed, however late in the order it comes.
-    pub fn follow_rate(&mut self, since: Duration, planned: f64, now: f64) {
-        if since >= self.switch() || planned <= 0.0 {
+    pub fn follow_rate(&mut self, since: Duration, planned_rate: f64, current_rate: f64) {
+        if since >= self.switch_at() || planned_rate <= 0.0 {
             return;
         }
-        let usual = Schedule::new(self.duration).switched;
-        let steps =
-            usual.as_secs_f64() * (planned / now.max(planned)) / SWITCHED_STEP.as_secs_f64();
-        let switched = SWITCHED_STEP * steps.ceil() as u32;
-        self.switched = switched.max(SWITCHED_AT_LEAST).min(usual);
+        let default_lead = Schedule::new(self.duration).lead;
+        let steps = default_lead.as_secs_f64() * (planned_rate / current_rate.max(planned_rate))
+            / SWITCH_LEAD_STEP.as_secs_f64();
+        let switch_lead = SWITCH_LEAD_STEP * steps.ceil() as u32;
+        self.lead = switch_lead.max(MIN_SWITCH_LEAD).min(default_lead);
     }
 
     /// How long before the end all requests go to the new version.
-    pub fn switched(&self) -> Duration {
-        self.switched
+    pub fn switch_lead(&self) -> Duration {
+        self.lead
     }
 
     /// The time since the order at which the end is written though old work is left: an end that is
     /// late is no end, and the write may have to be repeated.
     pub fn latest_end(&self) -> Duration {
-        let left = self.switched.mul_f64(1.0 - COMPLETE_ANYWAY);
-        self.duration.saturating_sub(left.max(WRITTEN_BEFORE))
+        let margin = self.lead.mul_f64(1.0 - GRACE_FRACTION);
+        self.duration.saturating_sub(margin.max(MIN_END_MARGIN))
     }
 
-    fn switch(&self) -> Duration {
-        self.duration.saturating_sub(self.switched)
+    fn switch_at(&self) -> Duration {
+        self.duration.saturating_sub(self.lead)
     }
 }
 
@@ -146,11 +146,12 @@
 /// version until the end: as much evidence as possible, and never more exposure.
 pub fn trial_share(allowed: Exposure, rate: f64, schedule: &Schedule) -> f64 {
     let secs = schedule.duration.as_secs_f64();
-    let switched = schedule.switched.as_secs_f64();
+    let switch_lead = schedule.lead.as_secs_f64();
     let rate = rate.max(0.01);
-    let planned = PLANNED * (allowed.share * secs * rate + allowed.slack);
-    let share = (planned - PEAK * switched * rate) / ((secs - switched).max(0.1) * rate);
-    let share = share.clamp(LEAST_TRIAL, MOST_TRIAL);
+    let budget = PLANNED_EXPOSURE_SHARE * (allowed.share * secs * rate + allowed.slack);
+    let share =
+        (budget - PEAK_FACTOR * switch_lead * rate) / ((secs - switch_lead).max(0.1) * rate);
+    let share = share.clamp(MIN_TRIAL_SHARE, MOST_TRIAL);
     (share / SHARE_STEP).floor() * SHARE_STEP
 }
 
--- a/crates/oatdale-policy/src/relay/warm_up.rs
+++ b/crates/oatdale-policy/src/relay/warm_up.rs
@@ -9,7 +9,7 @@
 
 /// Over which a node counts what it sent: more than the second that endpoints count over, since requests are sent a
 /// little later than they are placed.
-const SPAN: Duration = Duration::from_millis(1_100);
+const COUNT_WINDOW: Duration = Duration::from_millis(1_100);
 
 /// Time for which a node sends nothing to cold endpoints after its start, or after it was forgotten: until the nodes
 /// know each other their shares would be too large.
@@ -24,32 +24,36 @@
     if known_for < SETTLE_TIME {
         return 0;
     }
-    let whole = (rate as u32).max(1);
+    let per_second = (rate as u32).max(1);
     let nodes = u32::try_from(nodes.max(1)).unwrap_or(u32::MAX);
-    let has_rest = u32::try_from(rank).is_ok_and(|rank| rank < whole % nodes);
-    whole / nodes + u32::from(has_rest)
+    let has_remainder = u32::try_from(rank).is_ok_and(|rank| rank < per_second % nodes);
+    per_second / nodes + u32::from(has_remainder)
 }
 
 /// What a node sent to an endpoint lately.
 #[derive(Clone, Debug, Default)]
 pub struct WarmUp {
     /// The oldest first.
-    sent: VecDeque<Duration>,
+    sent_at: VecDeque<Duration>,
 }
 
 impl WarmUp {
     /// When the next request may be sent with this share of a second's requests; `None` without a share.
     pub fn next(&self, share: u32) -> Option<Duration> {
         let share = usize::try_from(share).ok().filter(|share| *share > 0)?;
-        let first = self.sent.len().checked_sub(share);
-        Some(first.map_or(Duration::ZERO, |first| self.sent[first] + SPAN))
+        let oldest = self.sent_at.len().checked_sub(share);
+        Some(oldest.map_or(Duration::ZERO, |oldest| self.sent_at[oldest] + COUNT_WINDOW))
     }
 
     /// Notes that a request is sent.
     pub fn note(&mut self, now: Duration) {
-        while self.sent.front().is_some_and(|at| *at + SPAN <= now) {
-            self.sent.pop_front();
+        while self
+            .sent_at
+            .front()
+            .is_some_and(|at| *at + COUNT_WINDOW <= now)
+        {
+            self.sent_at.pop_front();
         }
-        self.sent.push_back(now);
+        self.sent_at.push_back(now);
     }
 }
--- a/crates/oatdale-policy/tests/relay.rs
+++ b/crates/oatdale-policy/tests/relay.rs
@@ -21,22 +21,22 @@
 // One subject gets much of the traffic. The endpoint that keeps its prefix would get all of it,
 // and its callers would wait while others are idle.
 #[test]
-fn a_prefix_leaves_its_endpoint_when_that_is_far_above_the_others() {
+fn affinity_is_ignored_when_the_preferred_endpoint_is_overloaded() {
     let others = [candidate(1.0, true, 2), candidate(1.0, true, 1)];
-    let at = |load| {
+    let choice_at = |load| {
         choose(
             &[candidate(load, true, 9), others[0], others[1]],
             Placement::Affinity,
             0,
         )
     };
-    assert_eq!(at(1.0), Some(0));
-    assert_eq!(at(3.0), Some(0));
-    assert_eq!(at(12.0), Some(1));
+    assert_eq!(choice_at(1.0), Some(0));
+    assert_eq!(choice_at(3.0), Some(0));
+    assert_eq!(choice_at(12.0), Some(1));
 }
 
 #[test]
-fn the_own_failure_domain_goes_first_until_it_has_more_to_do() {
+fn own_domain_is_preferred_until_its_load_is_higher() {
     let pick = |own, other| {
         let all = [candidate(other, false, 0), candidate(own, true, 0)];
         choose(&all, Placement::Load, 0)
@@ -49,7 +49,7 @@
 // All requests arrive at idle endpoints. Were the first in the list taken each time, all nodes would
 // send to the same one.
 #[test]
-fn equals_are_taken_by_draw() {
+fn ties_are_broken_by_draw() {
     let all = [candidate(0.0, true, 0); 4];
     let picks: Vec<_> = (0..4)
         .filter_map(|draw| choose(&all, Placement::Load, draw))
@@ -58,20 +58,20 @@
 }
 
 #[test]
-fn an_unreachable_endpoint_rests_longer_each_time_and_is_tried_again() {
+fn unreachable_endpoint_backs_off_longer_each_time_and_is_retried() {
     let mut health = Health::default();
     let mut now = secs(10);
-    let mut rests = Vec::new();
+    let mut backoffs = Vec::new();
     for _ in 0..5 {
         health.silent(now);
         let began = now;
         while health.is_ejected(now) {
             now += Duration::from_millis(100);
         }
-        rests.push(now - began);
+        backoffs.push(now - began);
     }
-    assert!(rests.is_sorted(), "{rests:?}");
-    assert!(rests[4] <= secs(3), "{rests:?}");
+    assert!(backoffs.is_sorted(), "{backoffs:?}");
+    assert!(backoffs[4] <= secs(3), "{backoffs:?}");
     health.answered(true);
     health.silent(now);
     assert!(!health.is_ejected(now + Duration::from_millis(500)));
@@ -80,7 +80,7 @@
 // An endpoint fails a third of its requests while its health check is good. It should get fewer of
 // them, and be used again when it has recovered.
 #[test]
-fn a_failing_endpoint_counts_as_loaded_until_it_recovers() {
+fn failing_endpoint_has_a_higher_load_factor_until_it_recovers() {
     let mut health = Health::default();
     assert!(health.load_factor() <= 1.0);
     for n in 0..30 {
@@ -96,7 +96,7 @@
 // A call that may be sent only once gets no answer. Four of them are enough to prefer other endpoints,
 // before any has reached its timeout.
 #[test]
-fn an_endpoint_whose_answers_are_late_counts_as_loaded() {
+fn late_answers_raise_the_load_factor() {
     let mut health = Health::default();
     for n in 0..70 {
         health.answered(n % 7 != 0);
@@ -108,7 +108,7 @@
     assert!(health.load_factor() > 3.0);
 }
 
-const WINDOW: Allowance = Allowance {
+const ALLOWANCE: Allowance = Allowance {
     window: Duration::from_secs(10),
     ratio: 0.5,
     slack: 4.0,
@@ -118,20 +118,20 @@
 // of the window, whenever it begins, may there be more repeats than its requests allow. Callers come in
 // waves; the requests of the window before count too, as operators state it.
 #[test]
-fn repeats_stay_below_their_share_of_the_requests() {
+fn repeats_stay_within_the_allowance_in_any_window() {
     let planned = Allowance {
-        ratio: WINDOW.ratio * 0.85,
-        slack: WINDOW.slack * 0.85,
-        ..WINDOW
+        ratio: ALLOWANCE.ratio * 0.85,
+        slack: ALLOWANCE.slack * 0.85,
+        ..ALLOWANCE
     };
     let mut repeats = Repeats::default();
     let mut requested = Vec::new();
     let mut repeated = Vec::new();
     for tick in 0..6_000_u64 {
         let now = Duration::from_millis(tick * 10);
-        let many = (tick / 700) % 3 == 1;
-        let few = tick % 40 == 0;
-        if many || few {
+        let is_burst = (tick / 700) % 3 == 1;
+        let is_trickle = tick % 40 == 0;
+        if is_burst || is_trickle {
             repeats.request(now, &planned);
             requested.push(now);
         }
@@ -140,38 +140,38 @@
         }
     }
     let within = |times: &[Duration], from: Duration| {
-        let until = from + WINDOW.window;
+        let until = from + ALLOWANCE.window;
         times.iter().filter(|t| **t >= from && **t < until).count() as f64
     };
     for from in (0..50_000).step_by(50).map(Duration::from_millis) {
-        let before = from.saturating_sub(WINDOW.window / 2);
+        let before = from.saturating_sub(ALLOWANCE.window / 2);
         let requests = within(&requested, from).max(within(&requested, before));
-        let most = requests * WINDOW.ratio + WINDOW.slack;
-        assert!(within(&repeated, from) <= most, "{from:?}");
+        let limit = requests * ALLOWANCE.ratio + ALLOWANCE.slack;
+        assert!(within(&repeated, from) <= limit, "{from:?}");
     }
     // And not far below.
-    assert!(repeated.len() as f64 > 0.8 * WINDOW.ratio * requested.len() as f64);
+    assert!(repeated.len() as f64 > 0.8 * ALLOWANCE.ratio * requested.len() as f64);
 }
 
 #[test]
-fn a_use_that_can_wait_leaves_some_of_the_budget() {
+fn reserved_share_is_left_for_other_repeats() {
     let mut repeats = Repeats::default();
     let allowed = Allowance {
         slack: 10.0,
-        ..WINDOW
+        ..ALLOWANCE
     };
     let now = Duration::from_secs(1);
-    let waited = (0..20).filter(|_| repeats.repeat(now, &allowed, 0.2));
-    assert_eq!(waited.count(), 8);
-    let left = (0..20).filter(|_| repeats.repeat(now, &allowed, 0.0));
-    assert_eq!(left.count(), 2);
+    let deferrable = (0..20).filter(|_| repeats.repeat(now, &allowed, 0.2));
+    assert_eq!(deferrable.count(), 8);
+    let urgent = (0..20).filter(|_| repeats.repeat(now, &allowed, 0.0));
+    assert_eq!(urgent.count(), 2);
 }
 
 // A site has ninety nodes with six requests a second each, of which four in ten are not sure enough and are
 // made again: half of what is allowed. They come in clumps. Callers must not get an unsure answer because
 // two or three of them came one after the other.
 #[test]
-fn a_node_with_few_requests_may_repeat_what_it_has_earned() {
+fn clustered_repeats_are_allowed_at_a_low_request_rate() {
     let allowed = Allowance {
         window: Duration::from_secs(10),
         ratio: 0.765,
@@ -179,21 +179,24 @@
     };
     let mut repeats = Repeats::default();
     let mut refused = 0;
-    let mut unsure = 0;
+    let mut low_confidence = 0;
     for n in 0..600_u64 {
         let now = Duration::from_millis(n * 160);
         repeats.request(now, &allowed);
         // Four of ten, one after the other.
         if n % 10 < 4 {
-            unsure += 1;
+            low_confidence += 1;
             refused += u32::from(!repeats.repeat(now, &allowed, 0.2));
         }
     }
-    assert!(refused * 50 < unsure, "{refused} of {unsure} were refused");
+    assert!(
+        refused * 50 < low_confidence,
+        "{refused} of {low_confidence} repeats were refused"
+    );
 }
 
 #[test]
-fn an_answer_is_made_again_only_when_it_is_unsure_and_there_is_room() {
+fn answer_is_escalated_only_if_its_confidence_is_low_and_a_run_is_allowed() {
     let ladder = Ladder {
         threshold: 50,
         wait: 0.0,
@@ -210,39 +213,39 @@
 // Many requests come at once, and the largest model makes them wait. Were as many answers made
 // again as before, all would be late.
 #[test]
-fn quality_yields_when_the_largest_model_makes_requests_wait() {
-    let made_again = |wait| {
+fn fewer_answers_are_escalated_when_the_largest_model_is_overloaded() {
+    let escalated = |wait| {
         let ladder = Ladder {
             threshold: 46,
             wait,
             size: 1.0,
         };
         (0..=100)
-            .filter(|&sure| ladder.step(0, 3, Some(sure), true) != Step::Keep)
+            .filter(|&confidence| ladder.step(0, 3, Some(confidence), true) != Step::Keep)
             .count()
     };
-    assert_eq!(made_again(0.0), 46);
-    assert_eq!(made_again(0.3), 46);
-    assert!((20..=25).contains(&made_again(0.55)));
+    assert_eq!(escalated(0.0), 46);
+    assert_eq!(escalated(0.3), 46);
+    assert!((20..=25).contains(&escalated(0.55)));
     // What is hopeless is made again at any load.
-    assert_eq!(made_again(5.0), 12);
+    assert_eq!(escalated(5.0), 12);
 }
 
 // A generation of ten times the usual size costs ten times as much to make again and is worth some three
 // times as much. Made again as readily as a small one, it takes the time in which ten others were.
 #[test]
-fn larger_generations_need_less_sure_answers() {
-    let made_again = |size: f64| {
+fn larger_generations_are_escalated_at_lower_confidence() {
+    let escalated = |size: f64| {
         let ladder = Ladder {
             threshold: 46,
             wait: 0.0,
             size,
         };
         (0..=100)
-            .filter(|&sure| ladder.step(0, 3, Some(sure), true) != Step::Keep)
+            .filter(|&confidence| ladder.step(0, 3, Some(confidence), true) != Step::Keep)
             .count()
     };
-    let by_size = [0.0, 0.2, 1.0, 4.0, 10.0, 1e9].map(made_again);
+    let by_size = [0.0, 0.2, 1.0, 4.0, 10.0, 1e9].map(escalated);
     assert_eq!(by_size[2], 46);
     assert!(by_size.is_sorted_by(|a, b| a >= b), "{by_size:?}");
     assert!(
@@ -252,7 +255,7 @@
 }
 
 #[test]
-fn an_engine_that_reads_no_prompt_and_lets_none_wait_has_lost_a_request() {
+fn request_is_lost_if_none_waits_or_is_in_prefill_and_it_is_not_generating() {
     let report = |waiting, active, generating: &[&str]| EngineReport {
         waiting,
         active,
--- a/crates/oatdale-policy/tests/relay_addresses.rs
+++ b/crates/oatdale-policy/tests/relay_addresses.rs
@@ -3,10 +3,10 @@
 use oatdale_policy::relay::{AddressCandidate, advertised_addresses};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-const MOST: usize = 64;
+const MAX_ADDRESSES: usize = 64;
 
 /// Domains with so many nodes each.
-const DOMAINS: [usize; 5] = [56, 55, 56, 65, 63];
+const NODES_PER_DOMAIN: [usize; 5] = [56, 55, 56, 65, 63];
 
 fn hash(value: impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
@@ -16,7 +16,8 @@
 
 /// All nodes as they are for a caller of a domain, with their domains.
 fn nodes(caller: usize, alive: impl Fn(usize, usize) -> bool) -> Vec<(usize, AddressCandidate)> {
-    let all = (0..DOMAINS.len()).flat_map(|domain| (0..DOMAINS[domain]).map(move |n| (domain, n)));
+    let all = (0..NODES_PER_DOMAIN.len())
+        .flat_map(|domain| (0..NODES_PER_DOMAIN[domain]).map(move |n| (domain, n)));
     let alive = all.filter(|&(domain, n)| alive(domain, n));
     let candidate = |(domain, n)| {
         let candidate = AddressCandidate {
@@ -28,25 +29,25 @@
     alive.map(candidate).collect()
 }
 
-fn told(nodes: &[(usize, AddressCandidate)]) -> Vec<usize> {
+fn advertised(nodes: &[(usize, AddressCandidate)]) -> Vec<usize> {
     let candidates: Vec<_> = nodes.iter().map(|(_, candidate)| *candidate).collect();
-    advertised_addresses(&candidates, MOST)
+    advertised_addresses(&candidates, MAX_ADDRESSES)
 }
 
 // Callers of all domains come at once to a site of 295 nodes. If all were told of the same 64, one domain's nodes
 // and endpoints would have the load of all five, and answers of the others' plain services would be late.
 #[test]
-fn callers_of_all_domains_use_the_nodes_of_all_domains() {
-    let mut uses = [0; DOMAINS.len()];
-    for caller in 0..DOMAINS.len() {
+fn load_of_all_callers_is_spread_over_all_domains() {
+    let mut uses = [0; NODES_PER_DOMAIN.len()];
+    for caller in 0..NODES_PER_DOMAIN.len() {
         let nodes = nodes(caller, |_, _| true);
-        let told = told(&nodes);
-        assert_eq!(told.len(), MOST);
-        for i in told {
+        let advertised = advertised(&nodes);
+        assert_eq!(advertised.len(), MAX_ADDRESSES);
+        for i in advertised {
             uses[nodes[i].0] += 1;
         }
     }
-    let mean = (MOST * DOMAINS.len() / DOMAINS.len()) as f64;
+    let mean = (MAX_ADDRESSES * NODES_PER_DOMAIN.len() / NODES_PER_DOMAIN.len()) as f64;
     for domain in uses {
         assert!(f64::from(domain) < 1.3 * mean, "{uses:?}");
     }
@@ -55,20 +56,20 @@
 // Half of a site's hosts have lost their power, in one domain nearly all. Its callers would overrun the few that
 // are left if they were told of no others.
 #[test]
-fn callers_of_a_domain_with_few_nodes_are_told_of_others() {
+fn callers_in_a_domain_with_few_nodes_get_nodes_of_other_domains() {
     let nodes = nodes(2, |domain, n| domain != 2 || n < 3);
-    let told = told(&nodes);
-    assert_eq!(told.len(), MOST);
-    assert_eq!(told.iter().filter(|&&i| nodes[i].0 == 2).count(), 3);
+    let advertised = advertised(&nodes);
+    assert_eq!(advertised.len(), MAX_ADDRESSES);
+    assert_eq!(advertised.iter().filter(|&&i| nodes[i].0 == 2).count(), 3);
     for domain in [0, 1, 3, 4] {
-        let part = told.iter().filter(|&&i| nodes[i].0 == domain).count();
-        assert!(part > 5, "domain {domain}: {part}");
+        let in_domain = advertised.iter().filter(|&&i| nodes[i].0 == domain).count();
+        assert!(in_domain > 5, "domain {domain}: {in_domain} nodes");
     }
 }
 
 // On a small site every caller is told of every node, as it needs all of them when hosts are lost.
 #[test]
-fn a_small_site_tells_of_all_nodes() {
+fn small_site_advertises_all_nodes() {
     let nodes = nodes(0, |_, n| n < 3);
-    assert_eq!(told(&nodes).len(), 15);
+    assert_eq!(advertised(&nodes).len(), 15);
 }
--- a/crates/oatdale-policy/tests/relay_readers.rs
+++ b/crates/oatdale-policy/tests/relay_readers.rs
@@ -1,8 +1,8 @@
 //! Which nodes read for the others, and where a node reads while some of them fail.
 
 use oatdale_policy::relay::{
-    READERS, REGISTERED, ReaderCandidate, Sources, first_wait, longest_passed_on, readers,
-    registers_after,
+    READERS_PER_DOMAIN, REGISTERED_PER_DOMAIN, ReaderCandidate, ReaderSelector,
+    max_forwarded_bytes, registration_delay, select_readers, start_delay,
 };
 use std::time::Duration;
 
@@ -12,27 +12,31 @@
 
 // Hundreds of nodes that each read the same records pay for hundreds of calls where a few would do.
 #[test]
-fn readers_do_not_grow_with_the_nodes() {
+fn reader_count_does_not_grow_with_the_domain() {
     for nodes in [4, 20, 60, 200] {
         let all: Vec<_> = (0..nodes as u64)
             .map(|n| node(20, n * 7919 % 1009))
             .collect();
-        assert_eq!(readers(&all, nodes).len(), READERS, "{nodes} nodes");
+        assert_eq!(
+            select_readers(&all, nodes).len(),
+            READERS_PER_DOMAIN,
+            "{nodes} nodes"
+        );
     }
 }
 
 // With three nodes two would read for one, whose news would come a step later for hardly fewer calls.
 #[test]
-fn a_few_nodes_read_for_themselves() {
+fn small_domain_has_no_readers() {
     for nodes in 0..4 {
         let all: Vec<_> = (0..nodes as u64).map(|n| node(20, n)).collect();
-        assert!(readers(&all, nodes).is_empty(), "{nodes} nodes");
+        assert!(select_readers(&all, nodes).is_empty(), "{nodes} nodes");
     }
 }
 
 // A reader sends what it reads to many. On a slow link its callers' answers would wait behind that.
 #[test]
-fn fast_links_read_first() {
+fn nodes_with_the_fastest_links_are_readers() {
     let all = [
         node(20, 9),
         node(200, 1),
@@ -40,17 +44,17 @@
         node(200, 2),
         node(20, 7),
     ];
-    assert_eq!(readers(&all, 5), [3, 1]);
+    assert_eq!(select_readers(&all, 5), [3, 1]);
 }
 
 // Nodes that know the others in different orders must agree, or each asks nodes that read nothing.
 #[test]
-fn the_order_in_which_nodes_are_known_does_not_matter() {
+fn reader_selection_does_not_depend_on_node_order() {
     let all: Vec<_> = (0..30).map(|n| node(20, n * 31 % 101)).collect();
     let mut reversed = all.clone();
     reversed.reverse();
     let chosen = |nodes: &[ReaderCandidate]| -> Vec<_> {
-        readers(nodes, 30)
+        select_readers(nodes, 30)
             .into_iter()
             .map(|i| nodes[i].hash)
             .collect()
@@ -61,70 +65,70 @@
 // A configuration of a megabyte, thirty followers, a link of 20 Mbit/s: the last one would have it after twelve
 // seconds, and operators count on two to four.
 #[test]
-fn what_would_fill_a_slow_link_is_not_passed_on() {
-    assert!(longest_passed_on(20, 30) < 1 << 20);
-    assert!(longest_passed_on(200, 15) > 1 << 20);
+fn record_that_would_saturate_a_slow_link_is_not_forwarded() {
+    assert!(max_forwarded_bytes(20, 30) < 1 << 20);
+    assert!(max_forwarded_bytes(200, 15) > 1 << 20);
     // An endpoint's record is passed on whatever the link.
-    assert!(longest_passed_on(0, 1_000) > 10_000);
+    assert!(max_forwarded_bytes(0, 1_000) > 10_000);
 }
 
 // A reader dies. Its followers must not wait for it again and again while it is gone, nor read at the service
 // for ever once it is back.
 #[test]
-fn readers_that_fail_rest_and_are_asked_again() {
-    let mut sources = Sources::default();
+fn failed_readers_back_off_and_are_retried() {
+    let mut selector = ReaderSelector::default();
     let at = Duration::from_millis;
-    let fails = |sources: &mut Sources<u8>, ms, reader| {
-        sources.failed(at(ms), reader);
+    let fail = |selector: &mut ReaderSelector<u8>, ms, reader| {
+        selector.record_failure(at(ms), reader);
         // What was missed meanwhile is read at the service first.
-        assert_eq!(sources.pick(at(ms), &[1, 2]), None);
+        assert_eq!(selector.select(at(ms), &[1, 2]), None);
     };
-    assert_eq!(sources.pick(at(0), &[1, 2]), Some(1));
-    fails(&mut sources, 0, 1);
-    assert_eq!(sources.pick(at(10), &[1, 2]), Some(2));
-    fails(&mut sources, 10, 2);
+    assert_eq!(selector.select(at(0), &[1, 2]), Some(1));
+    fail(&mut selector, 0, 1);
+    assert_eq!(selector.select(at(10), &[1, 2]), Some(2));
+    fail(&mut selector, 10, 2);
     // None answers: the service itself has to be asked.
-    assert_eq!(sources.pick(at(20), &[1, 2]), None);
-    assert_eq!(sources.pick(at(1_005), &[1, 2]), Some(1));
+    assert_eq!(selector.select(at(20), &[1, 2]), None);
+    assert_eq!(selector.select(at(1_005), &[1, 2]), Some(1));
     // It fails again, so it rests for longer.
-    fails(&mut sources, 1_005, 1);
-    assert_eq!(sources.pick(at(2_500), &[1, 2]), Some(2));
-    sources.answered(2);
-    assert_eq!(sources.pick(at(3_006), &[1, 2]), Some(1));
-    sources.answered(1);
-    fails(&mut sources, 4_000, 1);
-    assert_eq!(sources.pick(at(5_001), &[1, 2]), Some(1));
+    fail(&mut selector, 1_005, 1);
+    assert_eq!(selector.select(at(2_500), &[1, 2]), Some(2));
+    selector.record_success(2);
+    assert_eq!(selector.select(at(3_006), &[1, 2]), Some(1));
+    selector.record_success(1);
+    fail(&mut selector, 4_000, 1);
+    assert_eq!(selector.select(at(5_001), &[1, 2]), Some(1));
 }
 
 // All nodes of a domain start at the same moment. If each registered at once there would be a lease and its
 // renewals for each; if none did, nobody would read for the others.
 #[test]
-fn nodes_that_start_together_do_not_all_register() {
-    let mut waits: Vec<_> = (0..60)
-        .map(|n| first_wait(if n < 3 { 200 } else { 20 }, f64::from(n % 20) / 20.0))
+fn nodes_with_fast_links_register_first_after_a_simultaneous_start() {
+    let mut delays: Vec<_> = (0..60)
+        .map(|n| start_delay(if n < 3 { 200 } else { 20 }, f64::from(n % 20) / 20.0))
         .collect();
-    let slow = waits.split_off(3);
-    let last_fast = waits.iter().max().expect("there are three");
-    let first_slow = slow.iter().min().expect("there are many");
+    let slow = delays.split_off(3);
+    let max_fast = delays.iter().max().expect("three fast nodes");
+    let min_slow = slow.iter().min().expect("slow nodes");
     // They start within 0.3 s of each other. A record is written and read within a few milliseconds.
-    let started = Duration::from_millis(300);
-    assert!(*first_slow > *last_fast + started + Duration::from_millis(50));
+    let start_skew = Duration::from_millis(300);
+    assert!(*min_slow > *max_fast + start_skew + Duration::from_millis(50));
 }
 
 // Registered nodes have lost their power, and fifty others see their records lapse at the same moment. As many as
 // are missing take their place; if the next ones are gone too, those after them do.
 #[test]
-fn as_many_as_are_missing_take_their_place() {
-    for registered in 0..=REGISTERED + 1 {
-        let missing = REGISTERED.saturating_sub(registered);
-        let waits: Vec<_> = (0..50)
-            .map(|rank| registers_after(registered, rank))
+fn only_as_many_nodes_register_as_are_missing() {
+    for registered in 0..=REGISTERED_PER_DOMAIN + 1 {
+        let missing = REGISTERED_PER_DOMAIN.saturating_sub(registered);
+        let delays: Vec<_> = (0..50)
+            .map(|rank| registration_delay(registered, rank))
             .collect();
-        let at_once = waits.iter().filter(|w| **w == Some(Duration::ZERO));
-        assert_eq!(at_once.count(), missing);
-        assert_eq!(waits.iter().all(Option::is_none), missing == 0);
-        let soon = Some(Duration::from_secs(1));
-        let within = waits.iter().filter(|w| w.is_some() && **w < soon);
-        assert_eq!(within.count(), missing * 2);
+        let immediate = delays.iter().filter(|d| **d == Some(Duration::ZERO));
+        assert_eq!(immediate.count(), missing);
+        assert_eq!(delays.iter().all(Option::is_none), missing == 0);
+        let one_second = Some(Duration::from_secs(1));
+        let within_one_second = delays.iter().filter(|d| d.is_some() && **d < one_second);
+        assert_eq!(within_one_second.count(), missing * 2);
     }
 }
--- a/crates/oatdale-policy/tests/relay_roll_outs.rs
+++ b/crates/oatdale-policy/tests/relay_roll_outs.rs
@@ -10,7 +10,7 @@
     Duration::from_secs(n)
 }
 
-const USUAL: Exposure = Exposure {
+const EXPOSURE: Exposure = Exposure {
     share: 0.15,
     slack: 30.0,
 };
@@ -18,11 +18,11 @@
 // A version is bad in a way that its trial never shows, for example under a load that does not come.
 // It must not have had more requests than operators allow when its time is over.
 #[test]
-fn a_version_whose_fault_never_shows_stays_within_its_exposure() {
+fn undetected_bad_version_stays_within_the_exposure_limit() {
     for duration in [5, 9, 12, 16, 24, 60, 600].map(secs) {
         for rate in [1.0, 5.0, 20.0, 75.0, 400.0] {
             let schedule = Schedule::new(duration);
-            let share = trial_share(USUAL, rate, &schedule);
+            let share = trial_share(EXPOSURE, rate, &schedule);
             let step = Duration::from_millis(50);
             let mut exposed = 0.0;
             let mut now = Duration::ZERO;
@@ -36,11 +36,11 @@
                     };
                 now += step;
             }
-            let allowed = USUAL.share * rate * duration.as_secs_f64() + USUAL.slack;
+            let allowed = EXPOSURE.share * rate * duration.as_secs_f64() + EXPOSURE.slack;
             // At the highest rates the time for the switch alone is more than that on short orders.
-            let at_least = schedule.switched().as_secs_f64() * rate;
+            let after_switch = schedule.switch_lead().as_secs_f64() * rate;
             assert!(
-                exposed <= allowed.max(at_least * 1.2),
+                exposed <= allowed.max(after_switch * 1.2),
                 "{duration:?} at {rate}: {exposed:.0} of {allowed:.0}"
             );
         }
@@ -50,26 +50,26 @@
 // Requests become twice as many late in the trial. Had the switch come when it was planned, a bad version
 // would have got more of them than operators allow.
 #[test]
-fn a_burst_after_the_trial_has_begun_moves_the_switch() {
+fn burst_during_the_trial_delays_the_switch() {
     let mut schedule = Schedule::new(secs(16));
-    let usual = schedule.switched();
+    let default_lead = schedule.switch_lead();
     schedule.follow_rate(secs(14), 70.0, 90.0);
-    assert!(schedule.switched() < usual, "{schedule:?}");
+    assert!(schedule.switch_lead() < default_lead, "{schedule:?}");
     // Never so late that the old version's work could not end and the end not be written.
     schedule.follow_rate(secs(14), 70.0, 700.0);
-    assert_eq!(schedule.switched(), Duration::from_millis(700));
+    assert_eq!(schedule.switch_lead(), Duration::from_millis(700));
     assert_eq!(schedule.latest_end(), Duration::from_millis(15_500));
     // What is switched stays so.
     schedule.follow_rate(Duration::from_millis(15_400), 70.0, 70.0);
-    assert_eq!(schedule.switched(), Duration::from_millis(700));
+    assert_eq!(schedule.switch_lead(), Duration::from_millis(700));
     // Fewer requests are no reason to switch earlier: they may become more again.
     let mut schedule = Schedule::new(secs(16));
     schedule.follow_rate(secs(14), 70.0, 20.0);
-    assert_eq!(schedule.switched(), usual);
+    assert_eq!(schedule.switch_lead(), default_lead);
 }
 
 #[test]
-fn the_phases_follow_each_other_and_a_bad_version_stays_in_its_trial() {
+fn phases_advance_in_order_and_a_bad_version_stays_in_trial() {
     let schedule = Schedule::new(secs(20));
     let all: Vec<_> = (0..=200)
         .map(|n| schedule.phase(Duration::from_millis(n * 100), Verdict::Sound))
@@ -95,7 +95,7 @@
     };
     let origin = |route, endpoint| Origin { route, endpoint };
     all.iter()
-        .map(|&(route, endpoint, numbers)| (origin(route, endpoint), counts(numbers)))
+        .map(|&(route, endpoint, values)| (origin(route, endpoint), counts(values)))
         .collect()
 }
 
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_version_is_judged_by_what_the_old_one_does_at_the_same_time() {
+fn verdict_compares_the_new_version_with_the_old_one() {
     let cases = [
         // Four failures among ten answers, while the old version has none.
         (tally([10, 4, 8, 0], [200, 1, 150, 2]), Verdict::Bad),
@@ -128,7 +128,7 @@
 
 /// Recorded pauses, in milliseconds, between the first events of streams at engines that also read
 /// long prompts: two a stream.
-const GOOD: [[u64; 2]; 30] = [
+const GOOD_PAUSES_MS: [[u64; 2]; 30] = [
     [122, 60],
     [131, 162],
     [24, 24],
@@ -162,7 +162,7 @@
 ];
 
 /// The same of a version that is several times slower.
-const SLOW: [[u64; 2]; 12] = [
+const SLOW_PAUSES_MS: [[u64; 2]; 12] = [
     [64, 65],
     [77, 78],
     [65, 77],
@@ -178,7 +178,7 @@
 ];
 
 /// Plays streams of these pauses and counts those that are found slow; learns from the others.
-fn slow_streams(pauses: &[[u64; 2]], usual: &mut UsualTime) -> usize {
+fn count_slow_streams(pauses: &[[u64; 2]], usual: &mut UsualTime) -> usize {
     let is_slow = |pace: Duration, usual: &UsualTime| usual.slow_after().is_some_and(|b| pace > b);
     let mut slow = 0;
     for [first, second] in pauses {
@@ -197,20 +197,24 @@
 // Before, the sum of both pauses was compared with 2.5 times its mean: of these 12 streams 4 were found
 // slow, of the 30 others 3.
 #[test]
-fn a_slow_version_stands_out_from_streams_that_wait_behind_long_prompts() {
+fn slow_version_is_distinguished_from_waits_behind_long_prompts() {
     let mut usual = UsualTime::default();
-    slow_streams(&GOOD, &mut usual);
-    let good = slow_streams(&GOOD, &mut usual);
-    assert!(good * 5 <= GOOD.len(), "{good} of {} are slow", GOOD.len());
-    let slow = SLOW.iter().filter(|s| {
+    count_slow_streams(&GOOD_PAUSES_MS, &mut usual);
+    let good = count_slow_streams(&GOOD_PAUSES_MS, &mut usual);
+    assert!(
+        good * 5 <= GOOD_PAUSES_MS.len(),
+        "{good} of {} are slow",
+        GOOD_PAUSES_MS.len()
+    );
+    let slow = SLOW_PAUSES_MS.iter().filter(|s| {
         let mut usual = usual.clone();
-        slow_streams(&[**s], &mut usual) == 1
+        count_slow_streams(&[**s], &mut usual) == 1
     });
     assert!(slow.count() >= 11);
 }
 
 #[test]
-fn a_stream_is_found_slow_before_its_next_event_comes() {
+fn stream_counts_as_slow_before_its_next_event() {
     let ms = Duration::from_millis;
     let mut stream = StreamPace::default();
     assert_eq!(stream.event(ms(100)), None);
@@ -230,7 +234,7 @@
 // all routes its few failures look like chance; it would be completed, and that route's callers would
 // be failed from then on.
 #[test]
-fn a_version_that_is_bad_on_one_route_is_found_among_thirty_answers() {
+fn version_that_is_bad_on_one_route_is_detected() {
     let old = cells(&[
         (1, 0, [300, 0, 0, 0]),
         (2, 0, [100, 0, 0, 0]),
@@ -243,11 +247,11 @@
         (2, 2, [3, 2, 0, 0]),
         (3, 2, [6, 0, 0, 0]),
     ]);
-    let of = |new| Tally {
+    let tally_of = |new| Tally {
         new,
         old: old.clone(),
     };
-    assert_eq!(verdict(&of(bad)), Verdict::Bad);
+    assert_eq!(verdict(&tally_of(bad)), Verdict::Bad);
     // The same failures spread over the routes are fewer than one in seven everywhere.
     let spread = cells(&[
         (1, 1, [9, 1, 0, 0]),
@@ -255,37 +259,37 @@
         (2, 1, [4, 0, 0, 0]),
         (3, 2, [6, 1, 0, 0]),
     ]);
-    assert_eq!(verdict(&of(spread)), Verdict::Sound);
+    assert_eq!(verdict(&tally_of(spread)), Verdict::Sound);
 }
 
 // One endpoint that runs the new version fails half of what it gets, or is slow, while its neighbours
 // are well. That is the endpoint's fault: the version must not be undone for it.
 #[test]
-fn one_bad_endpoint_does_not_make_a_version_bad() {
+fn single_bad_endpoint_does_not_make_the_version_bad() {
     let old = cells(&[(1, 0, [300, 3, 200, 15])]);
-    let one = |bad: [u64; 4]| Tally {
+    let with_endpoint = |bad: [u64; 4]| Tally {
         new: cells(&[(1, 1, [12, 0, 9, 1]), (1, 2, bad), (1, 3, [11, 0, 8, 0])]),
         old: old.clone(),
     };
-    assert_eq!(verdict(&one([14, 8, 3, 0])), Verdict::Sound);
-    assert_eq!(verdict(&one([14, 0, 12, 12])), Verdict::Sound);
-    let two = Tally {
+    assert_eq!(verdict(&with_endpoint([14, 8, 3, 0])), Verdict::Sound);
+    assert_eq!(verdict(&with_endpoint([14, 0, 12, 12])), Verdict::Sound);
+    let both_bad = Tally {
         new: cells(&[(1, 1, [12, 5, 9, 1]), (1, 2, [14, 8, 3, 0])]),
         old: old.clone(),
     };
-    assert_eq!(verdict(&two), Verdict::Bad);
+    assert_eq!(verdict(&both_bad), Verdict::Bad);
     // Where the version has a single endpoint there is nothing to compare it with.
-    let only = |failed| Tally {
+    let with_single_endpoint = |failed| Tally {
         new: cells(&[(1, 1, [20, failed, 0, 0])]),
         old: old.clone(),
     };
-    assert_eq!(verdict(&only(8)), Verdict::Sound);
-    assert_eq!(verdict(&only(12)), Verdict::Bad);
+    assert_eq!(verdict(&with_single_endpoint(8)), Verdict::Sound);
+    assert_eq!(verdict(&with_single_endpoint(12)), Verdict::Bad);
 }
 
 // A service has more routes and endpoints than a datagram can tell of apart. None may be left out.
 #[test]
-fn answers_of_many_routes_are_counted_together() {
+fn excess_routes_and_endpoints_share_counts() {
     let mut cells = Cells::default();
     for route in 1..=20 {
         for endpoint in 1..=9 {
--- a/crates/oatdale-policy/tests/relay_warm_up.rs
+++ b/crates/oatdale-policy/tests/relay_warm_up.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 /// A node that runs for long.
-const UP: Duration = Duration::from_secs(60);
+const SETTLED: Duration = Duration::from_secs(60);
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -12,10 +12,11 @@
 
 // Guards against nodes that together send more than a cold endpoint bears.
 #[test]
-fn the_shares_of_all_nodes_add_up_to_what_the_endpoint_bears() {
+fn shares_of_all_nodes_sum_to_the_rate() {
     for nodes in [1, 2, 7, 9, 79, 295, 360] {
         for rate in [1, 4, 11, 40, 1_000] {
-            let shares = (0..nodes).map(|rank| warm_up_share(UP, f64::from(rate), nodes, rank));
+            let shares =
+                (0..nodes).map(|rank| warm_up_share(SETTLED, f64::from(rate), nodes, rank));
             assert_eq!(shares.sum::<u32>(), rate, "{nodes} nodes");
         }
     }
@@ -23,48 +24,48 @@
 
 // Guards against configured rates that end the process or that no node may use.
 #[test]
-fn any_rate_gives_a_share() {
-    assert_eq!(warm_up_share(UP, 0.4, 9, 0), 1);
-    assert_eq!(warm_up_share(UP, f64::NAN, 9, 0), 1);
-    assert_eq!(warm_up_share(UP, -3.0, 0, 0), 1);
-    assert_eq!(warm_up_share(UP, 1e300, 1, 0), u32::MAX);
+fn out_of_range_rates_give_a_share() {
+    assert_eq!(warm_up_share(SETTLED, 0.4, 9, 0), 1);
+    assert_eq!(warm_up_share(SETTLED, f64::NAN, 9, 0), 1);
+    assert_eq!(warm_up_share(SETTLED, -3.0, 0, 0), 1);
+    assert_eq!(warm_up_share(SETTLED, 1e300, 1, 0), u32::MAX);
 }
 
 // Guards against nodes that all start again, know nobody yet, and each send all that an endpoint bears.
 #[test]
-fn a_node_that_has_just_started_has_no_share() {
+fn node_has_no_share_right_after_its_start() {
     assert_eq!(warm_up_share(ms(1_000), 11.0, 1, 0), 0);
 }
 
 #[test]
-fn a_share_is_for_any_second() {
-    let mut sent = WarmUp::default();
-    assert_eq!(sent.next(0), None);
+fn share_applies_to_any_one_second_window() {
+    let mut warm_up = WarmUp::default();
+    assert_eq!(warm_up.next(0), None);
     for at in [0, 10] {
-        assert!(sent.next(2).is_some_and(|next| next <= ms(at)));
-        sent.note(ms(at));
+        assert!(warm_up.next(2).is_some_and(|next| next <= ms(at)));
+        warm_up.note(ms(at));
     }
-    let next = sent.next(2).unwrap();
+    let next = warm_up.next(2).unwrap();
     assert!(next > ms(1_000) && next < ms(1_200), "{next:?}");
-    sent.note(next);
-    assert!(sent.next(2).unwrap() > next);
+    warm_up.note(next);
+    assert!(warm_up.next(2).unwrap() > next);
     // A larger share counts what was sent before.
-    assert!(sent.next(3).unwrap() <= next);
+    assert!(warm_up.next(3).unwrap() <= next);
 }
 
 // Guards against a share that is saved up while nothing is sent, as by a node that was paused.
 #[test]
-fn a_share_is_not_saved_up() {
-    let mut sent = WarmUp::default();
-    sent.note(ms(0));
-    sent.note(ms(60_000));
-    assert!(sent.next(1).unwrap() > ms(61_000));
+fn unused_share_does_not_accumulate() {
+    let mut warm_up = WarmUp::default();
+    warm_up.note(ms(0));
+    warm_up.note(ms(60_000));
+    assert!(warm_up.next(1).unwrap() > ms(61_000));
 }
 
 // A failure domain returns cold: its endpoints are idle, the others have the work of all. The few nodes that may send to
 // one of them send it what they can, though it keeps nothing yet.
 #[test]
-fn a_node_uses_its_share_of_an_idle_cold_endpoint() {
+fn idle_cold_endpoint_is_preferred_within_the_share() {
     let warm = |in_flight, affinity| Candidate {
         in_flight,
         affinity,
--- a/crates/oatdale-policy/tests/spec/rollout.rs
+++ b/crates/oatdale-policy/tests/spec/rollout.rs
@@ -15,12 +15,12 @@
 const NODES: usize = 2;
 
 /// Changes of the text that the operator may make.
-const CHANGES: usize = 3;
+const MAX_CHANGES: usize = 3;
 
 /// Requests that the callers may make of a session.
-const REQUESTS: u8 = 2;
+const MAX_REQUESTS: u8 = 2;
 
-const MOST_STATES: usize = 2_000_000;
+const MAX_STATES: usize = 2_000_000;
 
 /// A version's state, small enough to explore.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
@@ -32,7 +32,7 @@
 }
 
 impl State {
-    fn of_text(self) -> VersionState {
+    fn to_config(self) -> VersionState {
         match self {
             State::Canary => VersionState::Canary { share: 0.5 },
             State::Serving => VersionState::Serving,
@@ -44,25 +44,25 @@
 
 /// What is wrong with the system on purpose.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Break {
+enum Fault {
     None,
     /// Pinned requests run whatever the version's state.
     PinnedIgnoresState,
     /// A request that waits keeps the decision made on its arrival.
-    WaitingIsNotCheckedAgain,
+    QueuedIsNotRechecked,
     /// A session whose version is gone goes on with another.
-    SessionMoves,
+    SessionMigrates,
     /// A node takes any revision it hears of, also a lower one.
-    RevisionMayFall,
+    RevisionRegresses,
 }
 
 /// One text: the states of all versions.
-type Text = [State; VERSIONS];
+type VersionStates = [State; VERSIONS];
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct World {
     /// Accepted texts by revision.
-    texts: Vec<Text>,
+    configs: Vec<VersionStates>,
     /// The revision in force at each node, and the highest it ever had.
     revisions: [usize; NODES],
     highest: [usize; NODES],
@@ -72,34 +72,34 @@
     /// A request that waits at a node, with the version chosen on its arrival.
     waiting: Option<(usize, usize)>,
     /// What went wrong with the last request that ran.
-    wrong: Option<Wrong>,
+    violation: Option<Violation>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
-enum Wrong {
-    Withdrawn,
+enum Violation {
+    Ran,
     Moved,
     Opened,
 }
 
 struct Rollout {
-    fault: Break,
+    fault: Fault,
 }
 
 impl Rollout {
     fn state(world: &World, node: usize, version: usize) -> State {
-        world.texts[world.revisions[node]][version]
+        world.configs[world.revisions[node]][version]
     }
 
     fn admits(world: &World, node: usize, version: usize, work: Work) -> bool {
-        admits(Self::state(world, node, version).of_text(), false, work)
+        admits(Self::state(world, node, version).to_config(), false, work)
     }
 
-    fn changes(world: &World) -> Vec<(String, World)> {
-        if world.texts.len() > CHANGES {
+    fn operator_steps(world: &World) -> Vec<(String, World)> {
+        if world.configs.len() > MAX_CHANGES {
             return Vec::new();
         }
-        let newest = world.texts[world.texts.len() - 1];
+        let newest = world.configs[world.configs.len() - 1];
         let states = [
             State::Canary,
             State::Serving,
@@ -110,33 +110,33 @@
         for version in 0..VERSIONS {
             for state in states.into_iter().filter(|&s| s != newest[version]) {
                 let mut next = world.clone();
-                let mut text = newest;
-                text[version] = state;
-                next.texts.push(text);
-                steps.push((format!("operator makes version {version} {state:?}"), next));
+                let mut config = newest;
+                config[version] = state;
+                next.configs.push(config);
+                steps.push((format!("version {version} becomes {state:?}"), next));
             }
         }
         steps
     }
 
-    fn spread(&self, world: &World) -> Vec<(String, World)> {
+    fn replication_steps(&self, world: &World) -> Vec<(String, World)> {
         let mut steps = Vec::new();
         for node in 0..NODES {
-            for revision in 0..world.texts.len() {
+            for revision in 0..world.configs.len() {
                 let rises = revision > world.revisions[node];
                 let falls = revision < world.revisions[node];
-                if rises || (falls && self.fault == Break::RevisionMayFall) {
+                if rises || (falls && self.fault == Fault::RevisionRegresses) {
                     let mut next = world.clone();
                     next.revisions[node] = revision;
                     next.highest[node] = next.highest[node].max(revision);
-                    steps.push((format!("node {node} takes revision {revision}"), next));
+                    steps.push((format!("node {node} applies revision {revision}"), next));
                 }
             }
         }
         steps
     }
 
-    fn opens(world: &World) -> Vec<(String, World)> {
+    fn open_steps(world: &World) -> Vec<(String, World)> {
         let mut steps = Vec::new();
         for node in (0..NODES).filter(|_| world.pinned.is_none()) {
             for version in 0..VERSIONS {
@@ -145,8 +145,8 @@
                 }
                 let mut next = world.clone();
                 next.pinned = Some(version);
-                next.wrong = match Self::state(world, node, version) {
-                    State::Draining | State::Withdrawn => Some(Wrong::Opened),
+                next.violation = match Self::state(world, node, version) {
+                    State::Draining | State::Withdrawn => Some(Violation::Opened),
                     State::Canary | State::Serving => None,
                 };
                 steps.push((format!("session opens at node {node} on {version}"), next));
@@ -156,16 +156,16 @@
     }
 
     /// The session's next request arrives at a node and waits there.
-    fn arrives(&self, world: &World) -> Vec<(String, World)> {
+    fn arrival_steps(&self, world: &World) -> Vec<(String, World)> {
         let Some(pinned) = world.pinned else {
             return Vec::new();
         };
-        if world.waiting.is_some() || world.requests == REQUESTS {
+        if world.waiting.is_some() || world.requests == MAX_REQUESTS {
             return Vec::new();
         }
         let mut steps = Vec::new();
         for node in 0..NODES {
-            let Some(version) = self.version_of(world, node, pinned) else {
+            let Some(version) = self.version_for(world, node, pinned) else {
                 continue;
             };
             let mut next = world.clone();
@@ -177,34 +177,34 @@
     }
 
     /// The version that a pinned request gets at a node, if any.
-    fn version_of(&self, world: &World, node: usize, pinned: usize) -> Option<usize> {
+    fn version_for(&self, world: &World, node: usize, pinned: usize) -> Option<usize> {
         let is_admitted = Self::admits(world, node, pinned, Work::Pinned);
         let other = (0..VERSIONS).find(|&v| Self::admits(world, node, v, Work::New));
         match self.fault {
             _ if is_admitted => Some(pinned),
-            Break::PinnedIgnoresState => Some(pinned),
-            Break::SessionMoves => other,
+            Fault::PinnedIgnoresState => Some(pinned),
+            Fault::SessionMigrates => other,
             _ => None,
         }
     }
 
     /// The waiting request runs or is refused.
-    fn runs(&self, world: &World) -> Vec<(String, World)> {
+    fn execution_steps(&self, world: &World) -> Vec<(String, World)> {
         let Some((node, version)) = world.waiting else {
             return Vec::new();
         };
         let mut next = world.clone();
         next.waiting = None;
-        let again = match self.fault {
-            Break::WaitingIsNotCheckedAgain => Some(version),
-            _ => self.version_of(world, node, version),
+        let rechecked = match self.fault {
+            Fault::QueuedIsNotRechecked => Some(version),
+            _ => self.version_for(world, node, version),
         };
-        let Some(version) = again else {
+        let Some(version) = rechecked else {
             return vec![(format!("node {node} refuses the request"), next)];
         };
-        next.wrong = match () {
-            () if Some(version) != world.pinned => Some(Wrong::Moved),
-            () if Self::state(world, node, version) == State::Withdrawn => Some(Wrong::Withdrawn),
+        next.violation = match () {
+            () if Some(version) != world.pinned => Some(Violation::Moved),
+            () if Self::state(world, node, version) == State::Withdrawn => Some(Violation::Ran),
             () => None,
         };
         vec![(format!("node {node} runs the request on {version}"), next)]
@@ -216,39 +216,39 @@
 
     fn initial(&self) -> Vec<World> {
         vec![World {
-            texts: vec![[State::Serving, State::Canary]],
+            configs: vec![[State::Serving, State::Canary]],
             revisions: [0; NODES],
             highest: [0; NODES],
             pinned: None,
             requests: 0,
             waiting: None,
-            wrong: None,
+            violation: None,
         }]
     }
 
     fn steps(&self, world: &World) -> Vec<(String, World)> {
-        let mut steps = Rollout::changes(world);
-        steps.extend(self.spread(world));
-        steps.extend(Rollout::opens(world));
-        steps.extend(self.arrives(world));
-        steps.extend(self.runs(world));
+        let mut steps = Rollout::operator_steps(world);
+        steps.extend(self.replication_steps(world));
+        steps.extend(Rollout::open_steps(world));
+        steps.extend(self.arrival_steps(world));
+        steps.extend(self.execution_steps(world));
         steps
     }
 
     fn invariant(&self, world: &World) -> Result<(), String> {
-        match world.wrong {
-            Some(Wrong::Withdrawn) => Err("a withdrawn version received work".to_owned()),
-            Some(Wrong::Moved) => Err("a session left its version".to_owned()),
-            Some(Wrong::Opened) => Err("a session opened on a closed version".to_owned()),
-            None if world.revisions != world.highest => Err("a revision fell".to_owned()),
+        match world.violation {
+            Some(Violation::Ran) => Err("a withdrawn version received work".to_owned()),
+            Some(Violation::Moved) => Err("a session changed version".to_owned()),
+            Some(Violation::Opened) => Err("a session opened on a closed version".to_owned()),
+            None if world.revisions != world.highest => Err("a revision decreased".to_owned()),
             None => Ok(()),
         }
     }
 }
 
 #[test]
-fn versions_and_sessions_keep_their_promises() {
-    let states = explore(&Rollout { fault: Break::None }, MOST_STATES)
+fn invariants_hold_without_faults() {
+    let states = explore(&Rollout { fault: Fault::None }, MAX_STATES)
         .unwrap_or_else(|found| panic!("{found}"));
     println!("roll-out: {states} states");
     assert!(states > 10_000, "{states}");
@@ -256,23 +256,23 @@
 
 /// The checker must notice each of these faults, by a short run that an engineer can follow.
 #[test]
-fn each_break_is_found_by_a_short_run() {
-    let breaks = [
+fn every_injected_fault_is_detected_within_six_steps() {
+    let faults = [
         (
-            Break::PinnedIgnoresState,
+            Fault::PinnedIgnoresState,
             "a withdrawn version received work",
         ),
         (
-            Break::WaitingIsNotCheckedAgain,
+            Fault::QueuedIsNotRechecked,
             "a withdrawn version received work",
         ),
-        (Break::SessionMoves, "a session left its version"),
-        (Break::RevisionMayFall, "a revision fell"),
+        (Fault::SessionMigrates, "a session changed version"),
+        (Fault::RevisionRegresses, "a revision decreased"),
     ];
-    for (fault, broken) in breaks {
-        let found = explore(&Rollout { fault }, MOST_STATES).expect_err("the break is found");
+    for (fault, expected) in faults {
+        let found = explore(&Rollout { fault }, MAX_STATES).expect_err("the fault is detected");
         println!("{fault:?}: {found}");
-        assert_eq!(found.broken, broken, "{fault:?}");
+        assert_eq!(found.broken, expected, "{fault:?}");
         assert!(found.steps.len() <= 6, "{fault:?}: {found}");
     }
 }
--- a/crates/oatdale-policy/tests/spec/stop.rs
+++ b/crates/oatdale-policy/tests/spec/stop.rs
@@ -9,12 +9,12 @@
 use oatdale_policy::{Work, admits, stop_holds};
 
 const NODES: usize = 3;
-const REVISIONS: u64 = 4;
-const MOST_STATES: usize = 2_000_000;
+const MAX_REVISION: u64 = 4;
+const MAX_STATES: usize = 2_000_000;
 
 /// What is wrong with the system on purpose.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Break {
+enum Fault {
     None,
     /// Any newer revision ends a stop, also one about something else.
     AnyRevisionEnds,
@@ -31,35 +31,35 @@
 struct World {
     /// The newest revision and the newest one that speaks of the version.
     newest: u64,
-    spoken: u64,
+    changed_at: u64,
     /// The revision at which the recorded stop was decided.
     record: Option<u64>,
     /// Whether a stop was recorded that no newer text has ended.
-    due: bool,
+    is_stop_active: bool,
     nodes: [Node; NODES],
-    wrong: Option<Wrong>,
+    violation: Option<Violation>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 struct Node {
     revision: u64,
-    spoken: u64,
+    changed_at: u64,
     /// The stop as the node has read it, and whether it has read the record since its start.
     stop: Option<u64>,
     has_read: bool,
     /// Whether the node has had the stop in force; from then on it must hold.
-    knew: bool,
+    has_applied_stop: bool,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
-enum Wrong {
+enum Violation {
     OpenedStopped,
     PinnedRefused,
     RecordLost,
 }
 
 struct Stop {
-    fault: Break,
+    fault: Fault,
 }
 
 impl Stop {
@@ -68,90 +68,94 @@
             return false;
         };
         let ended_by = match self.fault {
-            Break::AnyRevisionEnds => node.revision,
-            _ => node.spoken,
+            Fault::AnyRevisionEnds => node.revision,
+            _ => node.changed_at,
         };
         stop_holds(Revision(stopped_at), Revision(ended_by))
     }
 
-    fn operator(world: &World) -> Vec<(String, World)> {
-        if world.newest == REVISIONS {
+    fn operator_steps(world: &World) -> Vec<(String, World)> {
+        if world.newest == MAX_REVISION {
             return Vec::new();
         }
-        let mut other = world.clone();
-        other.newest += 1;
-        let mut spoken = other.clone();
-        spoken.spoken = spoken.newest;
-        spoken.due = false;
-        spoken.nodes.iter_mut().for_each(|node| node.knew = false);
+        let mut unrelated = world.clone();
+        unrelated.newest += 1;
+        let mut relevant = unrelated.clone();
+        relevant.changed_at = relevant.newest;
+        relevant.is_stop_active = false;
+        relevant
+            .nodes
+            .iter_mut()
+            .for_each(|node| node.has_applied_stop = false);
         vec![
-            ("a revision about something else".to_owned(), other),
-            ("a revision that speaks of the version".to_owned(), spoken),
+            ("revision does not change the version".to_owned(), unrelated),
+            ("revision changes the version".to_owned(), relevant),
         ]
     }
 
-    fn node_steps(&self, world: &World, at: usize) -> Vec<(String, World)> {
-        let node = world.nodes[at];
+    fn node_steps(&self, world: &World, index: usize) -> Vec<(String, World)> {
+        let node = world.nodes[index];
         let mut steps = Vec::new();
         let mut step = |name: &str, change: &dyn Fn(&mut World)| {
             let mut next = world.clone();
             change(&mut next);
             if next != *world {
-                steps.push((format!("node {at} {name}"), next));
+                steps.push((format!("node {index} {name}"), next));
             }
         };
-        step("takes the newest revision", &|w| {
-            w.nodes[at].revision = w.newest;
-            w.nodes[at].spoken = w.spoken;
+        step("applies the newest revision", &|w| {
+            w.nodes[index].revision = w.newest;
+            w.nodes[index].changed_at = w.changed_at;
         });
-        step("reads the record", &|w| {
-            let heard = w.record.max(w.nodes[at].stop);
-            w.nodes[at].stop = heard;
-            w.nodes[at].has_read = true;
-            w.nodes[at].knew |= w.due && heard >= Some(w.spoken);
+        step("reads the stop record", &|w| {
+            let known_stop = w.record.max(w.nodes[index].stop);
+            w.nodes[index].stop = known_stop;
+            w.nodes[index].has_read = true;
+            w.nodes[index].has_applied_stop |= w.is_stop_active && known_stop >= Some(w.changed_at);
         });
         step("restarts", &|w| {
-            w.nodes[at].stop = None;
-            w.nodes[at].has_read = false;
-            w.nodes[at].knew = w.due && w.record.is_some();
+            w.nodes[index].stop = None;
+            w.nodes[index].has_read = false;
+            w.nodes[index].has_applied_stop = w.is_stop_active && w.record.is_some();
         });
         if node.has_read && node.stop.is_none() {
             step("finds the version bad and records the stop", &|w| {
                 // A decision on an old text does not stop what a newer text put in its place.
                 w.record = w.record.max(Some(node.revision));
-                w.due |= node.revision >= w.spoken;
-                w.nodes[at].stop = Some(node.revision);
-                w.nodes[at].knew |= node.revision >= w.spoken;
+                w.is_stop_active |= node.revision >= w.changed_at;
+                w.nodes[index].stop = Some(node.revision);
+                w.nodes[index].has_applied_stop |= node.revision >= w.changed_at;
             });
         }
-        if self.fault == Break::StaleNodeClears && node.stop.is_none() {
-            step("clears the record", &|w| {
-                w.wrong = (w.due && w.record.is_some()).then_some(Wrong::RecordLost);
+        if self.fault == Fault::StaleNodeClears && node.stop.is_none() {
+            step("clears the stop record", &|w| {
+                w.violation =
+                    (w.is_stop_active && w.record.is_some()).then_some(Violation::RecordLost);
                 w.record = None;
             });
         }
         steps
     }
 
-    fn sessions(&self, world: &World, at: usize) -> Vec<(String, World)> {
-        let node = world.nodes[at];
-        let may_decide = node.has_read || self.fault == Break::RestartForgets;
+    fn session_steps(&self, world: &World, index: usize) -> Vec<(String, World)> {
+        let node = world.nodes[index];
+        let may_decide = node.has_read || self.fault == Fault::RestartForgets;
         let stopped = self.holds(&node);
-        let opens = may_decide && admits(VersionState::Serving, stopped, Work::New);
-        let goes_on = match self.fault {
-            Break::PinnedIsStopped => !stopped,
+        let admits_new = may_decide && admits(VersionState::Serving, stopped, Work::New);
+        let admits_pinned = match self.fault {
+            Fault::PinnedIsStopped => !stopped,
             _ => admits(VersionState::Serving, stopped, Work::Pinned),
         };
         let mut steps = Vec::new();
-        if opens && node.knew && world.due {
+        if admits_new && node.has_applied_stop && world.is_stop_active {
             let mut next = world.clone();
-            next.wrong = Some(Wrong::OpenedStopped);
-            steps.push((format!("node {at} opens a session"), next));
+            next.violation = Some(Violation::OpenedStopped);
+            steps.push((format!("node {index} opens a session"), next));
         }
-        if !goes_on {
+        if !admits_pinned {
             let mut next = world.clone();
-            next.wrong = Some(Wrong::PinnedRefused);
-            steps.push((format!("node {at} refuses a pinned session"), next));
+            next.violation = Some(Violation::PinnedRefused);
+            steps.push((format!("node {index} refuses a pinned session"), next));
         }
         steps
     }
@@ -163,64 +167,64 @@
     fn initial(&self) -> Vec<World> {
         let node = Node {
             revision: 1,
-            spoken: 1,
+            changed_at: 1,
             stop: None,
             has_read: true,
-            knew: false,
+            has_applied_stop: false,
         };
         vec![World {
             newest: 1,
-            spoken: 1,
+            changed_at: 1,
             record: None,
-            due: false,
+            is_stop_active: false,
             nodes: [node; NODES],
-            wrong: None,
+            violation: None,
         }]
     }
 
     fn steps(&self, world: &World) -> Vec<(String, World)> {
-        let mut steps = Stop::operator(world);
-        for at in 0..NODES {
-            steps.extend(self.node_steps(world, at));
-            steps.extend(self.sessions(world, at));
+        let mut steps = Stop::operator_steps(world);
+        for index in 0..NODES {
+            steps.extend(self.node_steps(world, index));
+            steps.extend(self.session_steps(world, index));
         }
         steps
     }
 
     fn invariant(&self, world: &World) -> Result<(), String> {
-        match world.wrong {
-            Some(Wrong::OpenedStopped) => Err("a stopped version got a new session".to_owned()),
-            Some(Wrong::PinnedRefused) => Err("a stop cut off a pinned session".to_owned()),
-            Some(Wrong::RecordLost) => Err("a stop ended without a newer text".to_owned()),
+        match world.violation {
+            Some(Violation::OpenedStopped) => Err("a stopped version got a new session".to_owned()),
+            Some(Violation::PinnedRefused) => Err("a stop refused a pinned session".to_owned()),
+            Some(Violation::RecordLost) => Err("a stop ended without a revision".to_owned()),
             None => Ok(()),
         }
     }
 }
 
 #[test]
-fn a_stop_holds_until_a_newer_text_speaks_of_the_version() {
-    let states = explore(&Stop { fault: Break::None }, MOST_STATES)
-        .unwrap_or_else(|found| panic!("{found}"));
+fn stop_holds_until_a_newer_revision_changes_the_version() {
+    let states =
+        explore(&Stop { fault: Fault::None }, MAX_STATES).unwrap_or_else(|found| panic!("{found}"));
     println!("stop: {states} states");
     assert!(states > 1_000, "{states}");
 }
 
 /// The checker must notice each of these faults, by a short run that an engineer can follow.
 #[test]
-fn each_break_is_found_by_a_short_run() {
-    let breaks = [
+fn every_injected_fault_is_detected_within_six_steps() {
+    let faults = [
         (
-            Break::AnyRevisionEnds,
+            Fault::AnyRevisionEnds,
             "a stopped version got a new session",
         ),
-        (Break::RestartForgets, "a stopped version got a new session"),
-        (Break::PinnedIsStopped, "a stop cut off a pinned session"),
-        (Break::StaleNodeClears, "a stop ended without a newer text"),
+        (Fault::RestartForgets, "a stopped version got a new session"),
+        (Fault::PinnedIsStopped, "a stop refused a pinned session"),
+        (Fault::StaleNodeClears, "a stop ended without a revision"),
     ];
-    for (fault, broken) in breaks {
-        let found = explore(&Stop { fault }, MOST_STATES).expect_err("the break is found");
+    for (fault, expected) in faults {
+        let found = explore(&Stop { fault }, MAX_STATES).expect_err("the fault is detected");
         println!("{fault:?}: {found}");
-        assert_eq!(found.broken, broken, "{fault:?}");
+        assert_eq!(found.broken, expected, "{fault:?}");
         assert!(found.steps.len() <= 6, "{fault:?}: {found}");
     }
 }
