--- a/crates/oatdale-policy/src/relay.rs
+++ b/crates/oatdale-policy/src/relay.rs
@@ -1,7 +1,7 @@
-//! Decisions about requests that pass through without being read.
+//! Decisions about requests that are proxied without interpreting their content.
 //!
-//! Each is a plain function or a small state machine over what the caller of it has seen: where a
-//! request is placed, whether it may be sent again, whether an answer of a small model is good
+//! Each decision is a plain function or a small state machine over the caller's observations: where
+//! a request is placed, whether it may be sent again, whether the answer of a small model is good
 //! enough, and how far a new software version of an endpoint pool may be exposed.
 //!
 //! # Examples
@@ -11,7 +11,7 @@
 //!
 //! let idle = Candidate { in_flight: 0.0, affinity: 1, ..Candidate::default() };
 //! let busy = Candidate { in_flight: 9.0, affinity: 7, ..Candidate::default() };
-//! // The busy one keeps the prompt's prefix, and is too far above the mean to be taken for it.
+//! // The busy endpoint caches the prompt's prefix, but its load is too far above the mean.
 //! assert_eq!(choose(&[idle, busy], Placement::Affinity, 0), Some(0));
 //! ```
 
--- a/crates/oatdale-policy/src/relay/addresses.rs
+++ b/crates/oatdale-policy/src/relay/addresses.rs
@@ -1,20 +1,21 @@
-//! Which nodes a caller is told of.
+//! Selection of the node addresses that are advertised to a caller.
 //!
-//! The load pattern: hundreds of nodes, of which an answer holds a few dozen. Were these the same for all callers,
-//! they would carry the load of all, and send it to the endpoints of their own failure domain.
+//! A site may have hundreds of nodes, of which a response lists a few dozen. If all callers got the
+//! same list, the listed nodes would carry the load of all callers and send it to the endpoints of
+//! their own failure domain.
 
-/// A node that callers may use.
+/// A node that can be advertised to callers.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct AddressCandidate {
-    /// Whether it is in the caller's failure domain.
+    /// Whether the node is in the caller's failure domain.
     pub same_domain: bool,
-    /// A hash of the caller's failure domain and the node's name, the same on every node: callers leave open
-    /// connections when another node tells them of others.
+    /// Hash of the caller's failure domain and the node's name, the same on every node: callers
+    /// close open connections when another node advertises other addresses.
     pub hash: u64,
 }
 
-/// The nodes that a caller is told of, as positions, at the most so many: those of its own failure domain first,
-/// and then others, for each domain's callers different ones.
+/// Returns the positions of at most `limit` nodes to advertise: those of the caller's failure
+/// domain first, then others, in an order that differs between the callers' domains.
 pub fn advertised_addresses(nodes: &[AddressCandidate], limit: usize) -> Vec<usize> {
     let mut ranked: Vec<usize> = (0..nodes.len()).collect();
     ranked.sort_by_key(|&i| (!nodes[i].same_domain, nodes[i].hash));
--- a/crates/oatdale-policy/src/relay/engine.rs
+++ b/crates/oatdale-policy/src/relay/engine.rs
@@ -1,23 +1,23 @@
-//! What an engine says of its work, and what follows for a request that waits there.
+//! State that an inference engine reports, and whether a request was lost there.
 
-/// What an engine said of its work, some hundred milliseconds late.
+/// Work in progress as an engine reported it, some hundred milliseconds late.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct EngineReport {
-    /// Requests that wait for their turn.
+    /// Queued requests.
     pub waiting: usize,
-    /// Requests that have their turn: their prompts are read, or they generate.
+    /// Requests that are executed: in prefill (reading the prompt) or generating.
     pub active: usize,
-    /// Ids of those that generate.
+    /// Ids of the requests that generate.
     pub generating: Vec<String>,
 }
 
 impl EngineReport {
-    /// Whether a request that was sent long before the report, and has no answer, is lost there: none
-    /// waits, no prompt is being read, and it does not generate.
+    /// Whether a request that was sent well before the report, and has no response, is lost: no
+    /// request is queued, no prompt is being read, and the request is not generating.
     ///
-    /// An engine may take a request and never answer it, while it answers others and questions about
-    /// itself. A busy one answers late; another one would let the request wait from the beginning. Only
-    /// the engine can tell these apart before the caller has left.
+    /// An engine may accept a request and never answer it while it answers other requests and
+    /// probes. A busy engine answers late, and another engine would queue the request again from
+    /// the start. Only the engine can tell these cases apart before the caller gives up.
     pub fn has_lost(&self, id: &str) -> bool {
         let is_prefill_idle = self.active <= self.generating.len();
         self.waiting == 0 && is_prefill_idle && !self.generating.iter().any(|g| g == id)
--- a/crates/oatdale-policy/src/relay/evidence.rs
+++ b/crates/oatdale-policy/src/relay/evidence.rs
@@ -1,48 +1,48 @@
-//! What was seen of a new software version, and whether it speaks against it.
+//! Response counts for a new software version, and whether they show that the version is bad.
 //!
-//! Answers are counted by route and endpoint. A version may be bad on one route only, which a sum
-//! over all routes hides; and one endpoint may be slow or failing by itself, which is no fault of the
-//! version that it happens to run.
+//! Responses are counted by route and endpoint. A version may be bad on one route only, which a sum
+//! over all routes hides; and a single endpoint may be slow or failing by itself, which is no fault
+//! of the version that it runs.
 
 use crate::trial::log_evidence;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The logarithm of the evidence that a bad version has to leave: one false end in 100 roll-outs of
-/// good ones. Undoing a good version costs another order; completing a bad one costs every caller
-/// of the service, and the old endpoints are gone then.
+/// Natural logarithm of the evidence above which a version is bad: one false rollback in 100
+/// rollouts of good versions. Rolling back a good version costs another order; completing a bad one
+/// affects every caller of the service, and the old endpoints are gone by then.
 const LOG_EVIDENCE_BOUND: f64 = 4.6;
 
-/// The logarithm of the evidence that has to be left without the endpoint that speaks most against
-/// the version: it is four times as likely there too that it is bad.
+/// Natural logarithm of the evidence that must remain without the endpoint that contributes most to
+/// it: a bad version is then four times as likely at the other endpoints too.
 const LEAVE_ONE_OUT_LOG_BOUND: f64 = 1.4;
 
-/// Bad answers of a single endpoint that count in full if no other one has answered: a pool may have
-/// only one endpoint of the version.
+/// Bad responses that suffice if only one endpoint of the version has responded: a pool may have no
+/// other endpoint of the version.
 const MIN_BAD_SINGLE_ENDPOINT: u64 = 12;
 
-/// The share of bad answers by which a version may exceed the old one and still be good: old and
-/// new endpoints never have quite the same load.
+/// Difference by which a good version's share of bad responses may exceed that of the old version:
+/// old and new endpoints never have quite the same load.
 const SHARE_TOLERANCE: f64 = 0.02;
 
-/// Routes and endpoints that one node counts apart; further ones are counted together. What a
-/// node tells others of them has to fit into a datagram.
+/// Routes and endpoints that a node counts separately; further ones are counted together. The
+/// counts that a node sends to other nodes must fit into a datagram.
 const MAX_ROUTES: usize = 6;
 const MAX_ENDPOINTS: usize = 4;
 
-/// Counts of answers.
+/// Response counts.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct Counts {
-    /// Answers of any kind.
+    /// Responses of any kind.
     pub answers: u64,
-    /// Answers that are failures.
+    /// Failed responses.
     pub failed: u64,
-    /// Answers whose time was measured.
+    /// Responses whose time was measured.
     pub timed: u64,
-    /// Those of them that took several times as long as usual.
+    /// Timed responses that took several times as long as usual.
     pub slow: u64,
 }
 
-/// Where answers came from. 0 stands for several routes or endpoints together.
+/// Where responses came from; 0 stands for several routes or endpoints together.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default)]
 pub struct Origin {
     /// Hash of the route, the same on every node.
@@ -51,13 +51,13 @@
     pub endpoint: u32,
 }
 
-/// Counts by origin.
+/// Response counts by origin.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct Cells {
     by_origin: BTreeMap<Origin, Counts>,
 }
 
-/// What is known of both versions since the order.
+/// Response counts of both versions since the rollout order.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct Tally {
     /// The new version.
@@ -66,24 +66,24 @@
     pub old: Cells,
 }
 
-/// What the counts say.
+/// Result of comparing the new version with the old one.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Verdict {
-    /// Nothing speaks against it. A service with few requests may never see more of it than a few
-    /// answers, and moves on all the same.
+    /// No significant evidence against the version. A service with few requests may see only a few
+    /// responses of it, and the rollout proceeds all the same.
     Sound,
-    /// It has to go.
+    /// The version must be rolled back.
     Bad,
 }
 
-/// Bad cases and all cases.
+/// Number of bad cases among all cases.
 #[derive(Clone, Copy, Default)]
 struct Cases {
     bad: u64,
     samples: u64,
 }
 
-/// What can be bad about answers.
+/// Ways in which a response can be bad.
 #[derive(Clone, Copy)]
 enum Fault {
     Failed,
@@ -91,7 +91,7 @@
 }
 
 impl Counts {
-    /// Adds other counts.
+    /// Returns the sum of both counts.
     pub fn plus(self, other: Counts) -> Counts {
         Counts {
             answers: self.answers + other.answers,
@@ -103,8 +103,8 @@
 }
 
 impl Cells {
-    /// The counts of an origin, to add to them. With many routes or endpoints it is one that stands
-    /// for several.
+    /// Returns the counts of an origin for update. Beyond the limits on routes and endpoints, these
+    /// are counts that several origins share.
     pub fn at(&mut self, origin: Origin) -> &mut Counts {
         let bounded_key = |key: u32, key_of: fn(&Origin) -> u32, max_keys: usize| {
             let known_keys: BTreeSet<u32> = self
@@ -123,7 +123,7 @@
         self.by_origin.entry(origin).or_default()
     }
 
-    /// Adds what another node counted.
+    /// Adds the counts of another node.
     pub fn add(&mut self, other: &Cells) {
         for (origin, counts) in other.iter() {
             let sum = self.by_origin.entry(origin).or_default();
@@ -131,17 +131,18 @@
         }
     }
 
-    /// All counts.
+    /// Iterates over all origins and their counts.
     pub fn iter(&self) -> impl Iterator<Item = (Origin, Counts)> + '_ {
         self.by_origin.iter().map(|(o, c)| (*o, *c))
     }
 
-    /// The sum of all counts.
+    /// Returns the sum over all origins.
     pub fn total(&self) -> Counts {
         let counts = self.by_origin.values();
         counts.fold(Counts::default(), |sum, c| sum.plus(*c))
     }
 
+    /// Counts one kind of fault over the origins that `is_included` accepts.
     fn cases(&self, fault: Fault, is_included: impl Fn(&Origin) -> bool) -> Cases {
         let included = self.by_origin.iter().filter(|(o, _)| is_included(o));
         included.fold(Cases::default(), |sum, (_, counts)| {
@@ -169,17 +170,18 @@
 }
 
 impl Tally {
-    /// Adds what another node counted.
+    /// Adds the counts of another node.
     pub fn add(&mut self, other: &Tally) {
         self.new.add(&other.new);
         self.old.add(&other.old);
     }
 }
 
-/// Judges the new version by the answers so far.
+/// Judges the new version by the responses so far.
 ///
-/// Failures and slow answers are each compared with those of the old version, so that neither hides
-/// the other, and trouble that hits all endpoints alike is not blamed on the new version.
+/// Failures and slow responses are each compared with those of the old version, so that neither
+/// hides the other, and a fault that affects all endpoints alike is not attributed to the new
+/// version.
 pub fn verdict(tally: &Tally) -> Verdict {
     match is_worse(tally, Fault::Failed) || is_worse(tally, Fault::Slow) {
         true => Verdict::Bad,
@@ -187,6 +189,7 @@
     }
 }
 
+/// Whether the new version has significantly more responses with this fault than the old one.
 fn is_worse(tally: &Tally, fault: Fault) -> bool {
     if log_mean(&log_evidence_terms(tally, fault, |_| true)) <= LOG_EVIDENCE_BOUND {
         return false;
@@ -195,16 +198,16 @@
     if endpoints.len() == 1 {
         return tally.new.cases(fault, |_| true).bad >= MIN_BAD_SINGLE_ENDPOINT;
     }
-    // An endpoint that is failing or slow by itself looks like a bad version while it has a part of
-    // the trial; a bad version is bad at the others too.
+    // An endpoint that fails or is slow by itself looks like a bad version while it serves a part
+    // of the trial; a bad version is bad at the other endpoints too.
     endpoints.iter().all(|&endpoint| {
         let others = log_evidence_terms(tally, fault, |o| o.endpoint != endpoint);
         others.into_iter().fold(f64::MIN, f64::max) > LEAVE_ONE_OUT_LOG_BOUND
     })
 }
 
-/// The logarithms of the evidence that the version is bad on all routes, and on each of them; the
-/// first has the weight of all others together.
+/// Returns the logarithms of the evidence that the version is bad: first on all routes, then on
+/// each of them. The first term has the weight of all others together.
 fn log_evidence_terms(tally: &Tally, fault: Fault, includes: impl Fn(&Origin) -> bool) -> Vec<f64> {
     let log_evidence_on = |route: Option<u32>| {
         let is_on_route = |o: &Origin| route.is_none_or(|r| o.route == r);
@@ -219,8 +222,9 @@
         .collect()
 }
 
-/// The logarithm of the mean of evidence for exclusive faults: like each part of it, a good version
-/// raises it above a bound of `1 / p` with probability at most `p`.
+/// Returns the logarithm of the weighted mean of the evidence for mutually exclusive faults. As
+/// with each term, a good version raises the mean above a bound of `1 / p` with probability at most
+/// `p`.
 fn log_mean(evidence: &[f64]) -> f64 {
     let (overall, by_route) = (evidence[0], &evidence[1..]);
     let largest = evidence.iter().copied().fold(f64::MIN, f64::max);
@@ -229,7 +233,8 @@
     largest + (0.5 * (overall - largest).exp() + 0.5 * mean).ln()
 }
 
-/// The share of bad answers that says nothing against a version, from those of the old one.
+/// Returns the share of bad responses up to which they are no evidence against a version, derived
+/// from the old version's responses.
 fn baseline_share(old: Cases) -> f64 {
     let samples = old.samples as f64 + 4.0;
     let share = (old.bad as f64 + 0.2) / samples;
--- a/crates/oatdale-policy/src/relay/fingerprint.rs
+++ b/crates/oatdale-policy/src/relay/fingerprint.rs
@@ -1,8 +1,9 @@
-//! Identifies copies of one request.
+//! Identification of copies of a request.
 
 use std::fmt;
 
-/// The same for all copies of a request, whichever node they reach and whatever id each has.
+/// Fingerprint of a request: the same for all copies, whichever node receives them and whatever id
+/// each has.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct Fingerprint(pub u128);
 
--- a/crates/oatdale-policy/src/relay/health.rs
+++ b/crates/oatdale-policy/src/relay/health.rs
@@ -1,33 +1,34 @@
-//! What answers tell of one endpoint's health.
+//! Health of an endpoint, derived from its responses.
 
 use std::time::Duration;
 
-/// Samples that the share of failures remembers: enough to tell one failure in three from chance,
-/// few enough to notice a recovery within some ten answers.
+/// Samples that the failure share averages: enough to tell a failure rate of one in three from
+/// chance, few enough to notice a recovery within about ten responses.
 const AVERAGED_SAMPLES: f64 = 8.0;
 
-/// An endpoint that failed this share of its last answers is tried rarely; a service whose calls fail one
-/// time in seven by themselves stays below it.
+/// Failure share above which an endpoint counts as failing and gets few requests; a service whose
+/// calls fail one time in seven by themselves stays below it.
 const FAILING_SHARE: f64 = 0.3;
 
-/// How long an endpoint is left out after a failure that says that it may be unreachable; doubled
-/// by each further one.
+/// Ejection time after a failure that suggests that the endpoint is unreachable; doubled by each
+/// further one.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(400);
 
-/// The longest ejection: a crashed endpoint is back within seconds.
+/// Longest ejection time: a crashed endpoint is back within seconds.
 const MAX_BACKOFF: Duration = Duration::from_secs(3);
 
-/// An endpoint's recent failures.
+/// Recent failures of an endpoint.
 ///
-/// An endpoint may pass its health check and still fail requests, or stop without closing its
-/// connections. Shared by all requests, so that one failure is enough to eject the endpoint.
+/// An endpoint may pass its health check and still fail requests, or hang without closing its
+/// connections. The state is shared by all requests, so that a single failure suffices to eject the
+/// endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct Health {
-    /// Moving share of failed answers, from 0 to 1.
+    /// Moving average of failed responses, from 0 to 1.
     failure_share: f64,
-    /// Failures to reach it in a row.
+    /// Consecutive failures to reach the endpoint.
     consecutive_unreachable: u32,
-    /// Left out until then, as time since the process began.
+    /// End of the ejection, as time since the start of the process.
     ejected_until: Duration,
 }
 
@@ -42,14 +43,14 @@
 }
 
 impl Health {
-    /// Notes an answer that came, good or failed.
+    /// Records a response, successful or failed.
     pub fn answered(&mut self, good: bool) {
         let sample = if good { 0.0 } else { 1.0 };
         self.failure_share += (sample - self.failure_share) / AVERAGED_SAMPLES;
         self.consecutive_unreachable = 0;
     }
 
-    /// Notes that no answer came: no connection, a broken one, or silence.
+    /// Records that no response came: the connection failed, broke or stayed silent.
     pub fn silent(&mut self, now: Duration) {
         self.failure_share += (1.0 - self.failure_share) / AVERAGED_SAMPLES;
         let backoff = INITIAL_BACKOFF * 2_u32.saturating_pow(self.consecutive_unreachable.min(4));
@@ -57,24 +58,24 @@
         self.ejected_until = now + backoff.min(MAX_BACKOFF);
     }
 
-    /// Whether it should get no request now while others can take it.
+    /// Whether the endpoint should get no request now while others can take it.
     pub fn is_ejected(&self, now: Duration) -> bool {
         now < self.ejected_until
     }
 
-    /// Notes that an answer is late, which may never come: for requests that are sent once only, the
-    /// timeout would tell so a second later.
+    /// Records that a response is late and may never come. For requests that may be sent only once,
+    /// the timeout would tell so a second later.
     pub fn late(&mut self) {
         self.failure_share += (1.0 - self.failure_share) / AVERAGED_SAMPLES;
     }
 
-    /// Whether it fails much of what it gets.
+    /// Whether the endpoint fails a large share of its requests.
     pub fn is_failing(&self) -> bool {
         self.failure_share > FAILING_SHARE
     }
 
-    /// How many times its load counts when endpoints are compared: a failing one is used less, and
-    /// still often enough to notice that it recovered.
+    /// Returns the factor on the endpoint's load when endpoints are compared: a failing endpoint is
+    /// used less, but often enough to notice its recovery.
     pub fn load_factor(&self) -> f64 {
         match self.is_failing() {
             true => 1.0 + 10.0 * self.failure_share,
--- a/crates/oatdale-policy/src/relay/ladder.rs
+++ b/crates/oatdale-policy/src/relay/ladder.rs
@@ -1,58 +1,60 @@
-//! Which of a ladder of model sizes answers a request.
+//! Escalation of requests along a ladder of model sizes.
 
-/// What to do with an answer whose head has come.
+/// What to do with an answer once its response head has arrived.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Step {
-    /// Hand it to the caller.
+    /// Passes it to the caller.
     Keep,
-    /// Drop it and ask the model at this place of the ladder.
+    /// Drops it and sends the request to the model at this position of the ladder.
     Up(usize),
 }
 
-/// The rule for one ladder: the smallest model answers first, and an answer of which the model
-/// itself is not sure enough is made again by the largest.
+/// Escalation rule of one ladder: the smallest model answers first, and an answer in which the
+/// model's own confidence is too low is generated again by the largest.
 ///
-/// Models in between are left out: each step reads the whole prompt again, and a second step would
+/// Intermediate models are skipped: each step reads the whole prompt again, and a second step would
 /// do so twice.
 ///
-/// Large models take ten times the time of small ones. When many requests come at once, making
-/// answers again makes all of them late; so the longer the largest model lets requests wait, the
-/// less sure an answer has to be.
+/// Large models take ten times as long as small ones. During a burst of requests, escalations make
+/// all answers late; so the longer requests wait at the largest model, the lower the confidence
+/// that suffices.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Ladder {
-    /// Confidence from 0 to 100 below which an answer is made again while there is room.
+    /// Confidence from 0 to 100 below which an answer is escalated while the largest model is not
+    /// overloaded.
     pub threshold: u8,
-    /// How long the largest model lets requests wait lately, as a part of what callers accept.
+    /// Recent wait of requests at the largest model, as a fraction of what callers accept.
     pub wait: f64,
-    /// Size of the generation as a multiple of the usual one.
+    /// Size of the generation as a multiple of the usual size.
     pub size: f64,
 }
 
-/// Up to this wait the threshold stays as it is.
+/// Wait up to which the full threshold applies.
 const FULL_THRESHOLD_WAIT: f64 = 0.3;
 
-/// From this wait on only the least part of the threshold is left.
+/// Wait from which on only the minimum share of the threshold applies.
 const MIN_THRESHOLD_WAIT: f64 = 0.8;
 
-/// The part of the threshold that is always left: answers of which the model is not sure at all
-/// are worth nothing, also when they are in time.
+/// Share of the threshold that always applies: answers without any confidence are worthless, even
+/// in time.
 const MIN_THRESHOLD_SHARE: f64 = 0.25;
 
-/// The part of an answer's value that does not depend on its size, as the users count it.
+/// Share of an answer's value, as users measure it, that does not depend on its size.
 const BASE_VALUE_SHARE: f64 = 0.3;
 
-/// Sizes, as multiples of the usual one, below and above which the value changes no more.
+/// Relative sizes below and above which the value no longer changes.
 const MIN_SIZE: f64 = 0.05;
 const MAX_VALUE_SIZE: f64 = 4.0;
 
-/// Bounds of what the size does to the threshold: a rough guess of a model stays one.
+/// Bounds of the size's effect on the threshold: an answer that is a rough guess stays one,
+/// whatever its size.
 const MIN_SIZE_FACTOR: f64 = 0.4;
 const MAX_SIZE_FACTOR: f64 = 1.25;
 
 impl Ladder {
-    /// Decides about an answer of the model at `at` in a ladder of `sizes` models.
+    /// Decides about an answer of the model at position `pos` in a ladder of `sizes` models.
     ///
-    /// `room` says whether a further run is allowed and would be in time.
+    /// `may_run` says whether a further run is allowed and would finish in time.
     pub fn step(&self, pos: usize, sizes: usize, confidence: Option<u8>, may_run: bool) -> Step {
         let top = sizes.saturating_sub(1);
         match confidence {
@@ -61,6 +63,7 @@
         }
     }
 
+    /// Returns the confidence below which an answer is escalated.
     fn bound(&self) -> f64 {
         let overload =
             (self.wait - FULL_THRESHOLD_WAIT) / (MIN_THRESHOLD_WAIT - FULL_THRESHOLD_WAIT);
@@ -68,11 +71,12 @@
         f64::from(self.threshold) * wait_factor * self.size_factor()
     }
 
-    /// How much more, or less, sure an answer of this size has to be.
+    /// Returns the factor by which the generation's size changes the threshold.
     ///
-    /// What making it again costs grows with its size; what callers gain by it has a part that every
-    /// answer has, grows less, and does not grow beyond a few times the usual size. Among 120 days with
-    /// and without this, callers got 0.0025 more of what they could get, for the same cost.
+    /// The cost of a second run grows with the size. Its benefit to callers has a part that every
+    /// answer has, grows more slowly, and does not grow beyond a few times the usual size. Over 120
+    /// days with and without this factor, callers got 0.0025 more of the achievable value at the
+    /// same cost.
     fn size_factor(&self) -> f64 {
         let size = self.size.max(MIN_SIZE);
         let value = BASE_VALUE_SHARE + (1.0 - BASE_VALUE_SHARE) * size.min(MAX_VALUE_SIZE);
--- a/crates/oatdale-policy/src/relay/pace.rs
+++ b/crates/oatdale-policy/src/relay/pace.rs
@@ -1,41 +1,45 @@
-//! How fast a stream's events come, and what is usual.
+//! Pace of a stream's events, and the usual pace that it is compared with.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Pauses between events that a stream's pace is taken from: two, so that a slow version is found
+/// Pauses between events that determine a stream's pace: two, so that a slow version is found
 /// before its first streams end.
 const PACE_PAUSES: u32 = 2;
 
-/// Times that the usual one is taken from: enough that a few slow ones do not move it, few enough to
-/// follow a change of load within seconds.
+/// Samples of the median: enough that a few slow ones do not move it, few enough to follow a change
+/// of load within seconds.
 const MEDIAN_SAMPLES: usize = 31;
 
-/// How many times longer than usual something has to take to count as slow. Versions that were several
-/// times slower were above it in 9 of 10 streams and more, good ones in 1 of 20 on calm days and 1 of 5
-/// beside slow endpoints.
+/// Multiple of the usual time above which something counts as slow. Versions that are several times
+/// slower exceed it in at least 9 of 10 streams; good ones in 1 of 20 under normal load and in 1 of
+/// 5 beside slow endpoints.
 const SLOW_FACTOR: f64 = 2.0;
 
-/// Time that never counts as slow: a few milliseconds more are the network's and the scheduler's.
+/// Time beyond that multiple that never counts as slow: a few milliseconds more are due to the
+/// network and the scheduler.
 const SLOW_MARGIN: Duration = Duration::from_millis(8);
 
-/// Times without which nothing is slow: there is no usual one yet.
+/// Samples without which nothing counts as slow: there is no usual time yet.
 const MIN_SAMPLES: usize = 4;
 
-/// The pace of one stream: the shortest of its first pauses.
+/// Pace of one stream: the shortest of its first pauses.
 ///
-/// An engine that reads somebody's long prompt lets all its streams wait once, so a good version has
-/// long pauses too. A slow version is slow from each event to the next.
+/// An engine that reads another request's long prompt pauses all its streams once, so a good
+/// version has long pauses too. A slow version is slow between any two events.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct StreamPace {
+    /// When the last event came.
     last_event: Option<Duration>,
+    /// Shortest pause so far.
     shortest: Option<Duration>,
     pauses: u32,
+    /// Whether the pace was reported or found slow.
     is_decided: bool,
 }
 
 impl StreamPace {
-    /// Notes an event that came at `now`; returns the pace once, when it is known.
+    /// Records an event that came at `now`; returns the pace once, when it is known.
     pub fn event(&mut self, now: Duration) -> Option<Duration> {
         let previous = self.last_event.replace(now)?;
         if self.is_decided {
@@ -49,8 +53,8 @@
         self.is_decided.then_some(shortest)
     }
 
-    /// When the pace becomes slower than `bound` if no event comes: waiting for an event of a slow
-    /// version would hide for seconds that it is slow.
+    /// Returns when the pace becomes slower than `bound` if no event comes: waiting for the next
+    /// event of a slow version would hide for seconds that it is slow.
     pub fn slow_at(&self, bound: Duration) -> Option<Duration> {
         let previous_are_slow = self.shortest.is_some_and(|s| s > bound);
         let is_last = self.pauses + 1 == PACE_PAUSES;
@@ -60,13 +64,13 @@
             .map(|previous| previous + bound)
     }
 
-    /// Notes that it was found slow before its last pause ended.
+    /// Records that the stream was found slow before its last pause ended.
     pub fn found_slow(&mut self) {
         self.is_decided = true;
     }
 }
 
-/// How long things of one kind took lately.
+/// Recent times of one kind of operation.
 #[derive(Clone, Debug, Default)]
 pub struct UsualTime {
     recent: VecDeque<Duration>,
@@ -74,7 +78,7 @@
 }
 
 impl UsualTime {
-    /// Notes a time.
+    /// Records the time of an operation.
     pub fn learn(&mut self, took: Duration) {
         if self.recent.len() == MEDIAN_SAMPLES {
             self.recent.pop_front();
@@ -85,10 +89,10 @@
         self.median = *sorted.select_nth_unstable(middle).1;
     }
 
-    /// The time from which on something counts as slow, if there is a usual one.
+    /// Returns the time above which an operation counts as slow, if a usual time is known.
     ///
-    /// It is taken from the median: the mean follows the few that wait behind long prompts, and a
-    /// slow version is not far above it.
+    /// It is derived from the median: the mean follows the few operations that wait behind long
+    /// prompts, and a slow version is not far above it.
     pub fn slow_after(&self) -> Option<Duration> {
         let has_baseline = self.recent.len() >= MIN_SAMPLES;
         has_baseline.then(|| self.median.mul_f64(SLOW_FACTOR) + SLOW_MARGIN)
--- a/crates/oatdale-policy/src/relay/placement.rs
+++ b/crates/oatdale-policy/src/relay/placement.rs
@@ -1,41 +1,41 @@
-//! Which endpoint gets a request.
+//! Selection of the endpoint for a request.
 
-/// How far above the mean load an endpoint may be and still get a request for the prefix it keeps.
-/// Above it the wait costs more than reading the prefix again.
+/// Multiple of the mean load up to which an endpoint still gets requests for the prompt prefix that
+/// it caches. Above it the wait costs more than reading the prefix again.
 const AFFINITY_LOAD_FACTOR: f64 = 1.1;
 
-/// Load, in requests, that is no reason to leave the endpoint that keeps the prefix: with few
-/// requests under way the mean says little.
+/// Load, in requests, that is allowed beyond that multiple: with few requests in flight the mean
+/// says little.
 const AFFINITY_SLACK_REQUESTS: f64 = 2.0;
 
-/// Load, in requests, that an endpoint of another failure domain must be below one of the node's
-/// own to be preferred: it costs bytes between domains and a longer way.
+/// Load, in requests, by which an endpoint of another failure domain must be below one of the
+/// node's own to be preferred: it costs traffic between domains and a longer path.
 const CROSS_DOMAIN_PENALTY_REQUESTS: f64 = 1.5;
 
-/// An endpoint that may take a request.
+/// An endpoint that may get a request.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
 pub struct Candidate {
-    /// Requests under way there, as far as they are known, weighted by their size and the endpoint's
-    /// health.
+    /// Known requests in flight at the endpoint, weighted by their size and the endpoint's health.
     pub in_flight: f64,
-    /// Whether it is in the node's own failure domain.
+    /// Whether the endpoint is in the node's own failure domain.
     pub same_domain: bool,
-    /// Whether it is cold and may take this request: it warms by what it gets.
+    /// Whether the endpoint is cold and may get this request: it warms up by the requests it gets.
     pub warms_up: bool,
-    /// Rendezvous hash of the request's prefix and the endpoint; the highest keeps the prefix.
+    /// Rendezvous hash of the request's prefix and the endpoint; the endpoint with the highest one
+    /// caches the prefix.
     pub affinity: u64,
 }
 
-/// What counts beside load.
+/// Criterion for placement besides load.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Placement {
-    /// Keep requests with the same prefix together while load allows it.
+    /// Keeps requests with the same prefix together while load allows it.
     Affinity,
-    /// Least load, the node's own failure domain first.
+    /// Prefers the least load, with an advantage for the node's own failure domain.
     Load,
 }
 
-/// Picks an endpoint; `draw` decides between equals, so that nodes do not all pick the same one.
+/// Selects an endpoint; `draw` breaks ties, so that nodes do not all select the same one.
 pub fn choose(candidates: &[Candidate], placement: Placement, draw: u64) -> Option<usize> {
     match placement {
         Placement::Affinity => choose_by_affinity(candidates),
@@ -51,7 +51,7 @@
         let allowed = (0..candidates.len()).filter(|&i| is_allowed(&candidates[i]));
         allowed.max_by_key(|&i| candidates[i].affinity)
     };
-    // Few nodes may send to a cold one: those that may make up for the others.
+    // Few nodes may send to a cold endpoint; those that may compensate for the others.
     best(&|c| c.warms_up && c.in_flight < mean)
         .or_else(|| best(&|c| c.in_flight <= bound))
         .or_else(|| choose_by_load(candidates, 0))
--- a/crates/oatdale-policy/src/relay/quarantine.rs
+++ b/crates/oatdale-policy/src/relay/quarantine.rs
@@ -1,30 +1,31 @@
-//! Requests that crash the endpoints that run them.
+//! Quarantine of requests that crash the endpoints that run them.
 //!
-//! An endpoint that crashes takes all requests with it that it runs, and from outside they look alike. The one that
-//! is at fault crashes the next endpoint too and never completes; the others complete there. So the endpoints that
-//! crashed under a request are counted until a copy of it completes.
+//! When an endpoint crashes, all requests that it runs fail, and from outside they look alike. The
+//! one at fault crashes the next endpoint too and never completes; the others complete there. So
+//! the endpoints that crashed under a request are counted until a copy of it completes.
 
 use crate::relay::Fingerprint;
 use smallvec::SmallVec;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Endpoints that crash under a request before it is sent to no other one.
+/// Number of endpoints that crash under a request until it is sent to no further one.
 ///
-/// Of some requests that share a crashing endpoint, few are sent to the same next one, and hardly any shares a third.
+/// Of the requests that share a crashing endpoint, few are sent to the same next one, and hardly
+/// any share a third.
 pub const MAX_CRASHES: usize = 3;
 
-/// How long copies of a quarantined request are refused. The software that it crashes may be mended by then, and a
-/// request that was held by mistake must not be refused for good.
+/// How long copies of a quarantined request are refused. The software that it crashes may be fixed
+/// by then, and a request that was quarantined by mistake must not be refused forever.
 pub const QUARANTINE_TIME: Duration = Duration::from_secs(600);
 
 /// How long crashes under a request are remembered.
 const SUSPECT_TIME: Duration = Duration::from_secs(60);
 
-/// Requests that are tracked at the most.
+/// Upper bound of the requests that are tracked.
 const MAX_TRACKED_REQUESTS: usize = 4_096;
 
-/// Requests under which endpoints crashed, as one node has seen them.
+/// Requests under which endpoints crashed, as seen by one node.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     tracked: HashMap<Fingerprint, Tracked>,
@@ -33,37 +34,38 @@
 #[derive(Clone, Debug)]
 struct Tracked {
     state: State,
-    /// When it is forgotten.
+    /// When the entry is dropped.
     expires_at: Duration,
 }
 
 #[derive(Clone, Debug)]
 enum State {
-    /// The endpoints that crashed under it, each once.
+    /// The endpoints that crashed under the request, each once.
     Suspected(SmallVec<[u32; MAX_CRASHES]>),
     Quarantined,
 }
 
-/// What was known of a request that has completed.
+/// State of a request before it completed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Cleared {
-    /// Nothing.
+    /// It was not tracked.
     Unknown,
     /// Endpoints had crashed under it.
     Suspected,
-    /// It was refused everywhere.
+    /// It was refused on all nodes.
     Quarantined,
 }
 
 impl Quarantine {
-    /// Whether no request is tracked, so that none has to be identified.
+    /// Whether no request is tracked, so that none has to be fingerprinted.
     pub fn is_empty(&self) -> bool {
         self.tracked.is_empty()
     }
 
-    /// Notes that an endpoint crashed under a request, and says whether this was one too many.
+    /// Records that an endpoint crashed under a request; returns whether this crash quarantines the
+    /// request.
     ///
-    /// `endpoint` stands for one start of it: several nodes report the same crash.
+    /// `endpoint` identifies one start of the endpoint: several nodes report the same crash.
     pub fn note_crash(&mut self, now: Duration, request: Fingerprint, endpoint: u32) -> bool {
         self.ensure_capacity(now, request);
         let tracked = self.tracked.entry(request).or_insert_with(|| Tracked {
@@ -80,7 +82,7 @@
         crashed_endpoints.len() >= MAX_CRASHES && self.hold(now, request)
     }
 
-    /// Quarantines a request, and says whether it was not yet.
+    /// Quarantines a request; returns whether it was not quarantined before.
     pub fn hold(&mut self, now: Duration, request: Fingerprint) -> bool {
         if self.left(now, request).is_some() {
             return false;
@@ -94,7 +96,7 @@
         true
     }
 
-    /// How much longer a request is refused, if it is.
+    /// Returns how much longer a request is refused; `None` if it is not quarantined.
     pub fn left(&self, now: Duration, request: Fingerprint) -> Option<Duration> {
         let tracked = self.tracked.get(&request)?;
         match tracked.state {
@@ -106,13 +108,14 @@
         }
     }
 
-    /// Whether endpoints crashed under a request, though too few to refuse it.
+    /// Whether endpoints crashed under a request, but too few to quarantine it.
     pub fn is_suspected(&self, now: Duration, request: Fingerprint) -> bool {
         let tracked = self.tracked.get(&request).filter(|t| t.expires_at > now);
         tracked.is_some_and(|t| matches!(t.state, State::Suspected(_)))
     }
 
-    /// Notes that a copy of a request completed: it crashes no endpoint.
+    /// Records that a copy of a request completed, so that it crashes no endpoint; returns the
+    /// request's state before.
     pub fn clear(&mut self, request: Fingerprint) -> Cleared {
         match self.tracked.remove(&request).map(|t| t.state) {
             None => Cleared::Unknown,
@@ -121,18 +124,19 @@
         }
     }
 
-    /// Forgets what is old.
+    /// Drops expired entries.
     pub fn expire(&mut self, now: Duration) {
         self.tracked.retain(|_, t| t.expires_at > now);
     }
 
-    /// The requests that are refused now.
+    /// Iterates over the requests that are quarantined.
     pub fn held(&self, now: Duration) -> impl Iterator<Item = Fingerprint> {
         let requests = self.tracked.keys().copied();
         requests.filter(move |request| self.left(now, *request).is_some())
     }
 
-    /// Makes room for a request that is not tracked: suspected ones go first.
+    /// Makes room for an untracked request by eviction: suspected requests before quarantined ones,
+    /// the first to expire first.
     fn ensure_capacity(&mut self, now: Duration, request: Fingerprint) {
         if self
             .tracked
--- a/crates/oatdale-policy/src/relay/repeats.rs
+++ b/crates/oatdale-policy/src/relay/repeats.rs
@@ -1,54 +1,55 @@
-//! How many requests a node may send once more.
+//! Limit on repeats: requests that a node sends once more, as a retry or to a larger model.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Parts of the window that are counted apart: the oldest one counts in full on the side of the repeats
-/// and not at all on that of the requests, which leaves a twentieth unused.
+/// Slots of the window that are counted separately. The oldest slot counts in full for the repeats
+/// and not at all for the requests, which leaves a twentieth of the allowance unused.
 const WINDOW_SLOTS: u32 = 20;
 
-/// What operators allow: in any span of `window`, no more repeats for a service than `ratio` times its
-/// requests, and `slack` beyond.
+/// Limit that operators configure: in any span of `window`, at most `ratio` times as many repeats
+/// for a service as it has requests, plus `slack`.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Allowance {
-    /// The span.
+    /// Length of the span.
     pub window: Duration,
     /// Repeats for each request.
     pub ratio: f64,
-    /// Repeats beyond that part.
+    /// Repeats beyond that ratio.
     pub slack: f64,
 }
 
-/// One service's requests and repeats at one node.
+/// Requests and repeats of one service at one node.
 ///
-/// Endpoints that fail because they are overloaded would get each request several times without a bound,
-/// which keeps them overloaded after the cause has gone. The bound is over a window, as operators state
-/// it: what a node earned a few seconds ago counts as well as what it earns now. With a bucket that
-/// holds only the node's part of the slack, nodes with a few requests a second ran out of it whenever two
-/// or three unsure answers came one after the other, while the site was far below what is allowed.
+/// Without a limit, endpoints that fail because they are overloaded would get each request several
+/// times, which keeps them overloaded after the cause has gone. The limit applies to a window, as
+/// operators state it: requests of a few seconds ago allow repeats just as current ones do. With a
+/// token bucket that holds only the node's part of the slack, nodes with a few requests a second
+/// would run out of it whenever two or three low-confidence answers came in a row, while the site
+/// is far below the limit.
 #[derive(Clone, Debug, Default)]
 pub struct Repeats {
-    /// The newest first.
+    /// Newest first.
     slots: VecDeque<Slot>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Slot {
-    /// Which part of time it is, counted from the beginning of the clock.
+    /// Number of the slot, counted from the start of the clock.
     index: u128,
     requests: u32,
     repeats: u32,
 }
 
 impl Repeats {
-    /// Notes a request of a caller.
+    /// Records a request from a caller.
     pub fn request(&mut self, now: Duration, allowed: &Allowance) {
         self.current_slot(now, allowed).requests += 1;
     }
 
-    /// Notes one repeat if it is allowed and this part of what is allowed is left then.
+    /// Records a repeat and returns `true` if the limit allows it with `reserved_share` of it left.
     ///
-    /// A use that can wait leaves something for one that cannot.
+    /// A deferrable use reserves a share for uses that cannot wait.
     pub fn repeat(&mut self, now: Duration, allowed: &Allowance, reserved_share: f64) -> bool {
         self.current_slot(now, allowed);
         let newest = self.slots[0].index;
@@ -62,7 +63,7 @@
         is_allowed
     }
 
-    /// The part that is now; forgets those that are no longer within the window.
+    /// Returns the current slot; drops the slots that have left the window.
     fn current_slot(&mut self, now: Duration, allowed: &Allowance) -> &mut Slot {
         let slot_length = (allowed.window / WINDOW_SLOTS).max(Duration::from_millis(1));
         let index = now.as_nanos() / slot_length.as_nanos();
--- a/crates/oatdale-policy/src/relay/roll_out.rs
+++ b/crates/oatdale-policy/src/relay/roll_out.rs
@@ -1,62 +1,64 @@
-//! How far a new software version of an endpoint pool is used, and when it is done or undone.
+//! Schedule of the rollout of a new software version to an endpoint pool: how many requests use the
+//! version, and when the rollout is completed or rolled back.
 //!
-//! All nodes follow the same plan by time since the order, so that they expose the version alike
-//! without asking each other: nothing at first, while they tell each other which sessions run; then
-//! a small share of the requests for most of the time; then all of them for the little that is left,
-//! in which requests on the old version end. The share and the late switch are such that a version
-//! whose faults never show in the trial has still had less than about a sixth of the requests when
-//! its time is over. What any node sees of the version is added up over the nodes; a version that
-//! fails or is slow more often than the old one is undone at once.
+//! All nodes follow the same schedule by the time since the order, so that they expose the version
+//! alike without coordination. At first no request uses it, while the nodes exchange which sessions
+//! run; then a small share of the requests does for most of the time; then all requests do for the
+//! short rest, in which requests on the old version end. The share and the late switch are such
+//! that a version whose faults never show in the trial has still received less than about a sixth
+//! of the requests at the end. The observations of all nodes are summed; a version that fails or is
+//! slow more often than the old one is rolled back at once.
 
 use crate::relay::evidence::Verdict;
 use std::time::Duration;
 
-/// Bounds of the share of requests that try the new version: less tells nothing in time, more is no
-/// trial.
+/// Smallest share of requests that try a new version: fewer give no evidence in time.
 const MIN_TRIAL_SHARE: f64 = 0.03;
 
-/// The largest share of requests that try a new version.
+/// Largest share of requests that try a new version: more would be no trial.
 pub const MOST_TRIAL: f64 = 0.25;
 
-/// The part of the exposure that operators allow which the plan uses up: nodes count apart from each
+/// Share of the allowed exposure that the schedule uses up: nodes count independently of each
 /// other, and each request may be sent more than once.
 const PLANNED_EXPOSURE_SHARE: f64 = 0.8;
 
-/// Shares are rounded down to multiples of this, so that nodes whose counts differ a little come to
-/// the same one.
+/// Shares are rounded down to multiples of this, so that nodes whose counts differ slightly arrive
+/// at the same one.
 const SHARE_STEP: f64 = 0.01;
 
-/// When the trial begins, as a part of the duration, and at the latest. Nodes then know of each
-/// other which sessions began on the old version.
+/// Start of the trial: this fraction of the duration, but at most the time below. By then nodes
+/// have told each other which sessions began on the old version.
 const TRIAL_START_FRACTION: f64 = 0.1;
 const MAX_TRIAL_START: Duration = Duration::from_millis(1_000);
 
-/// The time before the end in which all requests go to the new version: this part of the duration,
-/// and no more and no less than these. The end is written half a second before the order's time;
-/// what is short on the old version ends before, and the new version goes on with the rest. A longer
-/// time leaves less of what operators allow for the trial, from which a bad version is found.
+/// Time before the end in which all requests go to the new version: this fraction of the duration,
+/// within the bounds below. The end is written half a second before the order's time is over; short
+/// requests on the old version end before that, and the new version continues the rest. A longer
+/// time leaves less of the allowed exposure for the trial, which is what detects a bad version.
 const SWITCH_LEAD_FRACTION: f64 = 0.06;
 const MAX_SWITCH_LEAD: Duration = Duration::from_millis(1_600);
 const MIN_SWITCH_LEAD: Duration = Duration::from_millis(700);
 
-/// How many times more requests than usual are expected after the switch: callers come in waves.
+/// Multiple of the usual request rate that is expected after the switch: callers come in waves.
 const PEAK_FACTOR: f64 = 1.15;
 
-/// Nodes whose counts differ a little come to the same time if it is a multiple of this.
+/// The time of the switch is a multiple of this, so that nodes whose counts differ slightly arrive
+/// at the same one.
 const SWITCH_LEAD_STEP: Duration = Duration::from_millis(100);
 
-/// The time before the latest end from which on it is written if nothing is under way on the old
-/// version. Not sooner: the end can't be taken back, and a version that is bad under load or on one
-/// route shows it in the first answers after the switch.
+/// Time before the latest end from which on the end is written if no request is in flight on the
+/// old version. Not sooner: the end cannot be revoked, and a version that is bad under load or on
+/// one route shows it in the first responses after the switch.
 const IDLE_END_LEAD: Duration = Duration::from_millis(100);
 
-/// The part of that time after which the end is written though old work is left, and the time before
-/// the end of the order in which it is written at the latest: a node looks five times a second, and an end
-/// that is written at the last moment may come too late to count.
+/// Fraction of the switch lead after which the end is written although requests on the old version
+/// remain, and the time before the end of the order at which it is written at the latest: a node
+/// checks five times a second, and an end that is written at the last moment may come too late to
+/// count.
 const GRACE_FRACTION: f64 = 0.5;
 const MIN_END_MARGIN: Duration = Duration::from_millis(500);
 
-/// Where a roll-out is by its plan.
+/// Phase of a rollout according to its schedule.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Phase {
     /// No request tries the new version yet.
@@ -65,20 +67,20 @@
     Trial,
     /// All requests go to the new version.
     Switched,
-    /// The old version is not used any more, and the end can be written.
+    /// The old version is no longer used, and the end can be written.
     Done,
 }
 
-/// The times of one roll-out.
+/// Times of one rollout.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Schedule {
     duration: Duration,
-    /// How long before the end all requests go to the new version.
+    /// How long before the end of the order all requests switch to the new version.
     lead: Duration,
 }
 
 impl Schedule {
-    /// The schedule of an order that gives so much time.
+    /// Creates the schedule of an order with this duration.
     pub fn new(duration: Duration) -> Self {
         let lead = duration
             .mul_f64(SWITCH_LEAD_FRACTION)
@@ -87,7 +89,7 @@
         Schedule { duration, lead }
     }
 
-    /// Where a roll-out is, `since` the order.
+    /// Returns the phase at the time `since` the order.
     pub fn phase(&self, since: Duration, verdict: Verdict) -> Phase {
         let idle_end = self.latest_end().saturating_sub(IDLE_END_LEAD);
         let trial_start = MAX_TRIAL_START.min(self.duration.mul_f64(TRIAL_START_FRACTION));
@@ -99,10 +101,11 @@
         }
     }
 
-    /// Switches later if requests have become more than the trial was planned for.
+    /// Moves the switch later if the request rate has risen above the one that the trial was
+    /// planned for.
     ///
-    /// A burst that begins after the share of the trial was settled would send the new version more
-    /// requests after the switch than are allowed, however late in the order it comes.
+    /// A burst that begins after the share of the trial was settled would otherwise send the new
+    /// version more requests after the switch than are allowed, however late in the order it comes.
     pub fn follow_rate(&mut self, since: Duration, planned_rate: f64, current_rate: f64) {
         if since >= self.switch_at() || planned_rate <= 0.0 {
             return;
@@ -114,36 +117,39 @@
         self.lead = switch_lead.max(MIN_SWITCH_LEAD).min(default_lead);
     }
 
-    /// How long before the end all requests go to the new version.
+    /// Returns how long before the end of the order all requests switch to the new version.
     pub fn switch_lead(&self) -> Duration {
         self.lead
     }
 
-    /// The time since the order at which the end is written though old work is left: an end that is
-    /// late is no end, and the write may have to be repeated.
+    /// Returns the time since the order at which the end is written although requests on the old
+    /// version remain: an end that is late does not count, and the write may have to be repeated.
     pub fn latest_end(&self) -> Duration {
         let margin = self.lead.mul_f64(1.0 - GRACE_FRACTION);
         self.duration.saturating_sub(margin.max(MIN_END_MARGIN))
     }
 
+    /// Returns the time since the order at which all requests switch to the new version.
     fn switch_at(&self) -> Duration {
         self.duration.saturating_sub(self.lead)
     }
 }
 
-/// How much of a bad version operators allow.
+/// Exposure to a bad version that operators allow.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Exposure {
-    /// The share of all requests for the service in the time of the order.
+    /// Share of all requests for the service during the order.
     pub share: f64,
-    /// Requests beyond it.
+    /// Requests beyond that share.
     pub slack: f64,
 }
 
-/// The share of requests that try the new version, for a service with `rate` requests a second.
+/// Returns the share of requests that try the new version, for a service with `rate` requests a
+/// second.
 ///
-/// With the requests after the switch it uses up what is allowed if nothing speaks against the
-/// version until the end: as much evidence as possible, and never more exposure.
+/// Together with the requests after the switch, it uses up the planned exposure if there is no
+/// evidence against the version until the end: as much evidence as possible, and never more
+/// exposure.
 pub fn trial_share(allowed: Exposure, rate: f64, schedule: &Schedule) -> f64 {
     let secs = schedule.duration.as_secs_f64();
     let switch_lead = schedule.lead.as_secs_f64();
@@ -155,7 +161,7 @@
     (share / SHARE_STEP).floor() * SHARE_STEP
 }
 
-/// Whether a request tries the new version; `hash` is of its session, so that a session keeps
+/// Whether a request uses the new version; `hash` is that of its session, so that a session keeps
 /// its version on every node.
 pub fn shows_new(phase: Phase, share: f64, hash: u64) -> bool {
     match phase {
@@ -165,7 +171,7 @@
     }
 }
 
-/// Whether a session or request belongs to those that try a new version.
+/// Whether a session or request is among those that try a new version.
 pub fn is_in_trial(share: f64, hash: u64) -> bool {
     (hash as f64) < share * u64::MAX as f64
 }
--- a/crates/oatdale-policy/tests/relay.rs
+++ b/crates/oatdale-policy/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Decisions about requests that pass through unread.
+//! Decisions about requests that are proxied without interpreting their content.
 
 use oatdale_policy::relay::{
     Allowance, Candidate, EngineReport, Health, Ladder, Placement, Repeats, Step, choose,
@@ -18,8 +18,8 @@
     }
 }
 
-// One subject gets much of the traffic. The endpoint that keeps its prefix would get all of it,
-// and its callers would wait while others are idle.
+// One prefix gets much of the traffic. Without a bound, the endpoint that caches it would get all
+// of these requests, and their callers would wait while other endpoints are idle.
 #[test]
 fn affinity_is_ignored_when_the_preferred_endpoint_is_overloaded() {
     let others = [candidate(1.0, true, 2), candidate(1.0, true, 1)];
@@ -46,8 +46,8 @@
     assert_eq!(choose(&[], Placement::Load, 5), None);
 }
 
-// All requests arrive at idle endpoints. Were the first in the list taken each time, all nodes would
-// send to the same one.
+// All requests arrive at idle endpoints. If ties went to the first endpoint in the list, all nodes
+// would send to the same one.
 #[test]
 fn ties_are_broken_by_draw() {
     let all = [candidate(0.0, true, 0); 4];
@@ -77,8 +77,8 @@
     assert!(!health.is_ejected(now + Duration::from_millis(500)));
 }
 
-// An endpoint fails a third of its requests while its health check is good. It should get fewer of
-// them, and be used again when it has recovered.
+// An endpoint fails a third or more of its requests while its health check passes. It should get
+// fewer requests, and be used again once it has recovered.
 #[test]
 fn failing_endpoint_has_a_higher_load_factor_until_it_recovers() {
     let mut health = Health::default();
@@ -93,8 +93,8 @@
     assert!(health.load_factor() <= 1.0);
 }
 
-// A call that may be sent only once gets no answer. Four of them are enough to prefer other endpoints,
-// before any has reached its timeout.
+// A call that may be sent only once gets no response. Four late responses must suffice to prefer
+// other endpoints, before any call has reached its timeout.
 #[test]
 fn late_answers_raise_the_load_factor() {
     let mut health = Health::default();
@@ -114,9 +114,9 @@
     slack: 4.0,
 };
 
-// Endpoints fail because they are overloaded. Were each request sent again, they would stay so: in no span
-// of the window, whenever it begins, may there be more repeats than its requests allow. Callers come in
-// waves; the requests of the window before count too, as operators state it.
+// Endpoints that fail because they are overloaded would stay so if each request were sent again: in
+// no window, whenever it begins, may there be more repeats than its requests allow. Callers come in
+// waves; the requests of the window before count too, as operators state the limit.
 #[test]
 fn repeats_stay_within_the_allowance_in_any_window() {
     let planned = Allowance {
@@ -149,7 +149,7 @@
         let limit = requests * ALLOWANCE.ratio + ALLOWANCE.slack;
         assert!(within(&repeated, from) <= limit, "{from:?}");
     }
-    // And not far below.
+    // The allowance is used up except for a small part.
     assert!(repeated.len() as f64 > 0.8 * ALLOWANCE.ratio * requested.len() as f64);
 }
 
@@ -167,9 +167,9 @@
     assert_eq!(urgent.count(), 2);
 }
 
-// A site has ninety nodes with six requests a second each, of which four in ten are not sure enough and are
-// made again: half of what is allowed. They come in clumps. Callers must not get an unsure answer because
-// two or three of them came one after the other.
+// A site has ninety nodes with six requests a second each, of which four in ten have too low a
+// confidence and are repeated: half of what is allowed. They come in clusters. Callers must not get
+// a low-confidence answer because two or three of them came in a row.
 #[test]
 fn clustered_repeats_are_allowed_at_a_low_request_rate() {
     let allowed = Allowance {
@@ -183,7 +183,7 @@
     for n in 0..600_u64 {
         let now = Duration::from_millis(n * 160);
         repeats.request(now, &allowed);
-        // Four of ten, one after the other.
+        // Four of ten, in a row.
         if n % 10 < 4 {
             low_confidence += 1;
             refused += u32::from(!repeats.repeat(now, &allowed, 0.2));
@@ -210,8 +210,8 @@
     assert_eq!(ladder.step(0, 0, Some(1), true), Step::Keep);
 }
 
-// Many requests come at once, and the largest model makes them wait. Were as many answers made
-// again as before, all would be late.
+// A burst of requests makes them wait at the largest model. If as many answers were escalated as
+// before, all would be late.
 #[test]
 fn fewer_answers_are_escalated_when_the_largest_model_is_overloaded() {
     let escalated = |wait| {
@@ -227,12 +227,13 @@
     assert_eq!(escalated(0.0), 46);
     assert_eq!(escalated(0.3), 46);
     assert!((20..=25).contains(&escalated(0.55)));
-    // What is hopeless is made again at any load.
+    // Answers with hardly any confidence are escalated at any load.
     assert_eq!(escalated(5.0), 12);
 }
 
-// A generation of ten times the usual size costs ten times as much to make again and is worth some three
-// times as much. Made again as readily as a small one, it takes the time in which ten others were.
+// A generation of ten times the usual size costs ten times as much to repeat and is worth about
+// three times as much. Escalated as readily as a small one, it takes the time in which ten others
+// could be.
 #[test]
 fn larger_generations_are_escalated_at_lower_confidence() {
     let escalated = |size: f64| {
--- a/crates/oatdale-policy/tests/relay_addresses.rs
+++ b/crates/oatdale-policy/tests/relay_addresses.rs
@@ -1,11 +1,11 @@
-//! Which nodes callers are told of.
+//! Selection of the node addresses that are advertised to callers.
 
 use oatdale_policy::relay::{AddressCandidate, advertised_addresses};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 const MAX_ADDRESSES: usize = 64;
 
-/// Domains with so many nodes each.
+/// Number of nodes in each failure domain.
 const NODES_PER_DOMAIN: [usize; 5] = [56, 55, 56, 65, 63];
 
 fn hash(value: impl Hash) -> u64 {
@@ -14,7 +14,7 @@
     hasher.finish()
 }
 
-/// All nodes as they are for a caller of a domain, with their domains.
+/// Returns the running nodes with their domains, as candidates for a caller of domain `caller`.
 fn nodes(caller: usize, alive: impl Fn(usize, usize) -> bool) -> Vec<(usize, AddressCandidate)> {
     let all = (0..NODES_PER_DOMAIN.len())
         .flat_map(|domain| (0..NODES_PER_DOMAIN[domain]).map(move |n| (domain, n)));
@@ -34,8 +34,9 @@
     advertised_addresses(&candidates, MAX_ADDRESSES)
 }
 
-// Callers of all domains come at once to a site of 295 nodes. If all were told of the same 64, one domain's nodes
-// and endpoints would have the load of all five, and answers of the others' plain services would be late.
+// Callers of all domains connect at once to a site of 295 nodes. If the same 64 were advertised to
+// all, one domain's nodes and endpoints would carry the load of all five, and responses of the
+// other domains' plain services would be late.
 #[test]
 fn load_of_all_callers_is_spread_over_all_domains() {
     let mut uses = [0; NODES_PER_DOMAIN.len()];
@@ -53,8 +54,8 @@
     }
 }
 
-// Half of a site's hosts have lost their power, in one domain nearly all. Its callers would overrun the few that
-// are left if they were told of no others.
+// Half of a site's hosts lose power, nearly all of them in one domain. The callers of that domain
+// would overload the few remaining nodes if no others were advertised to them.
 #[test]
 fn callers_in_a_domain_with_few_nodes_get_nodes_of_other_domains() {
     let nodes = nodes(2, |domain, n| domain != 2 || n < 3);
@@ -67,7 +68,8 @@
     }
 }
 
-// On a small site every caller is told of every node, as it needs all of them when hosts are lost.
+// On a small site every node is advertised to every caller, which needs all of them when hosts are
+// lost.
 #[test]
 fn small_site_advertises_all_nodes() {
     let nodes = nodes(0, |_, n| n < 3);
--- a/crates/oatdale-policy/tests/relay_quarantine.rs
+++ b/crates/oatdale-policy/tests/relay_quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are held for the endpoints that crashed under them.
+//! Quarantine of requests under which endpoints crash.
 
 use oatdale_policy::relay::{Cleared, Fingerprint, MAX_CRASHES, QUARANTINE_TIME, Quarantine};
 use rand::seq::IteratorRandom;
@@ -26,7 +26,7 @@
     assert_eq!(quarantine.left(secs(2), REQUEST), None);
     assert!(quarantine.note_crash(secs(3), REQUEST, 3));
     assert_eq!(quarantine.left(secs(3), REQUEST), Some(QUARANTINE_TIME));
-    // It is news once.
+    // The quarantine is reported once.
     assert!(!quarantine.note_crash(secs(4), REQUEST, 4));
     assert!(!quarantine.hold(secs(4), REQUEST));
 }
@@ -42,7 +42,8 @@
     assert!(quarantine.note_crash(secs(1), REQUEST, 3));
 }
 
-// Guards against a frequent request that now and then shares a crashing endpoint being refused for it.
+// Guards against a frequent request being refused because it happens to share crashing endpoints
+// now and then.
 #[test]
 fn completed_copy_clears_all_crashes() {
     let mut quarantine = Quarantine::default();
@@ -57,7 +58,7 @@
     assert!(quarantine.is_empty());
 }
 
-// Guards against a request that was held by mistake being refused for good.
+// Guards against a request that was quarantined by mistake being refused forever.
 #[test]
 fn quarantine_expires() {
     let mut quarantine = Quarantine::default();
@@ -69,7 +70,7 @@
     assert!(quarantine.hold(end, REQUEST));
 }
 
-// Guards against crashes that have nothing to do with each other adding up over hours.
+// Guards against unrelated crashes adding up over hours.
 #[test]
 fn old_crashes_do_not_count() {
     let mut quarantine = Quarantine::default();
@@ -80,7 +81,8 @@
     assert!(quarantine.is_empty());
 }
 
-// Guards against a storm of crashes pushing out what is known to be at fault, or filling the memory.
+// Guards against a burst of crashes evicting requests that are known to be at fault, or exhausting
+// memory.
 #[test]
 fn suspected_requests_are_evicted_before_quarantined_ones() {
     let mut quarantine = Quarantine::default();
@@ -91,8 +93,10 @@
     assert!(quarantine.left(secs(3), REQUEST).is_some());
 }
 
-/// One run of a pool of engines, each with some requests at once, of which one crashes its engine. Requests whose
-/// engine crashed are resumed at another one, three times at the most, as the one at fault is.
+/// Simulates a pool of engines, each with `concurrency` requests in flight, of which one crashes
+/// its engine. Requests whose engine crashed are resumed on another one, at most three times, as
+/// the one at fault is. Returns the number of innocent requests that were quarantined, and the
+/// number of crashes.
 fn simulate_crashes(seed: u64, engines: usize, concurrency: usize) -> (usize, usize) {
     let mut rng = Pcg64::seed_from_u64(seed);
     let mut quarantine = Quarantine::default();
@@ -114,7 +118,8 @@
     (quarantined, crashes)
 }
 
-// Guards against many innocent requests being held for the crashes of one: of all that run, at most one in fifty.
+// Guards against many innocent requests being quarantined for the crashes of one: at most one in
+// fifty of all that run.
 #[test]
 fn few_innocent_requests_are_quarantined() {
     for (engines, concurrency) in [(9, 8), (9, 64), (60, 12), (256, 12)] {
--- a/crates/oatdale-policy/tests/relay_readers.rs
+++ b/crates/oatdale-policy/tests/relay_readers.rs
@@ -1,4 +1,4 @@
-//! Which nodes read for the others, and where a node reads while some of them fail.
+//! Selection of readers, and where a node reads while some of them fail.
 
 use oatdale_policy::relay::{
     READERS_PER_DOMAIN, REGISTERED_PER_DOMAIN, ReaderCandidate, ReaderSelector,
@@ -10,7 +10,8 @@
     ReaderCandidate { link_mbps, hash }
 }
 
-// Hundreds of nodes that each read the same records pay for hundreds of calls where a few would do.
+// If hundreds of nodes each read the same records, hundreds of calls would be paid for where a few
+// suffice.
 #[test]
 fn reader_count_does_not_grow_with_the_domain() {
     for nodes in [4, 20, 60, 200] {
@@ -25,7 +26,8 @@
     }
 }
 
-// With three nodes two would read for one, whose news would come a step later for hardly fewer calls.
+// With three nodes, two would read for one, which would get its updates one hop later for hardly
+// fewer calls.
 #[test]
 fn small_domain_has_no_readers() {
     for nodes in 0..4 {
@@ -34,7 +36,8 @@
     }
 }
 
-// A reader sends what it reads to many. On a slow link its callers' answers would wait behind that.
+// A reader forwards what it reads to many nodes. On a slow link its callers' responses would wait
+// behind that.
 #[test]
 fn nodes_with_the_fastest_links_are_readers() {
     let all = [
@@ -47,7 +50,8 @@
     assert_eq!(select_readers(&all, 5), [3, 1]);
 }
 
-// Nodes that know the others in different orders must agree, or each asks nodes that read nothing.
+// Nodes that know the others in different orders must agree on the readers, or each asks nodes that
+// read nothing.
 #[test]
 fn reader_selection_does_not_depend_on_node_order() {
     let all: Vec<_> = (0..30).map(|n| node(20, n * 31 % 101)).collect();
@@ -62,35 +66,35 @@
     assert_eq!(chosen(&all), chosen(&reversed));
 }
 
-// A configuration of a megabyte, thirty followers, a link of 20 Mbit/s: the last one would have it after twelve
-// seconds, and operators count on two to four.
+// With a configuration of a megabyte, thirty followers and a link of 20 Mbit/s, the last follower
+// would have it after twelve seconds, while operators count on two to four.
 #[test]
 fn record_that_would_saturate_a_slow_link_is_not_forwarded() {
     assert!(max_forwarded_bytes(20, 30) < 1 << 20);
     assert!(max_forwarded_bytes(200, 15) > 1 << 20);
-    // An endpoint's record is passed on whatever the link.
+    // An endpoint's record is forwarded over any link.
     assert!(max_forwarded_bytes(0, 1_000) > 10_000);
 }
 
-// A reader dies. Its followers must not wait for it again and again while it is gone, nor read at the service
-// for ever once it is back.
+// A reader dies. Its followers must not wait for it again and again while it is gone, nor read from
+// the service forever once it is back.
 #[test]
 fn failed_readers_back_off_and_are_retried() {
     let mut selector = ReaderSelector::default();
     let at = Duration::from_millis;
     let fail = |selector: &mut ReaderSelector<u8>, ms, reader| {
         selector.record_failure(at(ms), reader);
-        // What was missed meanwhile is read at the service first.
+        // Updates that were missed meanwhile are read from the service first.
         assert_eq!(selector.select(at(ms), &[1, 2]), None);
     };
     assert_eq!(selector.select(at(0), &[1, 2]), Some(1));
     fail(&mut selector, 0, 1);
     assert_eq!(selector.select(at(10), &[1, 2]), Some(2));
     fail(&mut selector, 10, 2);
-    // None answers: the service itself has to be asked.
+    // No reader answers: the service itself has to be asked.
     assert_eq!(selector.select(at(20), &[1, 2]), None);
     assert_eq!(selector.select(at(1_005), &[1, 2]), Some(1));
-    // It fails again, so it rests for longer.
+    // It fails again, so its back-off is longer.
     fail(&mut selector, 1_005, 1);
     assert_eq!(selector.select(at(2_500), &[1, 2]), Some(2));
     selector.record_success(2);
@@ -100,8 +104,8 @@
     assert_eq!(selector.select(at(5_001), &[1, 2]), Some(1));
 }
 
-// All nodes of a domain start at the same moment. If each registered at once there would be a lease and its
-// renewals for each; if none did, nobody would read for the others.
+// All nodes of a domain start at the same moment. If each registered at once, each would hold a
+// lease and renew it; if none did, no node would read for the others.
 #[test]
 fn nodes_with_fast_links_register_first_after_a_simultaneous_start() {
     let mut delays: Vec<_> = (0..60)
@@ -110,13 +114,14 @@
     let slow = delays.split_off(3);
     let max_fast = delays.iter().max().expect("three fast nodes");
     let min_slow = slow.iter().min().expect("slow nodes");
-    // They start within 0.3 s of each other. A record is written and read within a few milliseconds.
+    // The nodes start within 0.3 s of each other. A record is written and read within a few
+    // milliseconds.
     let start_skew = Duration::from_millis(300);
     assert!(*min_slow > *max_fast + start_skew + Duration::from_millis(50));
 }
 
-// Registered nodes have lost their power, and fifty others see their records lapse at the same moment. As many as
-// are missing take their place; if the next ones are gone too, those after them do.
+// Registered nodes lose power, and fifty others see their records expire at the same moment. As
+// many as are missing replace them; if the next ones are gone too, those after them do.
 #[test]
 fn only_as_many_nodes_register_as_are_missing() {
     for registered in 0..=REGISTERED_PER_DOMAIN + 1 {
--- a/crates/oatdale-policy/tests/relay_roll_outs.rs
+++ b/crates/oatdale-policy/tests/relay_roll_outs.rs
@@ -1,4 +1,4 @@
-//! Roll-outs of endpoint pools: the schedule, the evidence, the pace of streams.
+//! Rollouts of endpoint pools: schedule, evidence and pace of streams.
 
 use oatdale_policy::relay::{
     Cells, Counts, Exposure, Origin, Phase, Schedule, StreamPace, Tally, UsualTime, Verdict,
@@ -15,8 +15,8 @@
     slack: 30.0,
 };
 
-// A version is bad in a way that its trial never shows, for example under a load that does not come.
-// It must not have had more requests than operators allow when its time is over.
+// A version is bad in a way that its trial never shows, for example under a load that does not
+// occur. By the end of the rollout it must not have received more requests than operators allow.
 #[test]
 fn undetected_bad_version_stays_within_the_exposure_limit() {
     for duration in [5, 9, 12, 16, 24, 60, 600].map(secs) {
@@ -37,7 +37,8 @@
                 now += step;
             }
             let allowed = EXPOSURE.share * rate * duration.as_secs_f64() + EXPOSURE.slack;
-            // At the highest rates the time for the switch alone is more than that on short orders.
+            // On short orders with the highest rates, the requests after the switch alone exceed
+            // that.
             let after_switch = schedule.switch_lead().as_secs_f64() * rate;
             assert!(
                 exposed <= allowed.max(after_switch * 1.2),
@@ -47,22 +48,22 @@
     }
 }
 
-// Requests become twice as many late in the trial. Had the switch come when it was planned, a bad version
-// would have got more of them than operators allow.
+// The request rate rises late in the trial, for example to twice the planned one. If the switch
+// came as planned, a bad version would get more requests than operators allow.
 #[test]
 fn burst_during_the_trial_delays_the_switch() {
     let mut schedule = Schedule::new(secs(16));
     let default_lead = schedule.switch_lead();
     schedule.follow_rate(secs(14), 70.0, 90.0);
     assert!(schedule.switch_lead() < default_lead, "{schedule:?}");
-    // Never so late that the old version's work could not end and the end not be written.
+    // Never so late that requests on the old version cannot end or the end cannot be written.
     schedule.follow_rate(secs(14), 70.0, 700.0);
     assert_eq!(schedule.switch_lead(), Duration::from_millis(700));
     assert_eq!(schedule.latest_end(), Duration::from_millis(15_500));
-    // What is switched stays so.
+    // After the switch its time is fixed.
     schedule.follow_rate(Duration::from_millis(15_400), 70.0, 70.0);
     assert_eq!(schedule.switch_lead(), Duration::from_millis(700));
-    // Fewer requests are no reason to switch earlier: they may become more again.
+    // A lower rate does not move the switch earlier, since it may rise again.
     let mut schedule = Schedule::new(secs(16));
     schedule.follow_rate(secs(14), 70.0, 20.0);
     assert_eq!(schedule.switch_lead(), default_lead);
@@ -85,7 +86,7 @@
     assert!(!shows_new(Phase::Announced, 1.0, 0));
 }
 
-/// Counts of all answers, failed, timed and slow ones, by route and endpoint.
+/// Builds counts of all, failed, timed and slow responses, by route and endpoint.
 fn cells(all: &[(u32, u32, [u64; 4])]) -> Cells {
     let counts = |[answers, failed, timed, slow]: [u64; 4]| Counts {
         answers,
@@ -99,7 +100,7 @@
         .collect()
 }
 
-/// Answers of one route, of the new version half from each of two endpoints.
+/// Responses on one route; those of the new version come half from each of two endpoints.
 fn tally(new: [u64; 4], old: [u64; 4]) -> Tally {
     let halves = [new.map(|n| n / 2), new.map(|n| n - n / 2)];
     Tally {
@@ -111,13 +112,13 @@
 #[test]
 fn verdict_compares_the_new_version_with_the_old_one() {
     let cases = [
-        // Four failures among ten answers, while the old version has none.
+        // Four failures among ten responses, while the old version has hardly any.
         (tally([10, 4, 8, 0], [200, 1, 150, 2]), Verdict::Bad),
-        // Trouble that hits both alike.
+        // A fault that affects both versions alike.
         (tally([20, 6, 15, 0], [200, 60, 150, 2]), Verdict::Sound),
-        // A service that fails one answer in seven is slow now; its failures must not hide it.
+        // A service that fails one response in seven is slow now; its failures must not hide that.
         (tally([40, 5, 30, 12], [200, 28, 150, 4]), Verdict::Bad),
-        // One failure is chance.
+        // A single failure is chance.
         (tally([3, 1, 2, 0], [100, 1, 80, 1]), Verdict::Sound),
         (tally([0, 0, 0, 0], [0, 0, 0, 0]), Verdict::Sound),
     ];
@@ -126,8 +127,8 @@
     }
 }
 
-/// Recorded pauses, in milliseconds, between the first events of streams at engines that also read
-/// long prompts: two a stream.
+/// Recorded pauses, in milliseconds, between the first events of streams from engines that also
+/// read long prompts: two for each stream.
 const GOOD_PAUSES_MS: [[u64; 2]; 30] = [
     [122, 60],
     [131, 162],
@@ -161,7 +162,7 @@
     [72, 29],
 ];
 
-/// The same of a version that is several times slower.
+/// Pauses of a version that is several times slower.
 const SLOW_PAUSES_MS: [[u64; 2]; 12] = [
     [64, 65],
     [77, 78],
@@ -177,7 +178,8 @@
     [119, 95],
 ];
 
-/// Plays streams of these pauses and counts those that are found slow; learns from the others.
+/// Replays streams with these pauses, counts those that are slow, and learns the usual time from
+/// them.
 fn count_slow_streams(pauses: &[[u64; 2]], usual: &mut UsualTime) -> usize {
     let is_slow = |pace: Duration, usual: &UsualTime| usual.slow_after().is_some_and(|b| pace > b);
     let mut slow = 0;
@@ -192,10 +194,10 @@
     slow
 }
 
-// Engines that read long prompts let streams wait, some for a second. A version that is several times
-// slower than the one before must stand out from that, or it is completed and every stream is slow.
-// Before, the sum of both pauses was compared with 2.5 times its mean: of these 12 streams 4 were found
-// slow, of the 30 others 3.
+// Engines that read long prompts make streams wait, some for a second. A version that is several
+// times slower than the one before must stand out from that, or it is completed and every stream is
+// slow. Comparing the sum of both pauses with 2.5 times its mean finds only 4 of these 12 streams
+// slow, and 3 of the 30 others.
 #[test]
 fn slow_version_is_distinguished_from_waits_behind_long_prompts() {
     let mut usual = UsualTime::default();
@@ -223,16 +225,16 @@
     assert_eq!(stream.slow_at(ms(50)), Some(ms(450)));
     stream.found_slow();
     assert_eq!(stream.event(ms(900)), None);
-    // One pause that is not slow settles it.
+    // A single pause that is not slow decides the pace.
     let mut stream = StreamPace::default();
     stream.event(ms(100));
     stream.event(ms(130));
     assert_eq!(stream.slow_at(ms(50)), None);
 }
 
-// A version fails half of the requests of one route, which has a sixth of all. Among the answers of
-// all routes its few failures look like chance; it would be completed, and that route's callers would
-// be failed from then on.
+// A version fails half of the requests of one route, which has a sixth of all. Among thirty
+// responses of all routes its few failures look like chance; it would be completed, and that
+// route's callers would get failures from then on.
 #[test]
 fn version_that_is_bad_on_one_route_is_detected() {
     let old = cells(&[
@@ -252,7 +254,7 @@
         old: old.clone(),
     };
     assert_eq!(verdict(&tally_of(bad)), Verdict::Bad);
-    // The same failures spread over the routes are fewer than one in seven everywhere.
+    // Three failures spread over the routes, at most one in six on each, are chance.
     let spread = cells(&[
         (1, 1, [9, 1, 0, 0]),
         (1, 2, [10, 1, 0, 0]),
@@ -262,8 +264,8 @@
     assert_eq!(verdict(&tally_of(spread)), Verdict::Sound);
 }
 
-// One endpoint that runs the new version fails half of what it gets, or is slow, while its neighbours
-// are well. That is the endpoint's fault: the version must not be undone for it.
+// One endpoint that runs the new version fails half of its requests, or is slow, while the others
+// are healthy. The endpoint is at fault: the version must not be rolled back for it.
 #[test]
 fn single_bad_endpoint_does_not_make_the_version_bad() {
     let old = cells(&[(1, 0, [300, 3, 200, 15])]);
@@ -278,7 +280,7 @@
         old: old.clone(),
     };
     assert_eq!(verdict(&both_bad), Verdict::Bad);
-    // Where the version has a single endpoint there is nothing to compare it with.
+    // With a single endpoint of the version there is nothing to compare it with.
     let with_single_endpoint = |failed| Tally {
         new: cells(&[(1, 1, [20, failed, 0, 0])]),
         old: old.clone(),
@@ -287,7 +289,8 @@
     assert_eq!(verdict(&with_single_endpoint(12)), Verdict::Bad);
 }
 
-// A service has more routes and endpoints than a datagram can tell of apart. None may be left out.
+// A service has more routes and endpoints than a datagram can list separately. None may be left out
+// of the counts.
 #[test]
 fn excess_routes_and_endpoints_share_counts() {
     let mut cells = Cells::default();
--- a/crates/oatdale-policy/tests/relay_warm_up.rs
+++ b/crates/oatdale-policy/tests/relay_warm_up.rs
@@ -1,16 +1,16 @@
-//! How many requests nodes send to a cold endpoint.
+//! Limit on the requests that nodes send to a cold endpoint.
 
 use oatdale_policy::relay::{Candidate, Placement, WarmUp, choose, warm_up_share};
 use std::time::Duration;
 
-/// A node that runs for long.
+/// Time for which the others have known a node that has been running for long.
 const SETTLED: Duration = Duration::from_secs(60);
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-// Guards against nodes that together send more than a cold endpoint bears.
+// Guards against nodes that together send more than a cold endpoint can take.
 #[test]
 fn shares_of_all_nodes_sum_to_the_rate() {
     for nodes in [1, 2, 7, 9, 79, 295, 360] {
@@ -22,7 +22,7 @@
     }
 }
 
-// Guards against configured rates that end the process or that no node may use.
+// Guards against configured rates that panic or that no node may use.
 #[test]
 fn out_of_range_rates_give_a_share() {
     assert_eq!(warm_up_share(SETTLED, 0.4, 9, 0), 1);
@@ -31,7 +31,8 @@
     assert_eq!(warm_up_share(SETTLED, 1e300, 1, 0), u32::MAX);
 }
 
-// Guards against nodes that all start again, know nobody yet, and each send all that an endpoint bears.
+// Guards against nodes that all restart, do not know each other yet, and each send all that an
+// endpoint can take.
 #[test]
 fn node_has_no_share_right_after_its_start() {
     assert_eq!(warm_up_share(ms(1_000), 11.0, 1, 0), 0);
@@ -49,11 +50,11 @@
     assert!(next > ms(1_000) && next < ms(1_200), "{next:?}");
     warm_up.note(next);
     assert!(warm_up.next(2).unwrap() > next);
-    // A larger share counts what was sent before.
+    // A larger share counts the requests that were sent before.
     assert!(warm_up.next(3).unwrap() <= next);
 }
 
-// Guards against a share that is saved up while nothing is sent, as by a node that was paused.
+// Guards against a share that accumulates while nothing is sent, for example at a paused node.
 #[test]
 fn unused_share_does_not_accumulate() {
     let mut warm_up = WarmUp::default();
@@ -62,8 +63,8 @@
     assert!(warm_up.next(1).unwrap() > ms(61_000));
 }
 
-// A failure domain returns cold: its endpoints are idle, the others have the work of all. The few nodes that may send to
-// one of them send it what they can, though it keeps nothing yet.
+// A failure domain returns cold: its endpoints are idle while the others carry the whole load. The
+// few nodes that may send to one of them use their share, although it has cached nothing yet.
 #[test]
 fn idle_cold_endpoint_is_preferred_within_the_share() {
     let warm = |in_flight, affinity| Candidate {
--- a/crates/oatdale-policy/tests/spec/main.rs
+++ b/crates/oatdale-policy/tests/spec/main.rs
@@ -1,4 +1,4 @@
-//! Specifications of version states, sessions, roll-outs and their stop, explored exhaustively.
+//! Specifications of version states, sessions, rollouts and their stop, explored exhaustively.
 
 mod rollout;
 mod stop;
--- a/crates/oatdale-policy/tests/spec/rollout.rs
+++ b/crates/oatdale-policy/tests/spec/rollout.rs
@@ -1,8 +1,9 @@
-//! Two nodes with configuration revisions of their own, sessions that move between them, and an
+//! Two nodes with independent configuration revisions, sessions that move between them, and an
 //! operator who rolls a version out and withdraws it.
 //!
-//! The rule of what a version takes is the product's own function `admits`; nodes, sessions and
-//! the spread of revisions are small stand-ins. The breaks show that the checker would notice.
+//! Whether a version admits a request is decided by the production function `admits`; nodes,
+//! sessions and the replication of revisions are small models. The injected faults show that the
+//! checker detects violations.
 
 use oatdale_check::{Spec, explore};
 use oatdale_config::VersionState;
@@ -11,18 +12,18 @@
 /// Versions of one model.
 const VERSIONS: usize = 2;
 
-/// Nodes that serve.
+/// Serving nodes.
 const NODES: usize = 2;
 
-/// Changes of the text that the operator may make.
+/// Configuration changes that the operator may make.
 const MAX_CHANGES: usize = 3;
 
-/// Requests that the callers may make of a session.
+/// Requests that callers may make in a session.
 const MAX_REQUESTS: u8 = 2;
 
 const MAX_STATES: usize = 2_000_000;
 
-/// A version's state, small enough to explore.
+/// State of a version, small enough to explore.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 enum State {
     Canary,
@@ -42,43 +43,48 @@
     }
 }
 
-/// What is wrong with the system on purpose.
+/// Fault that is injected into the specification.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Fault {
     None,
     /// Pinned requests run whatever the version's state.
     PinnedIgnoresState,
-    /// A request that waits keeps the decision made on its arrival.
+    /// A queued request keeps the decision made on its arrival.
     QueuedIsNotRechecked,
-    /// A session whose version is gone goes on with another.
+    /// A session whose version is no longer admitted continues on another one.
     SessionMigrates,
-    /// A node takes any revision it hears of, also a lower one.
+    /// A node applies any revision that it receives, also a lower one.
     RevisionRegresses,
 }
 
-/// One text: the states of all versions.
+/// One configuration: the states of all versions.
 type VersionStates = [State; VERSIONS];
 
+/// State of the specified system.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct World {
-    /// Accepted texts by revision.
+    /// Accepted configurations by revision.
     configs: Vec<VersionStates>,
-    /// The revision in force at each node, and the highest it ever had.
+    /// The revision in force at each node, and the highest one that it ever had.
     revisions: [usize; NODES],
     highest: [usize; NODES],
     /// The version that the session was opened with, if it was.
     pinned: Option<usize>,
     requests: u8,
-    /// A request that waits at a node, with the version chosen on its arrival.
+    /// A queued request: its node, and the version chosen on its arrival.
     waiting: Option<(usize, usize)>,
-    /// What went wrong with the last request that ran.
+    /// Violation by the last session that was opened or request that ran.
     violation: Option<Violation>,
 }
 
+/// Violation of an invariant.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 enum Violation {
+    /// A request ran on a withdrawn version.
     Ran,
+    /// A request ran on a version other than the one its session is pinned to.
     Moved,
+    /// A session opened on a closed version, that is, a draining or withdrawn one.
     Opened,
 }
 
@@ -95,6 +101,7 @@
         admits(Self::state(world, node, version).to_config(), false, work)
     }
 
+    /// The operator changes the state of a version.
     fn operator_steps(world: &World) -> Vec<(String, World)> {
         if world.configs.len() > MAX_CHANGES {
             return Vec::new();
@@ -119,6 +126,7 @@
         steps
     }
 
+    /// A node applies a revision.
     fn replication_steps(&self, world: &World) -> Vec<(String, World)> {
         let mut steps = Vec::new();
         for node in 0..NODES {
@@ -136,6 +144,7 @@
         steps
     }
 
+    /// The session opens at a node.
     fn open_steps(world: &World) -> Vec<(String, World)> {
         let mut steps = Vec::new();
         for node in (0..NODES).filter(|_| world.pinned.is_none()) {
@@ -155,7 +164,7 @@
         steps
     }
 
-    /// The session's next request arrives at a node and waits there.
+    /// The session's next request arrives at a node and is queued there.
     fn arrival_steps(&self, world: &World) -> Vec<(String, World)> {
         let Some(pinned) = world.pinned else {
             return Vec::new();
@@ -176,7 +185,7 @@
         steps
     }
 
-    /// The version that a pinned request gets at a node, if any.
+    /// Returns the version that a pinned request gets at a node, if any.
     fn version_for(&self, world: &World, node: usize, pinned: usize) -> Option<usize> {
         let is_admitted = Self::admits(world, node, pinned, Work::Pinned);
         let other = (0..VERSIONS).find(|&v| Self::admits(world, node, v, Work::New));
@@ -188,7 +197,7 @@
         }
     }
 
-    /// The waiting request runs or is refused.
+    /// The queued request runs or is refused.
     fn execution_steps(&self, world: &World) -> Vec<(String, World)> {
         let Some((node, version)) = world.waiting else {
             return Vec::new();
@@ -254,7 +263,8 @@
     assert!(states > 10_000, "{states}");
 }
 
-/// The checker must notice each of these faults, by a short run that an engineer can follow.
+/// The checker must detect each of these faults by a run that is short enough for an engineer to
+/// follow.
 #[test]
 fn every_injected_fault_is_detected_within_six_steps() {
     let faults = [
--- a/crates/oatdale-policy/tests/spec/stop.rs
+++ b/crates/oatdale-policy/tests/spec/stop.rs
@@ -1,8 +1,9 @@
-//! A bad version's stop: nodes that decide it, hear of it in any order, and texts that end it.
+//! Stop of a bad version: nodes decide it and learn of it in any order, and configuration changes
+//! end it.
 //!
-//! The rules are the product's own `admits` and `stop_holds`. A stop is recorded beside the text
-//! with the revision at which it was decided; it ends only by a newer revision that changes what
-//! the text says of that version.
+//! The rules are the production functions `admits` and `stop_holds`. A stop is recorded beside the
+//! configuration with the revision at which it was decided; it ends only by a newer revision that
+//! changes the configuration of that version.
 
 use oatdale_check::{Spec, explore};
 use oatdale_config::{Revision, VersionState};
@@ -12,13 +13,13 @@
 const MAX_REVISION: u64 = 4;
 const MAX_STATES: usize = 2_000_000;
 
-/// What is wrong with the system on purpose.
+/// Fault that is injected into the specification.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Fault {
     None,
-    /// Any newer revision ends a stop, also one about something else.
+    /// Any newer revision ends a stop, also one that does not change the version.
     AnyRevisionEnds,
-    /// A node that restarts opens sessions before it has read the record of stops.
+    /// A node that restarts opens sessions before it has read the stop record.
     RestartForgets,
     /// A stop also refuses sessions that are pinned to the version.
     PinnedIsStopped,
@@ -26,35 +27,40 @@
     StaleNodeClears,
 }
 
-/// The platform's record and what nodes know.
+/// The platform's stop record and the state of the nodes.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct World {
-    /// The newest revision and the newest one that speaks of the version.
+    /// The newest revision, and the newest one that changed the version.
     newest: u64,
     changed_at: u64,
     /// The revision at which the recorded stop was decided.
     record: Option<u64>,
-    /// Whether a stop was recorded that no newer text has ended.
+    /// Whether a stop was recorded that no newer revision has ended.
     is_stop_active: bool,
     nodes: [Node; NODES],
     violation: Option<Violation>,
 }
 
+/// State of one node.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 struct Node {
     revision: u64,
     changed_at: u64,
-    /// The stop as the node has read it, and whether it has read the record since its start.
+    /// The stop that the node knows of, and whether it has read the record since its start.
     stop: Option<u64>,
     has_read: bool,
-    /// Whether the node has had the stop in force; from then on it must hold.
+    /// Whether the stop has been in force at the node; from then on it must hold.
     has_applied_stop: bool,
 }
 
+/// Violation of an invariant.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 enum Violation {
+    /// A stopped version got a new session.
     OpenedStopped,
+    /// A stop refused a pinned session.
     PinnedRefused,
+    /// The record of an active stop was cleared without a newer revision.
     RecordLost,
 }
 
@@ -63,6 +69,7 @@
 }
 
 impl Stop {
+    /// Whether the stop is in force at a node.
     fn holds(&self, node: &Node) -> bool {
         let Some(stopped_at) = node.stop else {
             return false;
@@ -74,6 +81,7 @@
         stop_holds(Revision(stopped_at), Revision(ended_by))
     }
 
+    /// The operator publishes a revision, which may change the version.
     fn operator_steps(world: &World) -> Vec<(String, World)> {
         if world.newest == MAX_REVISION {
             return Vec::new();
@@ -93,6 +101,7 @@
         ]
     }
 
+    /// A node applies a revision, restarts, or reads or writes the stop record.
     fn node_steps(&self, world: &World, index: usize) -> Vec<(String, World)> {
         let node = world.nodes[index];
         let mut steps = Vec::new();
@@ -120,7 +129,8 @@
         });
         if node.has_read && node.stop.is_none() {
             step("finds the version bad and records the stop", &|w| {
-                // A decision on an old text does not stop what a newer text put in its place.
+                // A decision at an old revision does not stop the version as changed by a newer
+                // one.
                 w.record = w.record.max(Some(node.revision));
                 w.is_stop_active |= node.revision >= w.changed_at;
                 w.nodes[index].stop = Some(node.revision);
@@ -137,6 +147,7 @@
         steps
     }
 
+    /// A node opens a session or refuses a pinned one against the invariant.
     fn session_steps(&self, world: &World, index: usize) -> Vec<(String, World)> {
         let node = world.nodes[index];
         let may_decide = node.has_read || self.fault == Fault::RestartForgets;
@@ -209,7 +220,8 @@
     assert!(states > 1_000, "{states}");
 }
 
-/// The checker must notice each of these faults, by a short run that an engineer can follow.
+/// The checker must detect each of these faults by a run that is short enough for an engineer to
+/// follow.
 #[test]
 fn every_injected_fault_is_detected_within_six_steps() {
     let faults = [
