--- a/crates/oatdale-policy/src/relay/pace.rs
+++ b/crates/oatdale-policy/src/relay/pace.rs
@@ -1,70 +1,76 @@
-//! How fast a stream's events come, and what is usual.
+//! Pace of a stream's events, and the usual pace that it is compared with.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Pauses between events that a stream's pace is taken from: two, so that a slow version is found
+/// Pauses between events that determine a stream's pace: two, so that a slow version is found
 /// before its first streams end.
-const PAUSES: u32 = 2;
+const PACE_PAUSES: u32 = 2;
 
-/// Times that the usual one is taken from: enough that a few slow ones do not move it, few enough to
-/// follow a change of load within seconds.
-const REMEMBERED: usize = 31;
+/// Samples of the median: enough that a few slow ones do not move it, few enough to follow a change
+/// of load within seconds.
+const MEDIAN_SAMPLES: usize = 31;
 
-/// How many times longer than usual something has to take to count as slow. Versions that were several
-/// times slower were above it in 9 of 10 streams and more, good ones in 1 of 20 on calm days and 1 of 5
-/// beside slow endpoints.
-const SLOW: f64 = 2.0;
+/// Multiple of the usual time above which something counts as slow. Versions that are several times
+/// slower exceed it in at least 9 of 10 streams; good ones in 1 of 20 under normal load and in 1 of
+/// 5 beside slow endpoints.
+const SLOW_FACTOR: f64 = 2.0;
 
-/// Time that never counts as slow: a few milliseconds more are the network's and the scheduler's.
-const NOT_SLOW: Duration = Duration::from_millis(8);
+/// Time beyond that multiple that never counts as slow: a few milliseconds more are due to the
+/// network and the scheduler.
+const SLOW_MARGIN: Duration = Duration::from_millis(8);
 
-/// Times without which nothing is slow: there is no usual one yet.
-const LEAST: usize = 4;
+/// Samples without which nothing counts as slow: there is no usual time yet.
+const MIN_SAMPLES: usize = 4;
 
-/// The pace of one stream: the shortest of its first pauses.
+/// Pace of one stream: the shortest of its first pauses.
 ///
-/// An engine that reads somebody's long prompt lets all its streams wait once, so a good version has
-/// long pauses too. A slow version is slow from each event to the next.
+/// An engine that reads another request's long prompt pauses all its streams once, so a good
+/// version has long pauses too. A slow version is slow between any two events.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct StreamPace {
-    last: Option<Duration>,
+    /// When the last event came.
+    last_event: Option<Duration>,
+    /// Shortest pause so far.
     shortest: Option<Duration>,
     pauses: u32,
-    told: bool,
+    /// Whether the pace was reported or found slow.
+    is_decided: bool,
 }
 
 impl StreamPace {
-    /// Notes an event that came at `now`; returns the pace once, when it is known.
+    /// Records an event that came at `now`; returns the pace once, when it is known.
     pub fn event(&mut self, now: Duration) -> Option<Duration> {
-        let last = self.last.replace(now)?;
-        if self.told {
+        let previous = self.last_event.replace(now)?;
+        if self.is_decided {
             return None;
         }
-        let pause = now.saturating_sub(last);
+        let pause = now.saturating_sub(previous);
         let shortest = self.shortest.map_or(pause, |s| s.min(pause));
         self.shortest = Some(shortest);
         self.pauses += 1;
-        self.told = self.pauses >= PAUSES;
-        self.told.then_some(shortest)
+        self.is_decided = self.pauses >= PACE_PAUSES;
+        self.is_decided.then_some(shortest)
     }
 
-    /// When the pace becomes slower than `bound` if no event comes: waiting for an event of a slow
-    /// version would hide for seconds that it is slow.
+    /// Returns when the pace becomes slower than `bound` if no event comes: waiting for the next
+    /// event of a slow version would hide for seconds that it is slow.
     pub fn slow_at(&self, bound: Duration) -> Option<Duration> {
-        let others_are_slow = self.shortest.is_some_and(|s| s > bound);
-        let is_last = self.pauses + 1 == PAUSES;
-        let decides = !self.told && is_last && others_are_slow;
-        self.last.filter(|_| decides).map(|last| last + bound)
+        let previous_are_slow = self.shortest.is_some_and(|s| s > bound);
+        let is_last = self.pauses + 1 == PACE_PAUSES;
+        let decides = !self.is_decided && is_last && previous_are_slow;
+        self.last_event
+            .filter(|_| decides)
+            .map(|previous| previous + bound)
     }
 
-    /// Notes that it was found slow before its last pause ended.
+    /// Records that the stream was found slow before its last pause ended.
     pub fn found_slow(&mut self) {
-        self.told = true;
+        self.is_decided = true;
     }
 }
 
-/// How long things of one kind took lately.
+/// Recent times of one kind of operation.
 #[derive(Clone, Debug, Default)]
 pub struct UsualTime {
     recent: VecDeque<Duration>,
@@ -72,9 +78,9 @@
 }
 
 impl UsualTime {
-    /// Notes a time.
+    /// Records the time of an operation.
     pub fn learn(&mut self, took: Duration) {
-        if self.recent.len() == REMEMBERED {
+        if self.recent.len() == MEDIAN_SAMPLES {
             self.recent.pop_front();
         }
         self.recent.push_back(took);
@@ -83,12 +89,12 @@
         self.median = *sorted.select_nth_unstable(middle).1;
     }
 
-    /// The time from which on something counts as slow, if there is a usual one.
+    /// Returns the time above which an operation counts as slow, if a usual time is known.
     ///
-    /// It is taken from the median: the mean follows the few that wait behind long prompts, and a
-    /// slow version is not far above it.
+    /// It is derived from the median: the mean follows the few operations that wait behind long
+    /// prompts, and a slow version is not far above it.
     pub fn slow_after(&self) -> Option<Duration> {
-        let known = self.recent.len() >= LEAST;
-        known.then(|| self.median.mul_f64(SLOW) + NOT_SLOW)
+        let has_baseline = self.recent.len() >= MIN_SAMPLES;
+        has_baseline.then(|| self.median.mul_f64(SLOW_FACTOR) + SLOW_MARGIN)
     }
 }
--- a/crates/oatdale-policy/src/relay/quarantine.rs
+++ b/crates/oatdale-policy/src/relay/quarantine.rs
@@ -1,30 +1,31 @@
-//! Requests that crash the endpoints that run them.
+//! Quarantine of requests that crash the endpoints that run them.
 //!
-//! An endpoint that crashes takes all requests with it that it runs, and from outside they look alike. The one that
-//! is at fault crashes the next endpoint too and never completes; the others complete there. So the endpoints that
-//! crashed under a request are counted until a copy of it completes.
+//! When an endpoint crashes, all requests that it runs fail, and from outside they look alike. The
+//! one at fault crashes the next endpoint too and never completes; the others complete there. So
+//! the endpoints that crashed under a request are counted until a copy of it completes.
 
 use crate::relay::Fingerprint;
 use smallvec::SmallVec;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Endpoints that crash under a request before it is sent to no other one.
+/// Number of endpoints that crash under a request until it is sent to no further one.
 ///
-/// Of some requests that share a crashing endpoint, few are sent to the same next one, and hardly any shares a third.
+/// Of the requests that share a crashing endpoint, few are sent to the same next one, and hardly
+/// any share a third.
 pub const MAX_CRASHES: usize = 3;
 
-/// How long copies of a quarantined request are refused. The software that it crashes may be mended by then, and a
-/// request that was held by mistake must not be refused for good.
+/// How long copies of a quarantined request are refused. The software that it crashes may be fixed
+/// by then, and a request that was quarantined by mistake must not be refused forever.
 pub const QUARANTINE_TIME: Duration = Duration::from_secs(600);
 
 /// How long crashes under a request are remembered.
 const SUSPECT_TIME: Duration = Duration::from_secs(60);
 
-/// Requests that are tracked at the most.
-const MAX_TRACKED: usize = 4_096;
+/// Upper bound of the requests that are tracked.
+const MAX_TRACKED_REQUESTS: usize = 4_096;
 
-/// Requests under which endpoints crashed, as one node has seen them.
+/// Requests under which endpoints crashed, as seen by one node.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     tracked: HashMap<Fingerprint, Tracked>,
@@ -33,86 +34,88 @@
 #[derive(Clone, Debug)]
 struct Tracked {
     state: State,
-    /// When it is forgotten.
-    until: Duration,
+    /// When the entry is dropped.
+    expires_at: Duration,
 }
 
 #[derive(Clone, Debug)]
 enum State {
-    /// The endpoints that crashed under it, each once.
+    /// The endpoints that crashed under the request, each once.
     Suspected(SmallVec<[u32; MAX_CRASHES]>),
     Quarantined,
 }
 
-/// What was known of a request that has completed.
+/// State of a request before it completed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Cleared {
-    /// Nothing.
+    /// It was not tracked.
     Unknown,
     /// Endpoints had crashed under it.
     Suspected,
-    /// It was refused everywhere.
+    /// It was refused on all nodes.
     Quarantined,
 }
 
 impl Quarantine {
-    /// Whether no request is tracked, so that none has to be identified.
+    /// Whether no request is tracked, so that none has to be fingerprinted.
     pub fn is_empty(&self) -> bool {
         self.tracked.is_empty()
     }
 
-    /// Notes that an endpoint crashed under a request, and says whether this was one too many.
+    /// Records that an endpoint crashed under a request; returns whether this crash quarantines the
+    /// request.
     ///
-    /// `endpoint` stands for one start of it: several nodes report the same crash.
+    /// `endpoint` identifies one start of the endpoint: several nodes report the same crash.
     pub fn note_crash(&mut self, now: Duration, request: Fingerprint, endpoint: u32) -> bool {
-        self.make_room(now, request);
+        self.ensure_capacity(now, request);
         let tracked = self.tracked.entry(request).or_insert_with(|| Tracked {
             state: State::Suspected(SmallVec::new()),
-            until: now,
+            expires_at: now,
         });
-        let State::Suspected(crashed) = &mut tracked.state else {
+        let State::Suspected(crashed_endpoints) = &mut tracked.state else {
             return false;
         };
-        if !crashed.contains(&endpoint) {
-            crashed.push(endpoint);
+        if !crashed_endpoints.contains(&endpoint) {
+            crashed_endpoints.push(endpoint);
         }
-        tracked.until = now + SUSPECT_TIME;
-        crashed.len() >= MAX_CRASHES && self.hold(now, request)
+        tracked.expires_at = now + SUSPECT_TIME;
+        crashed_endpoints.len() >= MAX_CRASHES && self.hold(now, request)
     }
 
-    /// Quarantines a request, and says whether it was not yet.
+    /// Quarantines a request; returns whether it was not quarantined before.
     pub fn hold(&mut self, now: Duration, request: Fingerprint) -> bool {
         if self.left(now, request).is_some() {
             return false;
         }
-        self.make_room(now, request);
+        self.ensure_capacity(now, request);
         let tracked = Tracked {
             state: State::Quarantined,
-            until: now + QUARANTINE_TIME,
+            expires_at: now + QUARANTINE_TIME,
         };
         self.tracked.insert(request, tracked);
         true
     }
 
-    /// How much longer a request is refused, if it is.
+    /// Returns how much longer a request is refused; `None` if it is not quarantined.
     pub fn left(&self, now: Duration, request: Fingerprint) -> Option<Duration> {
         let tracked = self.tracked.get(&request)?;
         match tracked.state {
             State::Quarantined => tracked
-                .until
+                .expires_at
                 .checked_sub(now)
-                .filter(|left| !left.is_zero()),
+                .filter(|remaining| !remaining.is_zero()),
             State::Suspected(_) => None,
         }
     }
 
-    /// Whether endpoints crashed under a request, though too few to refuse it.
+    /// Whether endpoints crashed under a request, but too few to quarantine it.
     pub fn is_suspected(&self, now: Duration, request: Fingerprint) -> bool {
-        let tracked = self.tracked.get(&request).filter(|t| t.until > now);
+        let tracked = self.tracked.get(&request).filter(|t| t.expires_at > now);
         tracked.is_some_and(|t| matches!(t.state, State::Suspected(_)))
     }
 
-    /// Notes that a copy of a request completed: it crashes no endpoint.
+    /// Records that a copy of a request completed, so that it crashes no endpoint; returns the
+    /// request's state before.
     pub fn clear(&mut self, request: Fingerprint) -> Cleared {
         match self.tracked.remove(&request).map(|t| t.state) {
             None => Cleared::Unknown,
@@ -121,29 +124,34 @@
         }
     }
 
-    /// Forgets what is old.
+    /// Drops expired entries.
     pub fn expire(&mut self, now: Duration) {
-        self.tracked.retain(|_, t| t.until > now);
+        self.tracked.retain(|_, t| t.expires_at > now);
     }
 
-    /// The requests that are refused now.
+    /// Iterates over the requests that are quarantined.
     pub fn held(&self, now: Duration) -> impl Iterator<Item = Fingerprint> {
         let requests = self.tracked.keys().copied();
         requests.filter(move |request| self.left(now, *request).is_some())
     }
 
-    /// Makes room for a request that is not tracked: suspected ones go first.
-    fn make_room(&mut self, now: Duration, request: Fingerprint) {
-        if self.tracked.get(&request).is_some_and(|t| t.until > now) {
+    /// Makes room for an untracked request by eviction: suspected requests before quarantined ones,
+    /// the first to expire first.
+    fn ensure_capacity(&mut self, now: Duration, request: Fingerprint) {
+        if self
+            .tracked
+            .get(&request)
+            .is_some_and(|t| t.expires_at > now)
+        {
             return;
         }
         self.expire(now);
-        if self.tracked.len() < MAX_TRACKED {
+        if self.tracked.len() < MAX_TRACKED_REQUESTS {
             return;
         }
-        let rank = |t: &Tracked| (matches!(t.state, State::Quarantined), t.until);
-        let first = self.tracked.iter().min_by_key(|(_, t)| rank(t));
-        if let Some(request) = first.map(|(request, _)| *request) {
+        let eviction_key = |t: &Tracked| (matches!(t.state, State::Quarantined), t.expires_at);
+        let evicted = self.tracked.iter().min_by_key(|(_, t)| eviction_key(t));
+        if let Some(request) = evicted.map(|(request, _)| *request) {
             self.tracked.remove(&request);
         }
     }
