--- a/crates/oatdale-relay/src/answer.rs
+++ b/crates/oatdale-relay/src/answer.rs
@@ -1,4 +1,4 @@
-//! An endpoint's answer, and what comes next of its body.
+//! An endpoint's response, whose body is read chunk by chunk.
 
 use crate::running::Running;
 use crate::wire::{AnswerFacts, Wire};
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use tokio::time::{Instant, timeout_at};
 
-/// An answer's head, with its body still to be read.
+/// A response whose head has been received and whose body has not been read to its end.
 pub(crate) struct Answer<W> {
     pub(crate) head: response::Parts,
     pub(crate) facts: AnswerFacts,
@@ -16,25 +16,25 @@
     pub(crate) running: Running<W>,
 }
 
-/// What came next of a body.
+/// Result of waiting for the next chunk of a body.
 pub(crate) enum Next {
     Piece(Bytes),
     End,
-    /// It breaks off, for this reason.
+    /// The body broke off, for this reason.
     Broken(String),
-    /// Nothing came in time.
+    /// No chunk arrived in time.
     Late,
 }
 
 impl<W: Wire> Answer<W> {
-    /// Waits for the next bytes of the body.
+    /// Waits for the next chunk of the body.
     pub(crate) async fn next(&mut self, until: Instant) -> Next {
-        // What has come counts, also from an endpoint that has started again meanwhile.
+        // Biased: a chunk that has arrived counts even if its endpoint has restarted since.
         let piece = tokio::select! {
             biased;
             piece = timeout_at(until, next_piece(&mut self.body)) => piece,
             () = self.running.started_again() => {
-                return Next::Broken("the endpoint started again".to_owned());
+                return Next::Broken("endpoint restarted during the response".to_owned());
             }
         };
         match piece {
--- a/crates/oatdale-relay/src/asking.rs
+++ b/crates/oatdale-relay/src/asking.rs
@@ -1,8 +1,9 @@
-//! Asks engines how they are, for requests that wait there.
+//! Probes engines on behalf of requests that wait there.
 //!
-//! An engine that reads a long prompt sends nobody anything meanwhile, one that is away does not either,
-//! and one may have lost a request while it answers others. Streams would be ended for nothing, or
-//! waited for in vain, if the engine were not asked. What it answers serves all requests that wait there.
+//! An engine that processes a long prompt sends nothing meanwhile, nor does one that is down, and
+//! one may have lost a request while it responds to others. Without a probe, streams would be ended
+//! needlessly or waited for in vain. The result of one probe serves all requests that wait at the
+//! engine.
 
 use crate::cx::Cx;
 use crate::directory::Entry;
@@ -17,24 +18,26 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// How long an engine may take to say that it is alive.
+/// How long an engine may take to respond to a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// After this time an engine's report has a request if it will ever have it: reports are some hundred
+/// Time after which a request that the engine has is listed in its report: reports are some hundred
 /// milliseconds old.
 const REPORTED: Duration = Duration::from_millis(600);
 
-/// How long a report serves other requests: each call has its price, and in overload many wait.
+/// How long a report is reused for other requests. Each probe costs the engine work, and many
+/// requests wait there under overload.
 const REPORT_LIFE: Duration = Duration::from_millis(600);
 
-/// The longest report of an engine that is read: some hundred requests.
+/// Maximum size of a report in bytes: enough for some hundred requests.
 const MAX_REPORT: usize = 64 << 10;
 
-/// What an engine answered when it was asked.
+/// Result of a probe.
 #[derive(Clone, PartialEq, Eq, Debug)]
 enum Probed {
+    /// The engine did not respond in time.
     Away,
-    /// It answered, and may have said what it does.
+    /// The engine responded; the report is missing if it sent none that can be read.
     Alive {
         report: Option<Arc<EngineReport>>,
         leaving: bool,
@@ -42,7 +45,7 @@
     },
 }
 
-/// An engine's report, and when it came.
+/// An engine's report and the time at which it was received.
 #[derive(Clone, Debug)]
 pub(crate) struct Report {
     at: Duration,
@@ -50,8 +53,8 @@
 }
 
 impl<W: Wire> Running<W> {
-    /// Whether the endpoint sends nothing at all any more: nothing came for `silence`, and a
-    /// question that an engine answers at once is not answered either.
+    /// Whether the endpoint is unresponsive: no bytes were received for `silence`, and it does not
+    /// respond to a probe, which a live engine answers at once.
     pub(crate) async fn is_dead(&self, silence: Duration) -> bool {
         let now = self.cx.now();
         {
@@ -72,8 +75,8 @@
         self.ask().await == Probed::Away
     }
 
-    /// Whether the endpoint itself says that it does not have the request `id`, which it was sent so
-    /// long ago.
+    /// Whether the endpoint's report shows that it does not have the request `id`, which was sent
+    /// `waited` ago.
     pub(crate) async fn is_lost(&self, id: &str, waited: Duration) -> bool {
         let now = self.cx.now();
         let sent = now.saturating_sub(waited);
@@ -142,7 +145,7 @@
 }
 
 impl<W: Wire> Cx<W> {
-    /// Asks an engine how it is; it answers at once unless it is away.
+    /// Sends a probe to an engine, which responds at once unless it is down.
     async fn probe(&self, addr: SocketAddr) -> Probed {
         let mut req = Request::new(Full::default());
         *req.uri_mut() = Uri::from_static(self.wire.probe_path());
@@ -165,8 +168,8 @@
     }
 }
 
-/// Whether a request may ask now, and notes that it does: what another one has just asked shows at the
-/// next look.
+/// Whether a probe may be sent now; if so, records its time. A request that may not probe sees the
+/// result of the probe already sent at its next check.
 fn takes_turn(entry: &mut Entry, now: Duration) -> bool {
     let free = now >= entry.probed + PROBE_TIMEOUT * 2;
     if free {
--- a/crates/oatdale-relay/src/attempt.rs
+++ b/crates/oatdale-relay/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One request to one endpoint, and the exact ways in which it ends.
+//! Sends a request to one endpoint and classifies the outcome.
 
 use crate::answer::Answer;
 use crate::crashes;
@@ -15,42 +15,45 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// How long an endpoint may send nothing at all, on any connection of this node, before it counts
-/// as unavailable. An engine under load sends tokens of other requests several times a second.
+/// How long an endpoint may send no bytes on any connection of this node before it counts as
+/// unavailable. An engine under load sends tokens of other requests several times per second.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// The part of a route's target after which an attempt may be abandoned: enough of it has to
-/// be left for another endpoint to answer in time.
+/// Share of a route's target latency after which an attempt may be abandoned: the rest has to
+/// suffice for another endpoint to respond in time.
 const RESPONSE_TIMEOUT_SHARE: f64 = 0.6;
 
-/// A wait of so many targets is longer than any queue at a busy engine: the request itself is lost.
-/// Before that, another engine would queue it from the beginning.
+/// Wait, in multiples of the target latency, after which a stream's request counts as lost: no
+/// queue at a busy engine is that long. Abandoning it earlier would put it at the end of another
+/// engine's queue.
 const LOST_AFTER_TARGETS: f64 = 2.5;
 
-/// The shortest response timeout, so that one slow answer does not count as silence.
+/// Minimum response timeout, so that one slow response does not count as a missing one.
 const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// Why there is no answer.
+/// Why an attempt gave no response.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub(crate) enum Failure {
-    /// No byte was sent.
+    /// No byte of the request was sent.
     NotSent(String),
-    /// The endpoint said that it has not run it and will not.
+    /// The endpoint stated that it has not run the request and never will; holds its status code.
     NotRun(u16),
-    /// It may have run.
+    /// The request may have run.
     Unknown(String),
-    /// Nothing came for so long that another endpoint is asked; it may have run.
+    /// No response within the response timeout, so another endpoint is tried; the request may have
+    /// run.
     Abandoned,
-    /// Nothing came until the request's limit; it may have run.
+    /// No response before the request's deadline; the request may have run.
     TimedOut,
-    /// No endpoint may take it.
+    /// No endpoint is eligible.
     NoEndpoint(Shortage),
-    /// It crashes endpoints, which turned out before or after it was sent to this one.
+    /// The request is quarantined because it crashes endpoints; `sent` tells whether that was found
+    /// out only after it had been sent to this one.
     Quarantined { sent: bool },
 }
 
 impl Failure {
-    /// Whether it is certain that nothing ran.
+    /// Whether the request was certainly not run.
     pub(crate) fn is_not_run(&self) -> bool {
         matches!(
             self,
@@ -62,16 +65,17 @@
     }
 }
 
-/// How to send a request.
+/// Options of one attempt.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) struct SendOptions {
-    /// Go on after this event.
+    /// Id of the last event that the caller has; the stream resumes after it.
     pub(crate) last_event: Option<u64>,
-    /// Whether a silent endpoint is given up early, because another one may be asked.
+    /// Whether an unresponsive endpoint is abandoned before the deadline because another one may be
+    /// tried.
     pub(crate) may_abandon: bool,
 }
 
-/// Sends a request to the best endpoint that has not had it.
+/// Sends a request to the best endpoint that has not received it yet.
 pub(crate) async fn attempt<W: Wire>(
     cx: &Arc<Cx<W>>,
     plan: &mut Plan,
@@ -101,12 +105,12 @@
     let sent = Instant::now();
     let result = send(cx, plan, &running, how).await;
     let took = sent.elapsed();
-    // A request that was never sent is no send of it.
+    // Only attempts that sent at least one byte count.
     plan.sends += u32::from(!matches!(result, Err(Failure::NotSent(_))));
     log::info!(
         target: "attempt",
-        "event=attempt id={} config={} service={} endpoint={} version={} model={} load={:.1} of={} \
-         after_event={:?} left_ms={} took_ms={} end={}",
+        "event=attempt id={} config={} service={} endpoint={} version={} model={} load={:.1} \
+         candidates={} after_event={:?} left_ms={} took_ms={} end={}",
         plan.facts.id.as_deref().unwrap_or("-"), plan.site.version, plan.service, running.id,
         running.version, plan.model().unwrap_or("-"), running.load_before, running.choices,
         how.last_event, plan.left().as_millis(), took.as_millis(),
@@ -139,17 +143,17 @@
     let mut check = sent + response_timeout(plan);
     let mut is_late = false;
     let res = loop {
-        // One that is not given up is looked at once.
+        // Without permission to abandon the attempt, lateness is checked only once.
         let until = match how.may_abandon || !is_late {
             true => check.min(plan.limit),
             false => plan.limit,
         };
-        // What has come counts, also from an endpoint that has started again meanwhile.
+        // Biased: a response that has arrived counts even if its endpoint has restarted since.
         let res = tokio::select! {
             biased;
             res = timeout_at(until, &mut sending) => res,
             () = running.started_again() => {
-                return Err(Failure::Unknown("the endpoint started again".to_owned()));
+                return Err(Failure::Unknown("endpoint restarted before it responded".to_owned()));
             }
             () = cx.quarantined(plan) => return Err(Failure::Quarantined { sent: true }),
         };
@@ -196,7 +200,7 @@
     Ok((head, facts, body))
 }
 
-/// When a request's first answer is late enough to ask whether its endpoint is alive.
+/// How long a response head may take before the endpoint is checked for being alive.
 fn response_timeout(plan: &Plan) -> Duration {
     target(plan)
         .mul_f64(RESPONSE_TIMEOUT_SHARE)
@@ -208,10 +212,11 @@
     route.target_latency.unwrap_or(route.timeout)
 }
 
-/// Whether to ask another endpoint.
+/// Whether to abandon the attempt and try another endpoint.
 ///
-/// Streams wait for their turn at an engine, which says if asked that it is alive and whether it has
-/// the request. A plain service's answer that is late is late for itself.
+/// Streams wait in an engine's queue; a probe of the engine shows whether it is alive and still has
+/// the request. A late response of a plain service is abandoned without a probe, since nothing but
+/// the service itself delays it.
 async fn is_abandoned<W: Wire>(plan: &Plan, running: &Running<W>, sent: Instant) -> bool {
     if !plan.route().kind.is_stream() || sent.elapsed() >= target(plan).mul_f64(LOST_AFTER_TARGETS)
     {
@@ -221,7 +226,7 @@
     running.is_dead(IDLE_TIMEOUT).await || running.is_lost(id, sent.elapsed()).await
 }
 
-/// Sorts out answers that are none.
+/// Rejects responses that are not valid answers to this request.
 fn sort<W: Wire>(
     plan: &Plan,
     running: &Running<W>,
@@ -235,17 +240,18 @@
     if facts.not_run {
         return Err(Failure::NotRun(head.status.as_u16()));
     }
-    // A connection may hold an answer that was meant for an earlier request. The caller would get
-    // somebody else's data; the request itself may have run.
+    // A connection may deliver a response to an earlier request. Forwarding it would disclose
+    // another caller's data; the request itself may have run.
     if facts.id != plan.facts.id {
-        return Err(Failure::Unknown(format!("answer to {:?}", facts.id)));
+        return Err(Failure::Unknown(format!("id mismatch: got {:?}", facts.id)));
     }
     if !facts.signed {
-        return Err(Failure::Unknown(format!("unsigned {}", head.status)));
+        return Err(Failure::Unknown(format!("unsigned reply {}", head.status)));
     }
     Ok(())
 }
 
+/// Updates endpoint health and roll-out statistics with an attempt's outcome.
 fn learn<W: Wire>(
     cx: &Cx<W>,
     plan: &Plan,
@@ -275,7 +281,7 @@
         }
         Err(Failure::Unknown(_)) => return running.silent(),
         Err(Failure::TimedOut) => {
-            // A caller that waits only a moment says nothing of the endpoint.
+            // A deadline shorter than the response timeout says nothing about the endpoint.
             if took >= response_timeout(plan) {
                 running.silent();
             }
@@ -283,8 +289,9 @@
         }
         Err(Failure::NoEndpoint(_) | Failure::Quarantined { .. }) => return,
     };
-    // A stream's first event waits for its engine's queue and for the prompt to be read, which says
-    // little of a version; the pace of its events says more and is noted later.
+    // A stream's first event waits for the engine's queue and for the prompt to be processed, which
+    // says little about a version; the intervals between its events say more and are recorded while
+    // the stream runs.
     let is_timed = !failed && !plan.route().kind.is_stream();
     let took = is_timed.then(|| (plan.answer_pace(), took));
     let source = plan.source(running);
--- a/crates/oatdale-relay/src/body.rs
+++ b/crates/oatdale-relay/src/body.rs
@@ -1,4 +1,4 @@
-//! Callers' bodies, which are read whole: a repeat, a larger model and a resumed stream send them again.
+//! Buffers callers' bodies, because a retry, a larger model and a resumed stream send them again.
 
 use crate::plan::Plan;
 use crate::reply::Refusal;
@@ -13,24 +13,25 @@
 /// How long a caller may take to send a body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Bytes of bodies that are held at once. Callers may each send as much as the configuration allows; some
-/// dozens of such bodies would take all of a small host's memory, and the process would be killed with
-/// every request that it has under way. A quarter of the smallest host that is known of.
+/// Total bytes of request bodies that are buffered at once: a quarter of the memory of the smallest
+/// known host. Without this bound, a few dozen bodies of the size that the configuration allows
+/// would exhaust a small host's memory, and the process would be killed with every request in
+/// flight.
 const HELD_AT_ONCE: usize = 28 << 20;
 
-/// What each body may have beyond it: short ones are never held up by long ones, and a host's 4,000
-/// connections with such bodies stay within its memory.
+/// Bytes of each body that need no reservation, so that short bodies never wait for long ones. A
+/// host's 4,000 connections with such bodies fit into its memory.
 const FREE: usize = 16 << 10;
 
-/// How long a body waits for memory. Those that have a part of theirs wait for each other, so waiting on
-/// would help nobody.
+/// How long a body waits for memory. Bodies that hold part of their memory may wait for each other,
+/// so a longer wait would not help.
 const MEMORY_WAIT: Duration = Duration::from_secs(1);
 
-/// The memory for bodies of all requests.
+/// Memory budget for the bodies of all requests.
 #[derive(Clone, Debug)]
 pub(crate) struct BodyMemory(Arc<Semaphore>);
 
-/// A body that has been read, and its share of the memory.
+/// A buffered body and its reservation in the memory budget.
 #[derive(Debug, Default)]
 pub(crate) struct HeldBody {
     pub(crate) bytes: Bytes,
@@ -46,13 +47,14 @@
 impl BodyMemory {
     /// Reads a body to its end.
     ///
-    /// While there is no memory for it nothing is read, so that the caller can't send it. Memory is taken
-    /// as bytes come: a caller that tells a length and sends nothing must not keep it from others.
+    /// While there is no memory for it, nothing is read, which applies back pressure to the caller.
+    /// Memory is reserved as bytes arrive: a caller that announces a length and sends nothing must
+    /// not block others.
     ///
     /// # Errors
     ///
-    /// It is longer than allowed, breaks off, or does not come in time; or no memory became free in
-    /// time.
+    /// Fails if the body exceeds the size limit, breaks off or is not received in time, or if no
+    /// memory becomes free in time.
     pub(crate) async fn read(&self, plan: &Plan, mut body: Incoming) -> Result<HeldBody, Refusal> {
         let limit = plan.site.limits.body_bytes.min(HELD_AT_ONCE);
         if body.size_hint().lower() > limit as u64 {
@@ -94,7 +96,7 @@
         let memory = timeout(MEMORY_WAIT, self.0.clone().acquire_many_owned(bytes)).await;
         match memory {
             Ok(Ok(memory)) => Ok(memory),
-            // The semaphore is never closed; a caller could come back all the same.
+            // The semaphore is never closed; if it were, the caller could still retry.
             Ok(Err(_)) | Err(_) => Err(Refusal::NoMemory),
         }
     }
--- a/crates/oatdale-relay/src/error.rs
+++ b/crates/oatdale-relay/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a relay can't start.
+//! Errors that prevent a relay from starting.
 
 use snafu::Snafu;
 use std::io;
@@ -7,22 +7,22 @@
 /// Result of starting a relay.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Why a relay can't start.
+/// An error that prevents a relay from starting.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// An address can't be listened on.
+    /// Binding or listening on an address failed.
     #[snafu(display("can't listen on {addr}: {source}"))]
     Listen {
         /// The address.
         addr: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The metrics contradict each other.
-    #[snafu(display("can't set up metrics: {source}"))]
+    /// The metrics can't be registered, since two of them conflict.
+    #[snafu(display("can't register metrics: {source}"))]
     Metrics {
-        /// What the library said.
+        /// The error of the metrics library.
         source: prometheus::Error,
     },
 }
--- a/crates/oatdale-relay/src/front.rs
+++ b/crates/oatdale-relay/src/front.rs
@@ -1,4 +1,4 @@
-//! Accepts callers' connections.
+//! Accepts and serves callers' connections.
 
 use crate::cx::Cx;
 use crate::guard::{ConnWatch, Due, Guarded};
@@ -15,7 +15,7 @@
 use tokio::sync::watch;
 use tokio::time::sleep_until;
 
-/// Bounds on callers while no configuration is known.
+/// Limits on callers until a configuration is known.
 const FIRST_LIMITS: CallerLimits = CallerLimits {
     header_bytes: 16 << 10,
     body_bytes: 1 << 20,
@@ -23,23 +23,23 @@
     idle_timeout: Duration::from_secs(15),
 };
 
-/// The least that the HTTP library takes as a head's bound.
+/// Smallest buffer size that the HTTP library accepts for a request head.
 const LEAST_HEADER_BYTES: usize = 8 << 10;
 
-/// A caller's host that acknowledges nothing for so long is gone; its requests would go on to use
-/// endpoints for nobody.
+/// TCP user timeout of callers' connections: a caller that acknowledges nothing for this long is
+/// gone, and its requests would occupy endpoints for nobody.
 const CALLER_GONE: Duration = Duration::from_secs(4);
 
-/// How far a stop has come.
+/// Phase of a shutdown, as callers' connections see it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(crate) enum Stop {
-    /// The node runs, or stops and still takes requests.
+    /// The node runs, or is shutting down and still accepts requests.
     Open,
-    /// Connections without a request are closed.
+    /// No new connections are accepted, and those without a request in flight are closed.
     Closing,
 }
 
-/// Accepts connections until the stop closes them.
+/// Accepts connections until the shutdown reaches [`Stop::Closing`].
 pub(crate) async fn accept<W: Wire>(
     cx: Arc<Cx<W>>,
     listener: TcpListener,
@@ -55,7 +55,8 @@
                 tokio::spawn(connection(cx.clone(), stream, stop.clone()));
             }
             Err(err) => {
-                // Out of descriptors, mostly: others have to end first.
+                // Usually the file descriptors are exhausted, and other connections have to end
+                // first.
                 log::warn!(target: "front", "event=accept_failed err={err}");
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
--- a/crates/oatdale-relay/src/guard.rs
+++ b/crates/oatdale-relay/src/guard.rs
@@ -1,8 +1,8 @@
-//! Ends callers' connections that are idle or slow.
+//! Timeouts for callers' connections that are idle or send a request head slowly.
 //!
-//! The limits come with the configuration and change while connections live, so each connection
-//! looks them up when it checks. Without this, callers that open connections and send nothing, or
-//! a head's bytes one by one, use up the node's descriptors.
+//! The limits are part of the configuration and may change while a connection is open, so each
+//! check looks them up. Without these timeouts, callers that open connections and send nothing, or
+//! send a head byte by byte, would exhaust the node's file descriptors.
 
 use crate::site::CallerLimits;
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -12,33 +12,33 @@
 use std::task::{Context, Poll};
 use tokio::time::Instant;
 
-/// What a connection does.
+/// State of a connection.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Doing {
-    /// Waits for a request since then.
+    /// Waiting for a request since that moment.
     Idle(Instant),
-    /// Receives a head since then.
+    /// Receiving a request head since that moment.
     Head(Instant),
-    /// Has a request under way.
+    /// A request is in flight.
     Request,
 }
 
-/// What to do with a connection whose time is up.
+/// Result of checking a connection's timeouts.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Due {
-    /// Nothing before that moment.
+    /// Check again at that moment.
     Later(Instant),
-    /// It was idle for too long.
+    /// Close the connection: it has exceeded the idle timeout.
     CloseIdle,
-    /// A head took too long.
+    /// Close the connection: the request head has exceeded its timeout.
     CloseSlow,
 }
 
-/// One connection's state, shared by its bytes and its requests.
+/// State of one connection, shared by its I/O wrapper and its request handlers.
 #[derive(Clone, Debug)]
 pub(crate) struct ConnWatch(Arc<Mutex<Doing>>);
 
-/// A connection that notes when bytes arrive.
+/// I/O wrapper that records when bytes arrive.
 pub(crate) struct Guarded<I> {
     io: I,
     watch: ConnWatch,
@@ -49,12 +49,12 @@
         ConnWatch(Arc::new(Mutex::new(Doing::Idle(Instant::now()))))
     }
 
-    /// A request's head has come whole.
+    /// Records that a complete request head has been received.
     pub(crate) fn request(&self) {
         self.set(Doing::Request);
     }
 
-    /// The answer has ended.
+    /// Records that the response has ended.
     pub(crate) fn answered(&self) {
         self.set(Doing::Idle(Instant::now()));
     }
@@ -63,6 +63,7 @@
         matches!(self.get(), Doing::Idle(_))
     }
 
+    /// Checks the timeouts against the current limits.
     pub(crate) fn due(&self, limits: &CallerLimits) -> Due {
         let now = Instant::now();
         match self.get() {
@@ -76,6 +77,7 @@
         }
     }
 
+    /// Records that bytes have been received.
     fn bytes(&self) {
         if self.is_idle() {
             self.set(Doing::Head(Instant::now()));
--- a/crates/oatdale-relay/src/heads.rs
+++ b/crates/oatdale-relay/src/heads.rs
@@ -1,8 +1,8 @@
-//! Heads of requests and answers: what is passed on of them.
+//! Filters the headers of forwarded requests and responses.
 
 use http::{HeaderMap, HeaderName, header, response};
 
-/// The one host that a request names.
+/// Returns the `Host` header; `None` if it is missing, not text or repeated.
 pub(crate) fn host(headers: &HeaderMap) -> Option<&str> {
     let mut hosts = headers.get_all(header::HOST).iter();
     let host = hosts.next()?.to_str().ok()?;
@@ -12,14 +12,14 @@
     }
 }
 
-/// Whether the body is a stream of events.
+/// Whether the body is an event stream.
 pub(crate) fn is_events(headers: &HeaderMap) -> bool {
     headers
         .get(header::CONTENT_TYPE)
         .is_some_and(|v| v.as_bytes().starts_with(b"text/event-stream"))
 }
 
-/// The head of an answer without what concerns the endpoint's connection only.
+/// Returns the head of a response without what concerns only the endpoint's connection.
 pub(crate) fn passed_on(mut head: response::Parts) -> response::Parts {
     strip(&mut head.headers);
     head.version = http::Version::HTTP_11;
@@ -27,8 +27,8 @@
     head
 }
 
-/// Removes the headers that concern one connection, and the length, which the next one's sender
-/// writes anew from what it really sends.
+/// Removes the hop-by-hop headers, and the content length, which the sender on the next connection
+/// sets anew from what it actually sends.
 pub(crate) fn strip(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
--- a/crates/oatdale-relay/src/lib.rs
+++ b/crates/oatdale-relay/src/lib.rs
@@ -1,9 +1,10 @@
-//! Passes requests on unread, to endpoints that a platform tells of.
+//! A reverse proxy that forwards requests to endpoints that a platform announces.
 //!
-//! A [`Relay`] finds a request's route by host and path, picks an endpoint, and passes the answer
-//! back as it comes. It repeats what may be repeated, goes on with streams whose endpoint breaks
-//! off, asks a larger model where a small one is not sure, and moves services to new software
-//! versions. What a platform calls things is behind [`Wire`], [`Update`] and [`Command`].
+//! A [`Relay`] finds a request's route by HTTP host and path, picks an endpoint, and passes the
+//! response back as it arrives. Request bodies are forwarded without being parsed. The relay
+//! retries what may be retried, resumes streams whose endpoint breaks off, repeats a request with a
+//! larger model where a small one has low confidence, and rolls services out to new software
+//! versions. The platform's own names and formats are behind [`Wire`], [`Update`] and [`Command`].
 //!
 //! # Examples
 //!
--- a/crates/oatdale-relay/src/local.rs
+++ b/crates/oatdale-relay/src/local.rs
@@ -1,4 +1,4 @@
-//! What a relay answers beside requests: readiness, the nodes' addresses, metrics.
+//! Serves the relay's own endpoints: readiness, node addresses and metrics.
 
 use crate::cx::Cx;
 use crate::reply::{Body, plain};
@@ -18,22 +18,22 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// How long callers may keep an answer about addresses. A node that stops is asked for by callers
-/// that keep one for three times as long, and has to stay for them.
+/// How long callers may cache the node addresses. Some callers keep them three times as long, and a
+/// node that shuts down has to stay up for these.
 const ADDRESSES_LIFE: Duration = Duration::from_millis(1_500);
 
-/// Addresses that one answer has at most.
+/// Maximum number of addresses in one response.
 const MAX_ADDRESSES: usize = 64;
 
-/// How long a connection may stay without a request.
+/// How long a connection may stay open without a request.
 const IDLE: Duration = Duration::from_secs(10);
 
-/// Answers the small interfaces for callers and operators.
+/// Serves readiness, node addresses and metrics to callers and operators.
 pub(crate) async fn serve_local<W: Wire>(cx: Arc<Cx<W>>, listener: TcpListener) {
     serve_with(listener, move |req| answer(cx.clone(), req)).await;
 }
 
-/// Answers requests that need no body.
+/// Accepts connections and serves their requests with `answer`, for requests without a body.
 pub(crate) async fn serve_with<F, A>(listener: TcpListener, answer: F)
 where
     F: Fn(Request<Incoming>) -> A + Clone + Send + 'static,
@@ -89,7 +89,7 @@
     res
 }
 
-/// Nodes for a caller of a failure domain: this one if it is ready, and others.
+/// Addresses to advertise to a caller of a failure domain: this node's if it is ready, and others'.
 fn known_addresses<W: Wire>(cx: &Cx<W>, domain: Option<&str>) -> Vec<SocketAddr> {
     let own = Node::from(&cx.settings);
     let ready = cx.is_ready();
--- a/crates/oatdale-relay/src/plan.rs
+++ b/crates/oatdale-relay/src/plan.rs
@@ -1,4 +1,4 @@
-//! One request as the relay handles it, from its head to the end of its answer.
+//! State of one request, from its head to the end of the response.
 
 use crate::body::HeldBody;
 use crate::cx::Cx;
@@ -22,11 +22,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Prompt tokens that weigh as much as one request without any: an engine reads about so many
-/// in the time in which it answers a short request.
+/// Prompt tokens that add as much load as one request without a prompt: an engine processes about
+/// this many in the time in which it answers a short request.
 const TOKENS_PER_REQUEST: f64 = 3_000.0;
 
-/// A request and all that has been decided for it.
+/// A request, its routing and the state of its attempts.
 pub(crate) struct Plan {
     pub(crate) site: Arc<Site>,
     route: usize,
@@ -35,24 +35,24 @@
     pub(crate) facts: RequestFacts,
     pub(crate) method: Method,
     pub(crate) uri: Uri,
-    /// The caller's headers without those of its connection.
+    /// The caller's headers without the hop-by-hop ones.
     pub(crate) headers: HeaderMap,
     pub(crate) body: HeldBody,
     pub(crate) arrival: Instant,
-    /// When the caller stops waiting or the route's time is up.
+    /// Deadline: when the caller stops waiting or the route's timeout expires, whichever is first.
     pub(crate) limit: Instant,
     urgency: u8,
-    /// Place in the route's ladder of the model that is asked next.
+    /// Index in the route's ladder of the model for the next attempt.
     pub(crate) size: usize,
-    /// Endpoints that it was sent to.
+    /// Endpoints that are excluded from the next attempt because they received the request.
     pub(crate) tried: Vec<EndpointKey>,
-    /// All endpoints that it was sent to, those among them whose answers were dropped.
+    /// All endpoints that received the request, including those whose responses were discarded.
     pub(crate) sent_to: SmallVec<[EndpointKey; 4]>,
-    /// How many endpoints may have begun with it or refused it.
+    /// Number of attempts that an endpoint may have started or refused.
     pub(crate) sends: u32,
-    /// Size of the generation as a multiple of the route's usual one.
+    /// Size of the generation as a multiple of the route's mean.
     pub(crate) relative_size: f64,
-    /// What the models that were asked said of their answers.
+    /// Confidence values that the models reported for their responses, in order.
     pub(crate) confidences: SmallVec<[u8; 2]>,
     fingerprint: OnceLock<Fingerprint>,
 }
@@ -97,9 +97,9 @@
         &self.site.routes[self.route]
     }
 
-    /// Finds the caller's customer.
+    /// Looks up the caller's customer by its key.
     ///
-    /// A key that is sent to a public route is of no concern.
+    /// Public routes need no key: a missing or unknown one is ignored there.
     pub(crate) fn authenticate(&mut self) -> Result<(), Refusal> {
         let Some(customers) = &self.site.customers else {
             return Ok(());
@@ -120,22 +120,22 @@
         }
     }
 
-    /// The model that is asked, where the caller left it open.
+    /// The model for the next attempt, where the route's ladder selects it instead of the caller.
     pub(crate) fn model(&self) -> Option<&str> {
         self.route().ladder.get(self.size).map(String::as_str)
     }
 
-    /// Time until the limit.
+    /// Time until the deadline.
     pub(crate) fn left(&self) -> Duration {
         self.limit.saturating_duration_since(Instant::now())
     }
 
-    /// Whether the request may be sent to one endpoint more.
+    /// Whether the request may be sent to another endpoint.
     pub(crate) fn has_attempts(&self) -> bool {
         self.sends < self.route().attempts.max(1)
     }
 
-    /// Identifies copies of this request: the same caller sends the same body to the same target.
+    /// Hash that identifies copies of this request: the same method, target, customer and body.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
             let fields: [&[u8]; 5] = [
@@ -149,7 +149,8 @@
             ];
             let mut hasher = Sha256::new();
             for field in fields {
-                // Lengths keep the end of one field from passing for the beginning of the next.
+                // The length prefix prevents collisions of inputs that are split into fields at
+                // different positions.
                 hasher.update((field.len() as u64).to_le_bytes());
                 hasher.update(field);
             }
@@ -161,23 +162,23 @@
         })
     }
 
-    /// Hash of the session, the same on every node.
+    /// Hash of the session id, the same on every node.
     pub(crate) fn session(&self) -> Option<u64> {
         self.facts.session.as_ref().map(hash)
     }
 
-    /// Whether there would be an attempt left after the next one.
+    /// Whether another attempt would be allowed after the next one.
     pub(crate) fn has_attempts_after_next(&self) -> bool {
         self.sends + 1 < self.route().attempts
     }
 
-    /// Whether the largest model of a ladder is asked.
+    /// Whether the next attempt uses the largest model of a ladder.
     pub(crate) fn is_largest(&self) -> bool {
         let sizes = self.route().ladder.len();
         sizes > 1 && self.size + 1 == sizes
     }
 
-    /// Where the answer of an endpoint comes from, for roll-outs.
+    /// Origin of an endpoint's response, for roll-out statistics.
     pub(crate) fn source<'a, W>(&'a self, running: &'a Running<W>) -> Source<'a> {
         Source {
             is_failing: running.is_failing,
@@ -190,17 +191,17 @@
         }
     }
 
-    /// Answers that take about as long as each other: those of one plain route.
+    /// Group of requests with comparable response times: those of one plain route.
     pub(crate) fn answer_pace(&self) -> Pace {
         hash(&("answer", &self.route().prefix))
     }
 
-    /// Streams whose events come about as fast: those of one model size.
+    /// Group of streams with comparable event intervals: those of one model size.
     pub(crate) fn event_pace(&self) -> Pace {
         hash(&("event", self.size))
     }
 
-    /// Notes how large the generation is next to others of its route.
+    /// Records how large the generation is relative to others of its route.
     pub(crate) fn note_size<W>(&mut self, cx: &Cx<W>) {
         let Some(prompt) = &self.facts.prompt else {
             return;
@@ -209,8 +210,8 @@
         self.relative_size = cx.state().relative_size(&self.route().name, size);
     }
 
-    /// The work that the request makes at an endpoint: a long prompt and a large model hold up all
-    /// others there.
+    /// Load that the request adds to an endpoint: a long prompt and a large model delay all other
+    /// requests there.
     fn weight(&self) -> f64 {
         let tokens = self.facts.prompt.as_ref().map_or(0, |p| p.tokens_in);
         let facts = self.site.services.get(&self.service);
@@ -221,7 +222,7 @@
         (1.0 + f64::from(tokens) / TOKENS_PER_REQUEST) * cost
     }
 
-    /// Hash of the part of the prompt that others share, with the model that would keep it.
+    /// Hash of the prompt prefix that other requests share, and of the model that would cache it.
     fn prefix(&self) -> Option<u64> {
         let parts = &self.facts.prompt.as_ref()?.parts;
         let shared = parts.len().saturating_sub(1).max(1).min(parts.len());
@@ -229,20 +230,20 @@
         Some(hash(&(&last.0, self.size)))
     }
 
-    /// Places it at an endpoint that has not had it.
+    /// Assigns the request to an endpoint that has not received it yet.
     pub(crate) fn place<W: Wire>(&self, cx: &Arc<Cx<W>>) -> Result<Running<W>, Shortage> {
         let allowed = self.allowed(cx);
         cx.place(&self.wanted(&allowed))
     }
 
-    /// Whether there is an endpoint that has not had it.
+    /// Whether an eligible endpoint has not received the request yet.
     pub(crate) fn has_place<W: Wire>(&self, cx: &Cx<W>) -> bool {
         let allowed = self.allowed(cx);
         cx.has_place(&self.wanted(&allowed))
     }
 
-    /// The versions that it may use now: a roll-out may have ended since its last attempt, and the version that was
-    /// allowed then may be gone.
+    /// Software versions that the request may use now. Looked up again for each attempt: a roll-out
+    /// may have ended since the last one, and the version allowed then may be gone.
     fn allowed<W: Wire>(&self, cx: &Cx<W>) -> Allowed {
         cx.allowed(&self.service, self.session(), hash(&self.facts.id))
     }
@@ -257,8 +258,8 @@
         }
     }
 
-    /// Notes that the session runs on the endpoint's version, before the request is sent: the session's
-    /// next one may reach another node as soon as this one is answered.
+    /// Pins the session to the endpoint's version. Called before the request is sent, because the
+    /// session's next request may reach another node as soon as this one is answered.
     pub(crate) fn pin_session<W: Wire>(&self, cx: &Cx<W>, running: &Running<W>) {
         let Some(session) = self.session() else {
             return;
@@ -273,7 +274,7 @@
         }
     }
 
-    /// The request as the endpoint gets it.
+    /// Builds the request that is sent to the endpoint.
     pub(crate) fn request<W: Wire>(
         &self,
         cx: &Cx<W>,
@@ -296,8 +297,8 @@
         req
     }
 
-    /// Whether a kept connection may be used: for a request that may not be repeated, one that
-    /// its endpoint closes just now would be final.
+    /// Whether an idle connection may be reused. A request that must not be retried fails for good
+    /// if its endpoint closes the connection at that moment, so it uses only recently used ones.
     pub(crate) fn reuse(&self) -> Reuse {
         match self.route().kind.is_idempotent() {
             true => Reuse::Allowed,
--- a/crates/oatdale-relay/src/record.rs
+++ b/crates/oatdale-relay/src/record.rs
@@ -1,17 +1,18 @@
-//! How each request ended, for the log and the counters.
+//! Logs and counts how each request ended.
 
 use crate::cx::Cx;
 use crate::guard::ConnWatch;
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Notes how a request ends: a log line, counters, and the connection's state.
+/// Reports the end of a request when dropped: writes its log line, counts it and updates the
+/// connection's state.
 pub(crate) struct Record<W> {
     cx: Arc<Cx<W>>,
     watch: ConnWatch,
     arrival: Instant,
     id: String,
-    /// Route, service, endpoint and so on, as far as they are known.
+    /// Log fields such as route, service and endpoint, as far as they are known.
     pub(crate) about: String,
     end: Option<String>,
 }
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Says how the request ended.
+    /// Sets how the request ended.
     pub(crate) fn end(&mut self, end: &str) {
         self.end = Some(end.to_owned());
     }
@@ -42,7 +43,7 @@
 
 impl<W> Drop for Record<W> {
     fn drop(&mut self) {
-        // Nobody said how it ended: its connection closed first.
+        // If no end was set, the caller's connection closed first.
         let end = self.end.as_deref().unwrap_or("caller-left");
         log::info!(
             target: "request",
@@ -59,7 +60,7 @@
     }
 }
 
-/// The ends that are counted; the log lines have the details.
+/// Label of the request counter for an end; the log lines have the details.
 fn label(end: &str) -> &str {
     match end {
         "complete" | "caller-left" => end,
--- a/crates/oatdale-relay/src/reply.rs
+++ b/crates/oatdale-relay/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers that a relay gives by itself, and the body of all answers.
+//! Responses that the relay generates itself, and the body type of all responses.
 
 use bytes::Bytes;
 use futures::stream::BoxStream;
@@ -10,39 +10,39 @@
 use std::io;
 use std::time::Duration;
 
-/// The body of an answer.
+/// The body of a response to a caller.
 pub(crate) type Body = UnsyncBoxBody<Bytes, io::Error>;
 
-/// Why a request ends without an endpoint's answer.
+/// Why a request ends without an endpoint's response.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Refusal {
-    /// The request's head makes no sense.
+    /// The request is malformed.
     BadRequest,
-    /// The key is missing or unknown.
+    /// The API key is missing or unknown.
     BadKey,
-    /// No route takes it.
+    /// No route matches the host and path.
     NoRoute,
-    /// The body is longer than allowed.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// The body did not come in time.
+    /// The body was not received in time.
     SlowBody,
-    /// There is no memory for the body.
+    /// No memory for the body became available in time.
     NoMemory,
-    /// This node knows no configuration yet.
+    /// This node has no configuration yet.
     NotReady,
-    /// This node stops before the answer would end.
+    /// This node shuts down before the response would end.
     Stopping,
-    /// No endpoint has room for it; none has run it.
+    /// No endpoint has capacity for the request; none has run it.
     NoEndpoint,
-    /// All failure domains with endpoints for it are evacuated.
+    /// All failure domains with endpoints for the request are evacuated.
     Evacuated,
-    /// The time was up before an endpoint was sent it.
+    /// The deadline was too close before the request was sent to any endpoint.
     NoTime,
-    /// It crashes the endpoints that run it; this time none has run it.
+    /// The request is quarantined because it crashes endpoints; this time none has run it.
     Quarantined,
-    /// An endpoint may have run it, and its answer is lost.
+    /// An endpoint may have run the request, and its response is lost.
     Lost,
-    /// An endpoint may have run it, and gave no answer in time.
+    /// An endpoint may have run the request, and did not respond in time.
     TimedOut,
 }
 
@@ -88,13 +88,13 @@
     }
 }
 
-/// The answer that tells a caller of a refusal.
+/// Builds the response for a refused request.
 pub(crate) fn refuse(refusal: Refusal, retry_after: Option<Duration>) -> Response<Body> {
     let mut res = plain(refusal.status(), format!("{refusal}\n").into());
     if let Some(value) = retry_after.and_then(seconds) {
         res.headers_mut().insert(header::RETRY_AFTER, value);
     }
-    // The rest of a body that was not read would be taken for the next request.
+    // On a reused connection, the unread rest of the body would be parsed as the next request.
     if matches!(
         refusal,
         Refusal::TooLarge | Refusal::SlowBody | Refusal::NoMemory
@@ -105,21 +105,22 @@
     res
 }
 
-/// An answer with a short body.
+/// Builds a response with a short body.
 pub(crate) fn plain(status: StatusCode, body: Bytes) -> Response<Body> {
     let mut res = Response::new(whole(body));
     *res.status_mut() = status;
     res
 }
 
-/// A body that is there as a whole.
+/// A body whose bytes are all available.
 pub(crate) fn whole(body: Bytes) -> Body {
     Full::new(body)
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// A body that comes in pieces; an error ends the connection, so that the answer never looks whole.
+/// A streamed body. An error closes the connection, so that a truncated response never looks
+/// complete.
 pub(crate) fn pieces(stream: BoxStream<'static, io::Result<Bytes>>) -> Body {
     use futures::StreamExt;
     StreamBody::new(stream.map(|piece| piece.map(Frame::data))).boxed_unsync()
--- a/crates/oatdale-relay/src/serve.rs
+++ b/crates/oatdale-relay/src/serve.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, from its head to the end of its answer.
+//! Serves one request of a caller, from its head to the end of the response.
 
 use crate::answer::{Answer, Next};
 use crate::attempt::{self, Failure, SendOptions};
@@ -23,38 +23,40 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time below which a request is not sent once more: no endpoint answers in less.
+/// Minimum time before the deadline for an attempt or a retry: no endpoint responds in less.
 const LEAST_TIME: Duration = Duration::from_millis(20);
 
-/// Bodies up to this length are read whole before their head goes out, so that one that breaks off
-/// can be asked for again or be told of by a status.
+/// Response bodies up to this many bytes are buffered before their head is sent, so that one that
+/// breaks off can be retried or reported to the caller by a status code.
 const SMALL: usize = 64 << 10;
 
-/// When a refused caller is to come back, as a part of the route's target: soon enough to be in
-/// time, and spread so that those who were refused together do not come back together.
+/// `Retry-After` of a refusal, as a share of the route's target latency: short enough for the retry
+/// to be in time, and randomized so that callers refused together do not retry together.
 const RETURN: std::ops::Range<f64> = 0.4..1.2;
 
-/// The latest return that is asked for.
+/// Upper bound of the randomized part of `Retry-After`.
 const LATEST_RETURN: Duration = Duration::from_millis(1_500);
 
-/// When to come back to a node that knows no configuration yet, or has no memory for a body.
+/// `Retry-After` from a node that has no configuration yet, or no memory for a body.
 const START_RETURN: Duration = Duration::from_millis(500);
 
-/// An endpoint's answer that is to be passed on.
+/// An endpoint's response to forward to the caller.
 enum Reply<W> {
+    /// The head, the complete body and the endpoint's id.
     Whole(Box<response::Parts>, Bytes, String),
-    /// What has been read of it, and the rest.
+    /// The bytes read so far, and the response whose body has the rest.
     Pieces(Bytes, Box<Answer<W>>),
 }
 
-/// What to do about an answer.
+/// What to do with an endpoint's response.
 enum Examined<W> {
     Pass(Reply<W>),
     Failed(Failure),
+    /// Repeat the request with the model at this index of the ladder.
     Larger(usize),
 }
 
-/// Answers one request.
+/// Responds to one request.
 pub(crate) async fn serve<W: Wire>(
     cx: Arc<Cx<W>>,
     watch: ConnWatch,
@@ -70,7 +72,7 @@
         Err(refusal) => {
             let retry = match refusal {
                 Refusal::NotReady | Refusal::NoMemory => Some(START_RETURN),
-                // Another node can take it at once.
+                // Another node can serve it at once.
                 Refusal::Stopping => Some(Duration::ZERO),
                 _ => None,
             };
@@ -85,7 +87,7 @@
     Ok(res)
 }
 
-/// Finds out what a request is and whether it may run.
+/// Routes and authenticates a request, and reads its body.
 async fn prepare<W: Wire>(
     cx: &Arc<Cx<W>>,
     mut head: http::request::Parts,
@@ -95,7 +97,8 @@
     record: &mut Record<W>,
 ) -> Result<Plan, Refusal> {
     let site = cx.site().ok_or(Refusal::NotReady)?;
-    // A target that names a host of its own could contradict the header by which it is routed.
+    // The authority of an absolute-form target could contradict the `Host` header, which selects
+    // the route.
     if head.uri.authority().is_some() || facts.id.is_none() {
         return Err(Refusal::BadRequest);
     }
@@ -118,13 +121,13 @@
     Ok(plan)
 }
 
-/// Asks endpoints until one has answered or none may be asked any more.
+/// Forwards a request to endpoints until one has responded or no retry is allowed.
 async fn answer<W: Wire>(cx: &Arc<Cx<W>>, mut plan: Plan, mut record: Record<W>) -> Response<Body> {
     cx.count_request(&plan.service);
     plan.note_size(cx);
     let result = ask(cx, &mut plan).await;
     record.about = format!(
-        "config={} route={} service={} session={} model={} sends={} sure={:?} ",
+        "config={} route={} service={} session={} model={} sends={} confidences={:?} ",
         plan.site.version,
         plan.route().name,
         plan.service,
@@ -164,7 +167,7 @@
     }
 }
 
-/// When a caller that was refused should come back: not before an endpoint wants requests again.
+/// How long a refused caller should wait: at least until an endpoint accepts requests again.
 fn come_back<W: Wire>(cx: &Cx<W>, plan: &Plan) -> Duration {
     let route = plan.route();
     let target = route.target_latency.unwrap_or(route.timeout);
@@ -182,13 +185,14 @@
     }
 }
 
+/// Sends a request to endpoints, one after another, until a response can be forwarded.
 async fn ask<W: Wire>(cx: &Arc<Cx<W>>, plan: &mut Plan) -> Result<Reply<W>, (Refusal, String)> {
     let idempotent = plan.route().kind.is_idempotent();
     let mut may_have_run = false;
     let mut last: Option<Reply<W>> = None;
     loop {
         if plan.left() < LEAST_TIME && plan.sends == 0 {
-            return Err((Refusal::NoTime, "no time left".to_owned()));
+            return Err((Refusal::NoTime, "deadline too close".to_owned()));
         }
         let how = SendOptions {
             last_event: plan.facts.last_event,
@@ -201,7 +205,7 @@
                 {
                     let status = head.status;
                     last = Some(Reply::Whole(head, body, endpoint));
-                    Failure::Unknown(format!("status {status}"))
+                    Failure::Unknown(format!("response status {status}"))
                 }
                 Examined::Pass(reply) => return Ok(reply),
                 Examined::Larger(size) => {
@@ -216,7 +220,7 @@
         may_have_run |= !failure.is_not_run();
         let again = match &failure {
             Failure::NoEndpoint(_) | Failure::TimedOut | Failure::Quarantined { .. } => false,
-            // It costs no endpoint anything and ends when all have been tried.
+            // Costs no endpoint anything, and ends when all endpoints have been tried.
             Failure::NotSent(_) => plan.left() > LEAST_TIME,
             Failure::NotRun(_) => may_repeat(cx, plan) && (idempotent || !may_have_run),
             Failure::Unknown(_) | Failure::Abandoned => idempotent && may_repeat(cx, plan),
@@ -226,7 +230,7 @@
         }
         return match (last, &failure) {
             (Some(reply), _) => Ok(reply),
-            (None, Failure::TimedOut) => Err((Refusal::TimedOut, "no answer".to_owned())),
+            (None, Failure::TimedOut) => Err((Refusal::TimedOut, "no response in time".to_owned())),
             (None, _) if may_have_run => Err((Refusal::Lost, format!("{failure:?}"))),
             (None, Failure::Quarantined { .. }) => {
                 let request = plan.fingerprint();
@@ -240,6 +244,7 @@
     }
 }
 
+/// Whether a request may be retried; if so, charges the retry budget of its service.
 fn may_repeat<W: Wire>(cx: &Cx<W>, plan: &Plan) -> bool {
     let may = plan.has_attempts() && plan.left() > LEAST_TIME && cx.may_repeat(&plan.service);
     if may {
@@ -248,7 +253,7 @@
     may
 }
 
-/// Decides about an answer whose head has come.
+/// Decides what to do with a response whose head has arrived.
 async fn examine<W: Wire>(
     cx: &Arc<Cx<W>>,
     plan: &mut Plan,
@@ -274,9 +279,10 @@
             _ => {}
         }
     }
-    // These would promise the caller that nothing ran, which the endpoint did not say.
+    // These status codes would tell the caller that the request was not executed, which the
+    // endpoint did not state.
     if matches!(status.as_u16(), 408 | 421 | 429 | 503) {
-        return Examined::Failed(Failure::Unknown(format!("status {status}")));
+        return Examined::Failed(Failure::Unknown(format!("response status {status}")));
     }
     if status.is_success() && plan.route().kind.is_stream() && is_events(&answer.head.headers) {
         return Examined::Pass(Reply::Pieces(Bytes::new(), Box::new(answer)));
@@ -284,7 +290,7 @@
     read_small(cx, plan, answer, may_abandon).await
 }
 
-/// Reads a body to its end if it is small.
+/// Buffers a response body, or returns it for streaming once it exceeds the bound.
 async fn read_small<W: Wire>(
     cx: &Arc<Cx<W>>,
     plan: &Plan,
@@ -310,7 +316,7 @@
                 crashes::note_broken(cx, plan, &answer.running);
                 return Examined::Failed(Failure::Unknown(reason));
             }
-            Next::Late => return Examined::Failed(Failure::Unknown("body is late".to_owned())),
+            Next::Late => return Examined::Failed(Failure::Unknown("body timed out".to_owned())),
         }
         if read.len() > SMALL {
             return Examined::Pass(Reply::Pieces(read.freeze(), Box::new(answer)));
@@ -318,6 +324,7 @@
     }
 }
 
+/// Responds with a body that is streamed as the endpoint sends it.
 fn pass_pieces<W: Wire>(
     cx: &Arc<Cx<W>>,
     plan: Plan,
@@ -339,7 +346,7 @@
     Response::from_parts(head, reply::pieces(body))
 }
 
-/// The rest of a body that is too long to be read whole.
+/// The rest of a body that is too long to be buffered.
 fn plain_pieces<W: Wire>(
     cx: Arc<Cx<W>>,
     plan: Plan,
@@ -358,7 +365,7 @@
             }
             Next::Broken(reason) => {
                 crashes::note_broken(&cx, &plan, &answer.running);
-                record.end(&format!("broken: {reason}"));
+                record.end(&format!("response body broke off: {reason}"));
                 Some((Err(io::Error::other(reason)), None))
             }
             Next::Late => {
--- a/crates/oatdale-relay/src/stream.rs
+++ b/crates/oatdale-relay/src/stream.rs
@@ -1,4 +1,4 @@
-//! Passes a stream of events on, and goes on at another endpoint if the first one breaks off.
+//! Forwards an event stream, and resumes it at another endpoint if the first one breaks off.
 
 use crate::answer::{Answer, Next};
 use crate::attempt::{self, Failure, SendOptions};
@@ -17,33 +17,33 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The part of the pause that callers are content with after which a silent endpoint's stream
-/// goes on elsewhere.
+/// Share of the event gap that callers accept after which a silent stream may be resumed at another
+/// endpoint.
 const PATIENCE: f64 = 0.7;
 
-/// The pause that is waited for where a route names none.
+/// Accepted gap between events where the route sets none.
 const USUAL_GAP: Duration = Duration::from_secs(2);
 
-/// A pause of so many times the wanted one is a broken stream, even if the endpoint sends to
-/// other requests. A shorter one is an engine with much to do: another one would have to read the
-/// prompt first, and the answer is late either way.
+/// Multiple of the accepted gap after which a stream counts as broken, even if the endpoint still
+/// sends to other requests. A shorter silence means a busy engine: another one would have to
+/// process the prompt first, so the response is late either way.
 const STUCK: f64 = 4.0;
 
-/// A stream on its way to its caller.
+/// An event stream that is being forwarded to its caller.
 pub(crate) struct Relayed<W> {
     cx: Arc<Cx<W>>,
     plan: Plan,
     answer: Answer<W>,
     events: WholeEvents,
     record: Record<W>,
-    /// The caller has got the end, or an error in its place.
+    /// Whether the caller has received the end of the stream, or an error instead.
     over: bool,
-    /// The budget has paid for going on elsewhere.
+    /// Whether the retry budget has already been charged for resuming at another endpoint.
     paid: bool,
     pace: StreamPace,
 }
 
-/// What the caller's stream goes on with.
+/// Next event of the endpoint's stream.
 enum Step {
     Piece(Bytes),
     End,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The body that the caller gets.
+    /// The body of the response to the caller.
     pub(crate) fn into_stream(self) -> BoxStream<'static, io::Result<Bytes>> {
         stream::unfold(self, |mut relayed| async move {
             let piece = relayed.next().await?;
@@ -94,7 +94,7 @@
                     self.over = true;
                     return None;
                 }
-                Step::End => "ends within an event".to_owned(),
+                Step::End => "stream ended within an event".to_owned(),
                 Step::Broken(message) => message,
                 Step::LimitReached => return Some(Err(self.fail("timed-out"))),
             };
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Notes whole events that have come, and once how fast they come.
+    /// Counts received events, and records their rate once enough of them have arrived.
     fn note_pace(&mut self) {
         let Some(pace) = self.pace.event(self.cx.now()) else {
             return;
@@ -114,7 +114,7 @@
         state.roll_outs.timed(&source, self.plan.event_pace(), pace);
     }
 
-    /// When the events are late enough to count as slow.
+    /// Time at which the stream counts as slow unless more events arrive before.
     fn slow_at(&self) -> Option<Duration> {
         let bound = self
             .cx
@@ -144,17 +144,17 @@
                 Next::Late if Instant::now() >= self.plan.limit => return Step::LimitReached,
                 Next::Late if slow_at.is_some_and(|at| Instant::now() >= at) => self.note_slow(),
                 Next::Late if self.is_better_elsewhere(gap, began).await => {
-                    return Step::Broken("silent".to_owned());
+                    return Step::Broken("stream stalled".to_owned());
                 }
                 Next::Late => check = Instant::now() + gap / 4,
             }
         }
     }
 
-    /// Whether the stream has stopped and another endpoint can go on with it.
+    /// Whether the stream has stalled and another endpoint can resume it.
     ///
-    /// Otherwise it is waited for: an endpoint that says nothing may yet go on, and ending its
-    /// stream for no better one loses the answer.
+    /// Otherwise the relay keeps waiting: a silent endpoint may continue, and ending its stream
+    /// without a replacement loses the response.
     async fn is_better_elsewhere(&mut self, gap: Duration, began: Instant) -> bool {
         if self.plan.route().kind != RouteKind::ResumableStream || !self.plan.has_attempts() {
             return false;
@@ -167,7 +167,7 @@
         self.paid
     }
 
-    /// Goes on at another endpoint, or says why not.
+    /// Resumes the stream at another endpoint, or returns the reason why that failed.
     async fn resume(&mut self, broken: &str) -> Result<(), String> {
         self.answer.running.silent();
         crashes::note_broken(&self.cx, &self.plan, &self.answer.running);
@@ -196,7 +196,7 @@
                     self.pace = StreamPace::default();
                     return Ok(());
                 }
-                Ok(answer) => reason = format!("{} on resumption", answer.head.status),
+                Ok(answer) => reason = format!("status {} on resumption", answer.head.status),
                 Err(Failure::NoEndpoint(_)) => return Err(format!("{reason}, no other endpoint")),
                 Err(Failure::Quarantined { .. }) => return Err(format!("{reason}, quarantined")),
                 Err(err) => reason = format!("{err:?}"),
--- a/crates/oatdale-relay/src/wire.rs
+++ b/crates/oatdale-relay/src/wire.rs
@@ -1,4 +1,4 @@
-//! How a platform's callers and endpoints write what the relay has to know of a request.
+//! Maps a platform's headers and paths to what the relay has to know of requests and responses.
 
 use bytes::Bytes;
 use http::{HeaderMap, request, response};
@@ -6,99 +6,100 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Translates heads of requests and answers; the one place where a platform's header names live.
+/// Translates the heads of requests and responses; the only place that knows a platform's header
+/// names.
 pub trait Wire: Send + Sync + 'static {
-    /// Reads a caller's request.
+    /// Parses the head of a caller's request.
     fn request(&self, head: &request::Parts) -> RequestFacts;
 
-    /// Takes from a request's headers what callers may not set or what endpoints may not see, and
-    /// adds what the endpoint is told.
+    /// Removes the headers that callers may not set or endpoints may not see, and adds those for
+    /// the endpoint.
     fn forward(&self, headers: &mut HeaderMap, fwd: &Forward<'_>);
 
-    /// Reads an endpoint's answer.
+    /// Parses the head of an endpoint's response.
     fn answer(&self, head: &response::Parts) -> AnswerFacts;
 
-    /// A path that an engine answers at once, whatever it has to do.
+    /// Path of the probe, to which an engine responds at once however busy it is.
     fn probe_path(&self) -> &'static str;
 
-    /// Reads what an engine answers there; `None` if it says nothing of its work.
+    /// Parses the body of an engine's response to a probe; `None` if it has no report.
     fn engine_report(&self, body: &[u8]) -> Option<EngineReport>;
 
-    /// Whether a path asks if the node is ready.
+    /// Whether a path is that of the readiness check.
     fn is_readiness(&self, path: &str) -> bool;
 
-    /// Whether a path asks for the nodes' addresses.
+    /// Whether a path is that of the list of node addresses.
     fn is_addresses(&self, path: &str) -> bool;
 
-    /// The failure domain of a caller that asks for addresses, if it tells it.
+    /// The failure domain that a caller states in its query for node addresses, if any.
     fn caller_domain(&self, query: &str) -> Option<String>;
 
-    /// The answer to a caller that asks for addresses.
+    /// The response body for a query for node addresses, which callers may cache for `keep`.
     fn addresses(&self, addrs: &[SocketAddr], keep: Duration) -> Bytes;
 }
 
-/// What a request's head tells.
+/// Metadata from a request's head.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct RequestFacts {
-    /// The caller's id of this request.
+    /// The request id that the caller set.
     pub id: Option<String>,
-    /// How long the caller waits.
+    /// How long the caller waits for the response.
     pub deadline: Option<Duration>,
-    /// The caller's key.
+    /// The caller's API key.
     pub key: Option<String>,
-    /// The caller's prompt, if a model answers.
+    /// Size and parts of the prompt, if the request is for a model.
     pub prompt: Option<Prompt>,
-    /// Requests of one session name it alike.
+    /// The session id, the same for all requests of a session.
     pub session: Option<String>,
-    /// The caller has the events up to this one.
+    /// Id of the last event that the caller has received.
     pub last_event: Option<u64>,
 }
 
-/// What a request says of its prompt.
+/// Metadata of a prompt, as stated in the request's head.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct Prompt {
-    /// Tokens to read.
+    /// Tokens in the prompt.
     pub tokens_in: u32,
-    /// Tokens to generate at the most.
+    /// Maximum number of tokens to generate.
     pub tokens_out: u32,
-    /// The prompt's parts from its beginning: id and tokens. The last is the request's own.
+    /// The prompt's parts in order: id and tokens. The last part belongs to this request alone.
     pub parts: Vec<(String, u32)>,
 }
 
-/// What an endpoint is told beside the caller's own words.
+/// Metadata that the relay adds to a forwarded request.
 #[derive(Clone, Copy, Debug)]
 pub struct Forward<'a> {
     /// Time until the caller stops waiting.
     pub left: Duration,
-    /// The endpoint's id: another one at the same address must not run it.
+    /// Id of the intended endpoint: another one at the same address must not run the request.
     pub endpoint: &'a str,
-    /// The caller's customer.
+    /// The customer that the caller belongs to.
     pub customer: Option<&'a str>,
-    /// The model to use, where the caller left it open.
+    /// The model to use, where the route's ladder selects it instead of the caller.
     pub model: Option<&'a str>,
-    /// Rank from 0, the most urgent, for engines that order their work by it.
+    /// Priority from 0, the most urgent, for engines that schedule by it.
     pub urgency: Option<u8>,
-    /// Go on after this event.
+    /// Id of the last event that the caller has; the stream resumes after it.
     pub last_event: Option<u64>,
 }
 
-/// What an answer's head tells.
+/// Metadata from a response's head.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct AnswerFacts {
-    /// The id of the request it answers.
+    /// Id of the request that the response belongs to.
     pub id: Option<String>,
-    /// The endpoint has not run the request and never will.
+    /// Whether the endpoint states that it has not run the request and never will.
     pub not_run: bool,
-    /// Another endpoint lives at this address now.
+    /// Whether another endpoint has the address now.
     pub other_endpoint: bool,
-    /// The endpoint signed it.
+    /// Whether the endpoint signed the response.
     pub signed: bool,
-    /// How sure the model is of its answer, from 0 to 100.
+    /// The model's confidence in its response, from 0 to 100.
     pub confidence: Option<u8>,
-    /// The endpoint leaves, and wants no new requests.
+    /// Whether the endpoint is leaving and accepts no new requests.
     pub leaving: bool,
-    /// How much longer the endpoint is cold, if it says so.
+    /// Remaining warm-up time of the endpoint, if stated.
     pub cold_left: Option<Duration>,
-    /// For how long the endpoint, which has not run the request, wants no other one from this node.
+    /// How long the endpoint, which has not run the request, accepts no other one from this node.
     pub pause: Option<Duration>,
 }
