--- a/crates/oatdale-relay/src/answer.rs
+++ b/crates/oatdale-relay/src/answer.rs
@@ -9,7 +9,7 @@
 use tokio::time::{Instant, timeout_at};
 
 /// A response whose head has been received and whose body has not been read to its end.
-pub(crate) struct Answer<W> {
+pub(crate) struct EndpointResponse<W> {
     pub(crate) head: response::Parts,
     pub(crate) facts: AnswerFacts,
     pub(crate) body: Incoming,
@@ -17,8 +17,8 @@
 }
 
 /// Result of waiting for the next chunk of a body.
-pub(crate) enum Next {
-    Piece(Bytes),
+pub(crate) enum Read {
+    Chunk(Bytes),
     End,
     /// The body broke off, for this reason.
     Broken(String),
@@ -26,30 +26,30 @@
     Late,
 }
 
-impl<W: Wire> Answer<W> {
+impl<W: Wire> EndpointResponse<W> {
     /// Waits for the next chunk of the body.
-    pub(crate) async fn next(&mut self, until: Instant) -> Next {
+    pub(crate) async fn next(&mut self, until: Instant) -> Read {
         // Biased: a chunk that has arrived counts even if its endpoint has restarted since.
-        let piece = tokio::select! {
+        let chunk = tokio::select! {
             biased;
-            piece = timeout_at(until, next_piece(&mut self.body)) => piece,
+            chunk = timeout_at(until, next_chunk(&mut self.body)) => chunk,
             () = self.running.started_again() => {
-                return Next::Broken("endpoint restarted during the response".to_owned());
+                return Read::Broken("endpoint restarted during the response".to_owned());
             }
         };
-        match piece {
-            Ok(Some(Ok(piece))) => {
+        match chunk {
+            Ok(Some(Ok(chunk))) => {
                 self.running.note_progress();
-                Next::Piece(piece)
+                Read::Chunk(chunk)
             }
-            Ok(Some(Err(err))) => Next::Broken(err.to_string()),
-            Ok(None) => Next::End,
-            Err(_) => Next::Late,
+            Ok(Some(Err(err))) => Read::Broken(err.to_string()),
+            Ok(None) => Read::End,
+            Err(_) => Read::Late,
         }
     }
 }
 
-async fn next_piece(body: &mut Incoming) -> Option<Result<Bytes, hyper::Error>> {
+async fn next_chunk(body: &mut Incoming) -> Option<Result<Bytes, hyper::Error>> {
     loop {
         match body.frame().await? {
             Ok(frame) => match frame.into_data() {
--- a/crates/oatdale-relay/src/asking.rs
+++ b/crates/oatdale-relay/src/asking.rs
@@ -23,20 +23,20 @@
 
 /// Time after which a request that the engine has is listed in its report: reports are some hundred
 /// milliseconds old.
-const REPORTED: Duration = Duration::from_millis(600);
+const REPORT_DELAY: Duration = Duration::from_millis(600);
 
 /// How long a report is reused for other requests. Each probe costs the engine work, and many
 /// requests wait there under overload.
-const REPORT_LIFE: Duration = Duration::from_millis(600);
+const REPORT_MAX_AGE: Duration = Duration::from_millis(600);
 
 /// Maximum size of a report in bytes: enough for some hundred requests.
-const MAX_REPORT: usize = 64 << 10;
+const MAX_REPORT_BYTES: usize = 64 << 10;
 
 /// Result of a probe.
 #[derive(Clone, PartialEq, Eq, Debug)]
-enum Probed {
+enum ProbeResult {
     /// The engine did not respond in time.
-    Away,
+    Unreachable,
     /// The engine responded; the report is missing if it sent none that can be read.
     Alive {
         report: Option<Arc<EngineReport>>,
@@ -55,7 +55,7 @@
 impl<W: Wire> Running<W> {
     /// Whether the endpoint is unresponsive: no bytes were received for `silence`, and it does not
     /// respond to a probe, which a live engine answers at once.
-    pub(crate) async fn is_dead(&self, silence: Duration) -> bool {
+    pub(crate) async fn is_unresponsive(&self, silence: Duration) -> bool {
         let now = self.cx.now();
         {
             let mut state = self.cx.state();
@@ -68,45 +68,46 @@
             if entry.health.is_ejected(now) {
                 return true;
             }
-            if !takes_turn(entry, now) {
+            if !may_probe(entry, now) {
                 return false;
             }
         }
-        self.ask().await == Probed::Away
+        self.probe_endpoint().await == ProbeResult::Unreachable
     }
 
     /// Whether the endpoint's report shows that it does not have the request `id`, which was sent
     /// `waited` ago.
-    pub(crate) async fn is_lost(&self, id: &str, waited: Duration) -> bool {
+    pub(crate) async fn has_lost_request(&self, id: &str, waited: Duration) -> bool {
         let now = self.cx.now();
-        let sent = now.saturating_sub(waited);
+        let sent_at = now.saturating_sub(waited);
         {
             let mut state = self.cx.state();
             let Some(entry) = state.directory.get_mut(self.key) else {
                 return false;
             };
-            let known = entry.report.as_ref();
-            let known = known.filter(|r| r.at >= sent + REPORTED && now < r.at + REPORT_LIFE);
-            match known.map(|r| r.report.has_lost(id)) {
+            let cached = entry.report.as_ref();
+            let cached =
+                cached.filter(|r| r.at >= sent_at + REPORT_DELAY && now < r.at + REPORT_MAX_AGE);
+            match cached.map(|r| r.report.has_lost(id)) {
                 Some(lost) => return lost,
-                None if waited < REPORTED || !takes_turn(entry, now) => return false,
+                None if waited < REPORT_DELAY || !may_probe(entry, now) => return false,
                 None => {}
             }
         }
-        match self.ask().await {
-            Probed::Alive { report, .. } => report.is_some_and(|r| r.has_lost(id)),
-            Probed::Away => false,
+        match self.probe_endpoint().await {
+            ProbeResult::Alive { report, .. } => report.is_some_and(|r| r.has_lost(id)),
+            ProbeResult::Unreachable => false,
         }
     }
 
-    async fn ask(&self) -> Probed {
-        let probed = self.cx.probe(self.addr).await;
-        match &probed {
-            Probed::Away => {
+    async fn probe_endpoint(&self) -> ProbeResult {
+        let result = self.cx.probe(self.addr).await;
+        match &result {
+            ProbeResult::Unreachable => {
                 log::info!(target: "probe", "event=probed endpoint={} alive=false", self.id);
                 self.silent();
             }
-            Probed::Alive {
+            ProbeResult::Alive {
                 report,
                 leaving,
                 cold_left,
@@ -118,7 +119,7 @@
                             "event=probed endpoint={} alive=true waiting={} active={} generating={}",
                             self.id, report.waiting, report.active, report.generating.len()
                         );
-                        self.keep(report.clone());
+                        self.store_report(report.clone());
                     }
                     None => {
                         log::info!(target: "probe", "event=probed endpoint={} alive=true", self.id);
@@ -133,10 +134,10 @@
                 }
             }
         }
-        probed
+        result
     }
 
-    fn keep(&self, report: Arc<EngineReport>) {
+    fn store_report(&self, report: Arc<EngineReport>) {
         let at = self.cx.now();
         if let Some(entry) = self.cx.state().directory.get_mut(self.key) {
             entry.report = Some(Report { at, report });
@@ -146,21 +147,21 @@
 
 impl<W: Wire> Cx<W> {
     /// Sends a probe to an engine, which responds at once unless it is down.
-    async fn probe(&self, addr: SocketAddr) -> Probed {
+    async fn probe(&self, addr: SocketAddr) -> ProbeResult {
         let mut req = Request::new(Full::default());
         *req.uri_mut() = Uri::from_static(self.wire.probe_path());
         let deadline = Instant::now() + PROBE_TIMEOUT;
         let Ok(res) = self.pool.send(addr, req, Reuse::Allowed, deadline).await else {
-            return Probed::Away;
+            return ProbeResult::Unreachable;
         };
         let (head, body) = res.into_parts();
         let facts = self.wire.answer(&head);
-        let body = Limited::new(body, MAX_REPORT).collect();
+        let body = Limited::new(body, MAX_REPORT_BYTES).collect();
         let report = match timeout_at(deadline, body).await {
             Ok(Ok(body)) => self.wire.engine_report(&body.to_bytes()).map(Arc::new),
             Ok(Err(_)) | Err(_) => None,
         };
-        Probed::Alive {
+        ProbeResult::Alive {
             report,
             leaving: facts.leaving,
             cold_left: facts.cold_left,
@@ -170,10 +171,10 @@
 
 /// Whether a probe may be sent now; if so, records its time. A request that may not probe sees the
 /// result of the probe already sent at its next check.
-fn takes_turn(entry: &mut Entry, now: Duration) -> bool {
-    let free = now >= entry.probed + PROBE_TIMEOUT * 2;
-    if free {
+fn may_probe(entry: &mut Entry, now: Duration) -> bool {
+    let is_due = now >= entry.probed + PROBE_TIMEOUT * 2;
+    if is_due {
         entry.probed = now;
     }
-    free
+    is_due
 }
--- a/crates/oatdale-relay/src/attempt.rs
+++ b/crates/oatdale-relay/src/attempt.rs
@@ -1,6 +1,6 @@
 //! Sends a request to one endpoint and classifies the outcome.
 
-use crate::answer::Answer;
+use crate::answer::EndpointResponse;
 use crate::crashes;
 use crate::cx::Cx;
 use crate::directory::Shortage;
@@ -79,8 +79,8 @@
 pub(crate) async fn attempt<W: Wire>(
     cx: &Arc<Cx<W>>,
     plan: &mut Plan,
-    how: SendOptions,
-) -> Result<Answer<W>, Failure> {
+    options: SendOptions,
+) -> Result<EndpointResponse<W>, Failure> {
     crashes::settle(cx, plan).await;
     if cx.quarantine_left(plan).is_some() {
         return Err(Failure::Quarantined { sent: false });
@@ -102,9 +102,9 @@
     if !plan.sent_to.contains(&running.key) {
         plan.sent_to.push(running.key);
     }
-    let sent = Instant::now();
-    let result = send(cx, plan, &running, how).await;
-    let took = sent.elapsed();
+    let sent_at = Instant::now();
+    let result = send(cx, plan, &running, options).await;
+    let attempt_time = sent_at.elapsed();
     // Only attempts that sent at least one byte count.
     plan.sends += u32::from(!matches!(result, Err(Failure::NotSent(_))));
     log::info!(
@@ -113,15 +113,15 @@
          candidates={} after_event={:?} left_ms={} took_ms={} end={}",
         plan.facts.id.as_deref().unwrap_or("-"), plan.site.version, plan.service, running.id,
         running.version, plan.model().unwrap_or("-"), running.load_before, running.choices,
-        how.last_event, plan.left().as_millis(), took.as_millis(),
+        options.last_event, plan.time_left().as_millis(), attempt_time.as_millis(),
         result.as_ref().map_or_else(|err| format!("{err:?}"), |ok| ok.0.status.as_u16().to_string())
     );
-    learn(cx, plan, &running, &result, took);
+    record_outcome(cx, plan, &running, &result, attempt_time);
     if matches!(result, Err(Failure::Unknown(_) | Failure::Abandoned)) {
         crashes::note_broken(cx, plan, &running);
     }
     running.prompt_is_read();
-    result.map(|(head, facts, body)| Answer {
+    result.map(|(head, facts, body)| EndpointResponse {
         head,
         facts,
         body,
@@ -129,29 +129,33 @@
     })
 }
 
-type Head = (response::Parts, AnswerFacts, Incoming);
+type ReceivedResponse = (response::Parts, AnswerFacts, Incoming);
 
 async fn send<W: Wire>(
     cx: &Arc<Cx<W>>,
     plan: &Plan,
     running: &Running<W>,
-    how: SendOptions,
-) -> Result<Head, Failure> {
-    let req = plan.request(cx, &running.id, how.last_event);
-    let mut sending = std::pin::pin!(cx.pool.send(running.addr, req, plan.reuse(), plan.limit));
-    let sent = Instant::now();
-    let mut check = sent + response_timeout(plan);
+    options: SendOptions,
+) -> Result<ReceivedResponse, Failure> {
+    let req = plan.build_request(cx, &running.id, options.last_event);
+    let mut sending =
+        std::pin::pin!(
+            cx.pool
+                .send(running.addr, req, plan.connection_reuse(), plan.deadline_at)
+        );
+    let sent_at = Instant::now();
+    let mut next_check = sent_at + response_timeout(plan);
     let mut is_late = false;
     let res = loop {
         // Without permission to abandon the attempt, lateness is checked only once.
-        let until = match how.may_abandon || !is_late {
-            true => check.min(plan.limit),
-            false => plan.limit,
+        let wait_until = match options.may_abandon || !is_late {
+            true => next_check.min(plan.deadline_at),
+            false => plan.deadline_at,
         };
         // Biased: a response that has arrived counts even if its endpoint has restarted since.
         let res = tokio::select! {
             biased;
-            res = timeout_at(until, &mut sending) => res,
+            res = timeout_at(wait_until, &mut sending) => res,
             () = running.started_again() => {
                 return Err(Failure::Unknown("endpoint restarted before it responded".to_owned()));
             }
@@ -159,17 +163,17 @@
         };
         match res {
             Ok(res) => break res,
-            Err(_) if Instant::now() >= plan.limit => return Err(Failure::TimedOut),
-            Err(_) if !how.may_abandon => {
+            Err(_) if Instant::now() >= plan.deadline_at => return Err(Failure::TimedOut),
+            Err(_) if !options.may_abandon => {
                 is_late = true;
                 if !plan.route().kind.is_stream() {
                     running.late();
                 }
             }
-            Err(_) if is_abandoned(plan, running, sent).await => {
+            Err(_) if is_abandoned(plan, running, sent_at).await => {
                 return Err(Failure::Abandoned);
             }
-            Err(_) => check = Instant::now() + IDLE_TIMEOUT / 2,
+            Err(_) => next_check = Instant::now() + IDLE_TIMEOUT / 2,
         }
     };
     let (head, body) = match res {
@@ -196,18 +200,18 @@
             running.id, facts.leaving, facts.pause
         );
     }
-    sort(plan, running, &facts, &head)?;
+    validate(plan, running, &facts, &head)?;
     Ok((head, facts, body))
 }
 
 /// How long a response head may take before the endpoint is checked for being alive.
 fn response_timeout(plan: &Plan) -> Duration {
-    target(plan)
+    latency_target(plan)
         .mul_f64(RESPONSE_TIMEOUT_SHARE)
         .max(MIN_RESPONSE_TIMEOUT)
 }
 
-fn target(plan: &Plan) -> Duration {
+fn latency_target(plan: &Plan) -> Duration {
     let route = plan.route();
     route.target_latency.unwrap_or(route.timeout)
 }
@@ -217,17 +221,19 @@
 /// Streams wait in an engine's queue; a probe of the engine shows whether it is alive and still has
 /// the request. A late response of a plain service is abandoned without a probe, since nothing but
 /// the service itself delays it.
-async fn is_abandoned<W: Wire>(plan: &Plan, running: &Running<W>, sent: Instant) -> bool {
-    if !plan.route().kind.is_stream() || sent.elapsed() >= target(plan).mul_f64(LOST_AFTER_TARGETS)
+async fn is_abandoned<W: Wire>(plan: &Plan, running: &Running<W>, sent_at: Instant) -> bool {
+    if !plan.route().kind.is_stream()
+        || sent_at.elapsed() >= latency_target(plan).mul_f64(LOST_AFTER_TARGETS)
     {
         return true;
     }
     let id = plan.facts.id.as_deref().unwrap_or_default();
-    running.is_dead(IDLE_TIMEOUT).await || running.is_lost(id, sent.elapsed()).await
+    running.is_unresponsive(IDLE_TIMEOUT).await
+        || running.has_lost_request(id, sent_at.elapsed()).await
 }
 
 /// Rejects responses that are not valid answers to this request.
-fn sort<W: Wire>(
+fn validate<W: Wire>(
     plan: &Plan,
     running: &Running<W>,
     facts: &AnswerFacts,
@@ -252,16 +258,16 @@
 }
 
 /// Updates endpoint health and roll-out statistics with an attempt's outcome.
-fn learn<W: Wire>(
+fn record_outcome<W: Wire>(
     cx: &Cx<W>,
     plan: &Plan,
     running: &Running<W>,
-    result: &Result<Head, Failure>,
-    took: Duration,
+    result: &Result<ReceivedResponse, Failure>,
+    attempt_time: Duration,
 ) {
-    if plan.is_largest() && matches!(result, Ok(_) | Err(Failure::Abandoned)) {
-        let part = took.as_secs_f64() / target(plan).as_secs_f64().max(0.001);
-        cx.state().note_wait(&plan.service, part);
+    if plan.uses_largest_model() && matches!(result, Ok(_) | Err(Failure::Abandoned)) {
+        let share = attempt_time.as_secs_f64() / latency_target(plan).as_secs_f64().max(0.001);
+        cx.state().note_wait(&plan.service, share);
     }
     let failed = match result {
         Ok((head, ..)) => {
@@ -282,7 +288,7 @@
         Err(Failure::Unknown(_)) => return running.silent(),
         Err(Failure::TimedOut) => {
             // A deadline shorter than the response timeout says nothing about the endpoint.
-            if took >= response_timeout(plan) {
+            if attempt_time >= response_timeout(plan) {
                 running.silent();
             }
             true
@@ -293,7 +299,7 @@
     // says little about a version; the intervals between its events say more and are recorded while
     // the stream runs.
     let is_timed = !failed && !plan.route().kind.is_stream();
-    let took = is_timed.then(|| (plan.answer_pace(), took));
+    let timing = is_timed.then(|| (plan.response_pace(), attempt_time));
     let source = plan.source(running);
-    cx.state().roll_outs.answered(&source, failed, took);
+    cx.state().roll_outs.answered(&source, failed, timing);
 }
--- a/crates/oatdale-relay/src/body.rs
+++ b/crates/oatdale-relay/src/body.rs
@@ -17,15 +17,15 @@
 /// known host. Without this bound, a few dozen bodies of the size that the configuration allows
 /// would exhaust a small host's memory, and the process would be killed with every request in
 /// flight.
-const HELD_AT_ONCE: usize = 28 << 20;
+const MAX_BUFFERED_BYTES: usize = 28 << 20;
 
 /// Bytes of each body that need no reservation, so that short bodies never wait for long ones. A
 /// host's 4,000 connections with such bodies fit into its memory.
-const FREE: usize = 16 << 10;
+const UNRESERVED_BYTES: usize = 16 << 10;
 
 /// How long a body waits for memory. Bodies that hold part of their memory may wait for each other,
 /// so a longer wait would not help.
-const MEMORY_WAIT: Duration = Duration::from_secs(1);
+const MEMORY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Memory budget for the bodies of all requests.
 #[derive(Clone, Debug)]
@@ -33,14 +33,14 @@
 
 /// A buffered body and its reservation in the memory budget.
 #[derive(Debug, Default)]
-pub(crate) struct HeldBody {
+pub(crate) struct BufferedBody {
     pub(crate) bytes: Bytes,
-    _memory: Option<OwnedSemaphorePermit>,
+    _reservation: Option<OwnedSemaphorePermit>,
 }
 
 impl Default for BodyMemory {
     fn default() -> Self {
-        BodyMemory(Arc::new(Semaphore::new(HELD_AT_ONCE)))
+        BodyMemory(Arc::new(Semaphore::new(MAX_BUFFERED_BYTES)))
     }
 }
 
@@ -55,16 +55,20 @@
     ///
     /// Fails if the body exceeds the size limit, breaks off or is not received in time, or if no
     /// memory becomes free in time.
-    pub(crate) async fn read(&self, plan: &Plan, mut body: Incoming) -> Result<HeldBody, Refusal> {
-        let limit = plan.site.limits.body_bytes.min(HELD_AT_ONCE);
+    pub(crate) async fn read(
+        &self,
+        plan: &Plan,
+        mut body: Incoming,
+    ) -> Result<BufferedBody, Refusal> {
+        let limit = plan.site.limits.body_bytes.min(MAX_BUFFERED_BYTES);
         if body.size_hint().lower() > limit as u64 {
             return Err(Refusal::TooLarge);
         }
-        let until = plan.limit.min(plan.arrival + BODY_TIMEOUT);
+        let deadline = plan.deadline_at.min(plan.arrival + BODY_TIMEOUT);
         let mut bytes = BytesMut::new();
-        let mut memory: Option<OwnedSemaphorePermit> = None;
+        let mut reservation: Option<OwnedSemaphorePermit> = None;
         loop {
-            let frame = timeout_at(until, body.frame()).await;
+            let frame = timeout_at(deadline, body.frame()).await;
             let data = match frame.map_err(|_| Refusal::SlowBody)? {
                 None => break,
                 Some(Err(_)) => return Err(Refusal::BadRequest),
@@ -74,28 +78,30 @@
             if length > limit {
                 return Err(Refusal::TooLarge);
             }
-            let held = memory.as_ref().map_or(0, OwnedSemaphorePermit::num_permits);
-            let missing = length.saturating_sub(FREE + held);
+            let reserved = reservation
+                .as_ref()
+                .map_or(0, OwnedSemaphorePermit::num_permits);
+            let missing = length.saturating_sub(UNRESERVED_BYTES + reserved);
             if missing > 0 {
-                let more = self.take(missing).await?;
-                match &mut memory {
-                    Some(memory) => memory.merge(more),
-                    None => memory = Some(more),
+                let added = self.reserve(missing).await?;
+                match &mut reservation {
+                    Some(reservation) => reservation.merge(added),
+                    None => reservation = Some(added),
                 }
             }
             bytes.extend_from_slice(&data);
         }
-        Ok(HeldBody {
+        Ok(BufferedBody {
             bytes: bytes.freeze(),
-            _memory: memory,
+            _reservation: reservation,
         })
     }
 
-    async fn take(&self, bytes: usize) -> Result<OwnedSemaphorePermit, Refusal> {
+    async fn reserve(&self, bytes: usize) -> Result<OwnedSemaphorePermit, Refusal> {
         let bytes = u32::try_from(bytes).map_err(|_| Refusal::TooLarge)?;
-        let memory = timeout(MEMORY_WAIT, self.0.clone().acquire_many_owned(bytes)).await;
-        match memory {
-            Ok(Ok(memory)) => Ok(memory),
+        let reservation = timeout(MEMORY_TIMEOUT, self.0.clone().acquire_many_owned(bytes)).await;
+        match reservation {
+            Ok(Ok(reservation)) => Ok(reservation),
             // The semaphore is never closed; if it were, the caller could still retry.
             Ok(Err(_)) | Err(_) => Err(Refusal::NoMemory),
         }
--- a/crates/oatdale-relay/src/front.rs
+++ b/crates/oatdale-relay/src/front.rs
@@ -1,7 +1,7 @@
 //! Accepts and serves callers' connections.
 
 use crate::cx::Cx;
-use crate::guard::{ConnWatch, Due, Guarded};
+use crate::guard::{ConnTracker, Timeout, TrackedIo};
 use crate::serve::serve;
 use crate::site::CallerLimits;
 use crate::wire::Wire;
@@ -16,7 +16,7 @@
 use tokio::time::sleep_until;
 
 /// Limits on callers until a configuration is known.
-const FIRST_LIMITS: CallerLimits = CallerLimits {
+const DEFAULT_LIMITS: CallerLimits = CallerLimits {
     header_bytes: 16 << 10,
     body_bytes: 1 << 20,
     header_timeout: Duration::from_secs(3),
@@ -24,11 +24,11 @@
 };
 
 /// Smallest buffer size that the HTTP library accepts for a request head.
-const LEAST_HEADER_BYTES: usize = 8 << 10;
+const MIN_HEADER_BYTES: usize = 8 << 10;
 
 /// TCP user timeout of callers' connections: a caller that acknowledges nothing for this long is
 /// gone, and its requests would occupy endpoints for nobody.
-const CALLER_GONE: Duration = Duration::from_secs(4);
+const CALLER_TCP_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Phase of a shutdown, as callers' connections see it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
@@ -52,7 +52,7 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                tokio::spawn(connection(cx.clone(), stream, stop.clone()));
+                tokio::spawn(handle_connection(cx.clone(), stream, stop.clone()));
             }
             Err(err) => {
                 // Usually the file descriptors are exhausted, and other connections have to end
@@ -64,19 +64,23 @@
     }
 }
 
-async fn connection<W: Wire>(cx: Arc<Cx<W>>, stream: TcpStream, mut stop: watch::Receiver<Stop>) {
+async fn handle_connection<W: Wire>(
+    cx: Arc<Cx<W>>,
+    stream: TcpStream,
+    mut stop: watch::Receiver<Stop>,
+) {
     let options = SockRef::from(&stream);
-    let set = stream
+    let options_set = stream
         .set_nodelay(true)
-        .and_then(|()| options.set_tcp_user_timeout(Some(CALLER_GONE)));
-    if let Err(err) = set {
+        .and_then(|()| options.set_tcp_user_timeout(Some(CALLER_TCP_TIMEOUT)));
+    if let Err(err) = options_set {
         log::debug!(target: "front", "event=socket_option_failed err={err}");
     }
     cx.metrics.connections.inc();
-    let watch = ConnWatch::new();
-    let io = Guarded::new(TokioIo::new(stream), watch.clone());
-    let service = service_fn(|req| serve(cx.clone(), watch.clone(), req));
-    let header_bytes = limits(&cx).header_bytes.max(LEAST_HEADER_BYTES);
+    let tracker = ConnTracker::new();
+    let io = TrackedIo::new(TokioIo::new(stream), tracker.clone());
+    let service = service_fn(|req| serve(cx.clone(), tracker.clone(), req));
+    let header_bytes = current_limits(&cx).header_bytes.max(MIN_HEADER_BYTES);
     let mut conn = std::pin::pin!(
         http1::Builder::new()
             .timer(TokioTimer::new())
@@ -84,16 +88,16 @@
             .max_buf_size(header_bytes)
             .serve_connection(io, service)
     );
-    let mut open = true;
+    let mut accepts_requests = true;
     loop {
-        let check = match watch.due(&limits(&cx)) {
-            Due::Later(at) => at,
-            Due::CloseIdle if open => {
-                open = false;
+        let recheck_at = match tracker.check_timeouts(&current_limits(&cx)) {
+            Timeout::RecheckAt(at) => at,
+            Timeout::CloseIdle if accepts_requests => {
+                accepts_requests = false;
                 conn.as_mut().graceful_shutdown();
                 continue;
             }
-            Due::CloseIdle | Due::CloseSlow => break,
+            Timeout::CloseIdle | Timeout::CloseSlow => break,
         };
         tokio::select! {
             ended = conn.as_mut() => {
@@ -102,9 +106,9 @@
                 }
                 break;
             }
-            () = sleep_until(check) => {}
-            _ = stop.wait_for(|s| *s == Stop::Closing), if open => {
-                open = false;
+            () = sleep_until(recheck_at) => {}
+            _ = stop.wait_for(|s| *s == Stop::Closing), if accepts_requests => {
+                accepts_requests = false;
                 conn.as_mut().graceful_shutdown();
             }
         }
@@ -112,6 +116,6 @@
     cx.metrics.connections.dec();
 }
 
-fn limits<W: Wire>(cx: &Cx<W>) -> CallerLimits {
-    cx.site().map_or(FIRST_LIMITS, |site| site.limits)
+fn current_limits<W: Wire>(cx: &Cx<W>) -> CallerLimits {
+    cx.site().map_or(DEFAULT_LIMITS, |site| site.limits)
 }
--- a/crates/oatdale-relay/src/guard.rs
+++ b/crates/oatdale-relay/src/guard.rs
@@ -14,20 +14,20 @@
 
 /// State of a connection.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Doing {
+enum ConnState {
     /// Waiting for a request since that moment.
     Idle(Instant),
     /// Receiving a request head since that moment.
     Head(Instant),
     /// A request is in flight.
-    Request,
+    InFlight,
 }
 
 /// Result of checking a connection's timeouts.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(crate) enum Due {
+pub(crate) enum Timeout {
     /// Check again at that moment.
-    Later(Instant),
+    RecheckAt(Instant),
     /// Close the connection: it has exceeded the idle timeout.
     CloseIdle,
     /// Close the connection: the request head has exceeded its timeout.
@@ -36,70 +36,70 @@
 
 /// State of one connection, shared by its I/O wrapper and its request handlers.
 #[derive(Clone, Debug)]
-pub(crate) struct ConnWatch(Arc<Mutex<Doing>>);
+pub(crate) struct ConnTracker(Arc<Mutex<ConnState>>);
 
 /// I/O wrapper that records when bytes arrive.
-pub(crate) struct Guarded<I> {
+pub(crate) struct TrackedIo<I> {
     io: I,
-    watch: ConnWatch,
+    tracker: ConnTracker,
 }
 
-impl ConnWatch {
+impl ConnTracker {
     pub(crate) fn new() -> Self {
-        ConnWatch(Arc::new(Mutex::new(Doing::Idle(Instant::now()))))
+        ConnTracker(Arc::new(Mutex::new(ConnState::Idle(Instant::now()))))
     }
 
     /// Records that a complete request head has been received.
-    pub(crate) fn request(&self) {
-        self.set(Doing::Request);
+    pub(crate) fn request_started(&self) {
+        self.set(ConnState::InFlight);
     }
 
     /// Records that the response has ended.
-    pub(crate) fn answered(&self) {
-        self.set(Doing::Idle(Instant::now()));
+    pub(crate) fn response_ended(&self) {
+        self.set(ConnState::Idle(Instant::now()));
     }
 
     pub(crate) fn is_idle(&self) -> bool {
-        matches!(self.get(), Doing::Idle(_))
+        matches!(self.get(), ConnState::Idle(_))
     }
 
     /// Checks the timeouts against the current limits.
-    pub(crate) fn due(&self, limits: &CallerLimits) -> Due {
+    pub(crate) fn check_timeouts(&self, limits: &CallerLimits) -> Timeout {
         let now = Instant::now();
         match self.get() {
-            Doing::Idle(since) if now >= since + limits.idle_timeout => Due::CloseIdle,
-            Doing::Head(since) if now >= since + limits.header_timeout => Due::CloseSlow,
-            Doing::Head(since) => Due::Later(since + limits.header_timeout),
-            Doing::Idle(since) => {
-                Due::Later((since + limits.idle_timeout).min(now + limits.header_timeout))
+            ConnState::Idle(since) if now >= since + limits.idle_timeout => Timeout::CloseIdle,
+            ConnState::Head(since) if now >= since + limits.header_timeout => Timeout::CloseSlow,
+            ConnState::Head(since) => Timeout::RecheckAt(since + limits.header_timeout),
+            ConnState::Idle(since) => {
+                Timeout::RecheckAt((since + limits.idle_timeout).min(now + limits.header_timeout))
             }
-            Doing::Request => Due::Later(now + limits.header_timeout),
+            ConnState::InFlight => Timeout::RecheckAt(now + limits.header_timeout),
         }
     }
 
     /// Records that bytes have been received.
-    fn bytes(&self) {
+    fn bytes_received(&self) {
         if self.is_idle() {
-            self.set(Doing::Head(Instant::now()));
+            self.set(ConnState::Head(Instant::now()));
         }
     }
 
-    fn get(&self) -> Doing {
+    fn get(&self) -> ConnState {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn set(&self, doing: Doing) {
-        *self.0.lock().unwrap_or_else(PoisonError::into_inner) = doing;
+    fn set(&self, state: ConnState) {
+        *self.0.lock().unwrap_or_else(PoisonError::into_inner) = state;
     }
 }
 
-impl<I> Guarded<I> {
-    pub(crate) fn new(io: I, watch: ConnWatch) -> Self {
-        Guarded { io, watch }
+impl<I> TrackedIo<I> {
+    pub(crate) fn new(io: I, tracker: ConnTracker) -> Self {
+        TrackedIo { io, tracker }
     }
 }
 
-impl<I: Read + Unpin> Read for Guarded<I> {
+impl<I: Read + Unpin> Read for TrackedIo<I> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -107,13 +107,13 @@
     ) -> Poll<Result<()>> {
         let poll = Pin::new(&mut self.io).poll_read(cx, buf);
         if let Poll::Ready(Ok(())) = poll {
-            self.watch.bytes();
+            self.tracker.bytes_received();
         }
         poll
     }
 }
 
-impl<I: Write + Unpin> Write for Guarded<I> {
+impl<I: Write + Unpin> Write for TrackedIo<I> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/oatdale-relay/src/local.rs
+++ b/crates/oatdale-relay/src/local.rs
@@ -20,21 +20,21 @@
 
 /// How long callers may cache the node addresses. Some callers keep them three times as long, and a
 /// node that shuts down has to stay up for these.
-const ADDRESSES_LIFE: Duration = Duration::from_millis(1_500);
+const ADDRESSES_MAX_AGE: Duration = Duration::from_millis(1_500);
 
 /// Maximum number of addresses in one response.
 const MAX_ADDRESSES: usize = 64;
 
 /// How long a connection may stay open without a request.
-const IDLE: Duration = Duration::from_secs(10);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Serves readiness, node addresses and metrics to callers and operators.
 pub(crate) async fn serve_local<W: Wire>(cx: Arc<Cx<W>>, listener: TcpListener) {
-    serve_with(listener, move |req| answer(cx.clone(), req)).await;
+    serve_with(listener, move |req| respond(cx.clone(), req)).await;
 }
 
 /// Accepts connections and serves their requests with `answer`, for requests without a body.
-pub(crate) async fn serve_with<F, A>(listener: TcpListener, answer: F)
+pub(crate) async fn serve_with<F, A>(listener: TcpListener, handler: F)
 where
     F: Fn(Request<Incoming>) -> A + Clone + Send + 'static,
     A: Future<Output = Result<Response<Body>, Infallible>> + Send + 'static,
@@ -42,10 +42,10 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let service = service_fn(answer.clone());
+                let service = service_fn(handler.clone());
                 let conn = http1::Builder::new()
                     .timer(TokioTimer::new())
-                    .header_read_timeout(IDLE)
+                    .header_read_timeout(IDLE_TIMEOUT)
                     .serve_connection(TokioIo::new(stream), service);
                 tokio::spawn(async move {
                     if let Err(err) = conn.await {
@@ -61,7 +61,7 @@
     }
 }
 
-async fn answer<W: Wire>(
+async fn respond<W: Wire>(
     cx: Arc<Cx<W>>,
     req: Request<Incoming>,
 ) -> Result<Response<Body>, Infallible> {
@@ -77,12 +77,12 @@
 }
 
 fn addresses<W: Wire>(cx: &Cx<W>, query: Option<&str>) -> Response<Body> {
-    let life = ADDRESSES_LIFE.min(Duration::from_secs_f64(cx.state().bounds.addresses_s));
+    let max_age = ADDRESSES_MAX_AGE.min(Duration::from_secs_f64(cx.state().bounds.addresses_s));
     let domain = query.and_then(|query| cx.wire.caller_domain(query));
-    let addrs = known_addresses(cx, domain.as_deref());
+    let addrs = addresses_for_caller(cx, domain.as_deref());
     let mut res = match addrs.is_empty() {
         true => plain(StatusCode::SERVICE_UNAVAILABLE, Bytes::new()),
-        false => plain(StatusCode::OK, cx.wire.addresses(&addrs, life)),
+        false => plain(StatusCode::OK, cx.wire.addresses(&addrs, max_age)),
     };
     let json = HeaderValue::from_static("application/json");
     res.headers_mut().insert(header::CONTENT_TYPE, json);
@@ -90,20 +90,27 @@
 }
 
 /// Addresses to advertise to a caller of a failure domain: this node's if it is ready, and others'.
-fn known_addresses<W: Wire>(cx: &Cx<W>, domain: Option<&str>) -> Vec<SocketAddr> {
-    let own = Node::from(&cx.settings);
+fn addresses_for_caller<W: Wire>(cx: &Cx<W>, domain: Option<&str>) -> Vec<SocketAddr> {
+    let this_node = Node::from(&cx.settings);
     let ready = cx.is_ready();
     let now = cx.now();
     let state = cx.state();
-    let others = state.nodes.iter(now).filter(|n| n.callers != own.callers);
-    let all: Vec<_> = ready.then_some(&own).into_iter().chain(others).collect();
-    let candidates: Vec<_> = all
+    let others = state
+        .nodes
+        .iter(now)
+        .filter(|n| n.callers != this_node.callers);
+    let available: Vec<_> = ready
+        .then_some(&this_node)
+        .into_iter()
+        .chain(others)
+        .collect();
+    let candidates: Vec<_> = available
         .iter()
         .map(|node| AddressCandidate {
             same_domain: domain.is_some() && node.domain.as_deref() == domain,
             hash: hash(&(domain, &node.host)),
         })
         .collect();
-    let told = advertised_addresses(&candidates, MAX_ADDRESSES).into_iter();
-    told.map(|i| all[i].callers).collect()
+    let selected = advertised_addresses(&candidates, MAX_ADDRESSES).into_iter();
+    selected.map(|i| available[i].callers).collect()
 }
--- a/crates/oatdale-relay/src/plan.rs
+++ b/crates/oatdale-relay/src/plan.rs
@@ -1,10 +1,10 @@
 //! State of one request, from its head to the end of the response.
 
-use crate::body::HeldBody;
+use crate::body::BufferedBody;
 use crate::cx::Cx;
 use crate::directory::{EndpointKey, Shortage};
 use crate::gossip::{self, Message};
-use crate::heads::host;
+use crate::heads::host_header;
 use crate::reply::Refusal;
 use crate::roll_outs::{Allowed, Pace, Source};
 use crate::running::Running;
@@ -37,13 +37,13 @@
     pub(crate) uri: Uri,
     /// The caller's headers without the hop-by-hop ones.
     pub(crate) headers: HeaderMap,
-    pub(crate) body: HeldBody,
+    pub(crate) body: BufferedBody,
     pub(crate) arrival: Instant,
     /// Deadline: when the caller stops waiting or the route's timeout expires, whichever is first.
-    pub(crate) limit: Instant,
+    pub(crate) deadline_at: Instant,
     urgency: u8,
     /// Index in the route's ladder of the model for the next attempt.
-    pub(crate) size: usize,
+    pub(crate) model_index: usize,
     /// Endpoints that are excluded from the next attempt because they received the request.
     pub(crate) tried: Vec<EndpointKey>,
     /// All endpoints that received the request, including those whose responses were discarded.
@@ -78,11 +78,11 @@
             method: head.method,
             uri: head.uri,
             headers: head.headers,
-            body: HeldBody::default(),
+            body: BufferedBody::default(),
             arrival,
-            limit: arrival + wait,
+            deadline_at: arrival + wait,
             urgency: site.routes[route].urgency,
-            size: 0,
+            model_index: 0,
             tried: Vec::new(),
             sent_to: SmallVec::new(),
             sends: 0,
@@ -122,16 +122,19 @@
 
     /// The model for the next attempt, where the route's ladder selects it instead of the caller.
     pub(crate) fn model(&self) -> Option<&str> {
-        self.route().ladder.get(self.size).map(String::as_str)
+        self.route()
+            .ladder
+            .get(self.model_index)
+            .map(String::as_str)
     }
 
     /// Time until the deadline.
-    pub(crate) fn left(&self) -> Duration {
-        self.limit.saturating_duration_since(Instant::now())
+    pub(crate) fn time_left(&self) -> Duration {
+        self.deadline_at.saturating_duration_since(Instant::now())
     }
 
     /// Whether the request may be sent to another endpoint.
-    pub(crate) fn has_attempts(&self) -> bool {
+    pub(crate) fn has_attempts_left(&self) -> bool {
         self.sends < self.route().attempts.max(1)
     }
 
@@ -140,7 +143,7 @@
         *self.fingerprint.get_or_init(|| {
             let fields: [&[u8]; 5] = [
                 self.method.as_str().as_bytes(),
-                host(&self.headers).unwrap_or_default().as_bytes(),
+                host_header(&self.headers).unwrap_or_default().as_bytes(),
                 self.uri
                     .path_and_query()
                     .map_or(&[], |t| t.as_str().as_bytes()),
@@ -163,7 +166,7 @@
     }
 
     /// Hash of the session id, the same on every node.
-    pub(crate) fn session(&self) -> Option<u64> {
+    pub(crate) fn session_hash(&self) -> Option<u64> {
         self.facts.session.as_ref().map(hash)
     }
 
@@ -173,9 +176,9 @@
     }
 
     /// Whether the next attempt uses the largest model of a ladder.
-    pub(crate) fn is_largest(&self) -> bool {
-        let sizes = self.route().ladder.len();
-        sizes > 1 && self.size + 1 == sizes
+    pub(crate) fn uses_largest_model(&self) -> bool {
+        let model_count = self.route().ladder.len();
+        model_count > 1 && self.model_index + 1 == model_count
     }
 
     /// Origin of an endpoint's response, for roll-out statistics.
@@ -192,22 +195,24 @@
     }
 
     /// Group of requests with comparable response times: those of one plain route.
-    pub(crate) fn answer_pace(&self) -> Pace {
+    pub(crate) fn response_pace(&self) -> Pace {
         hash(&("answer", &self.route().prefix))
     }
 
     /// Group of streams with comparable event intervals: those of one model size.
     pub(crate) fn event_pace(&self) -> Pace {
-        hash(&("event", self.size))
+        hash(&("event", self.model_index))
     }
 
     /// Records how large the generation is relative to others of its route.
-    pub(crate) fn note_size<W>(&mut self, cx: &Cx<W>) {
+    pub(crate) fn record_size<W>(&mut self, cx: &Cx<W>) {
         let Some(prompt) = &self.facts.prompt else {
             return;
         };
-        let size = f64::from(prompt.tokens_in) + 10.0 * f64::from(prompt.tokens_out);
-        self.relative_size = cx.state().relative_size(&self.route().name, size);
+        let generation_size = f64::from(prompt.tokens_in) + 10.0 * f64::from(prompt.tokens_out);
+        self.relative_size = cx
+            .state()
+            .relative_size(&self.route().name, generation_size);
     }
 
     /// Load that the request adds to an endpoint: a long prompt and a large model delay all other
@@ -223,37 +228,37 @@
     }
 
     /// Hash of the prompt prefix that other requests share, and of the model that would cache it.
-    fn prefix(&self) -> Option<u64> {
+    fn prefix_hash(&self) -> Option<u64> {
         let parts = &self.facts.prompt.as_ref()?.parts;
-        let shared = parts.len().saturating_sub(1).max(1).min(parts.len());
-        let last = parts[..shared].last()?;
-        Some(hash(&(&last.0, self.size)))
+        let shared_len = parts.len().saturating_sub(1).max(1).min(parts.len());
+        let last = parts[..shared_len].last()?;
+        Some(hash(&(&last.0, self.model_index)))
     }
 
     /// Assigns the request to an endpoint that has not received it yet.
     pub(crate) fn place<W: Wire>(&self, cx: &Arc<Cx<W>>) -> Result<Running<W>, Shortage> {
-        let allowed = self.allowed(cx);
-        cx.place(&self.wanted(&allowed))
+        let allowed = self.allowed_versions(cx);
+        cx.place(&self.placement_query(&allowed))
     }
 
     /// Whether an eligible endpoint has not received the request yet.
-    pub(crate) fn has_place<W: Wire>(&self, cx: &Cx<W>) -> bool {
-        let allowed = self.allowed(cx);
-        cx.has_place(&self.wanted(&allowed))
+    pub(crate) fn has_eligible_endpoint<W: Wire>(&self, cx: &Cx<W>) -> bool {
+        let allowed = self.allowed_versions(cx);
+        cx.has_place(&self.placement_query(&allowed))
     }
 
     /// Software versions that the request may use now. Looked up again for each attempt: a roll-out
     /// may have ended since the last one, and the version allowed then may be gone.
-    fn allowed<W: Wire>(&self, cx: &Cx<W>) -> Allowed {
-        cx.allowed(&self.service, self.session(), hash(&self.facts.id))
+    fn allowed_versions<W: Wire>(&self, cx: &Cx<W>) -> Allowed {
+        cx.allowed(&self.service, self.session_hash(), hash(&self.facts.id))
     }
 
-    fn wanted<'a>(&'a self, allowed: &'a Allowed) -> Wanted<'a> {
+    fn placement_query<'a>(&'a self, allowed: &'a Allowed) -> Wanted<'a> {
         Wanted {
             service: &self.service,
             allowed,
             tried: &self.tried,
-            prefix: self.prefix(),
+            prefix: self.prefix_hash(),
             weight: self.weight(),
         }
     }
@@ -261,7 +266,7 @@
     /// Pins the session to the endpoint's version. Called before the request is sent, because the
     /// session's next request may reach another node as soon as this one is answered.
     pub(crate) fn pin_session<W: Wire>(&self, cx: &Cx<W>, running: &Running<W>) {
-        let Some(session) = self.session() else {
+        let Some(session) = self.session_hash() else {
             return;
         };
         let now = cx.now();
@@ -275,7 +280,7 @@
     }
 
     /// Builds the request that is sent to the endpoint.
-    pub(crate) fn request<W: Wire>(
+    pub(crate) fn build_request<W: Wire>(
         &self,
         cx: &Cx<W>,
         endpoint: &str,
@@ -286,7 +291,7 @@
         *req.uri_mut() = self.uri.clone();
         *req.headers_mut() = self.headers.clone();
         let fwd = Forward {
-            left: self.left(),
+            left: self.time_left(),
             endpoint,
             customer: self.customer.as_deref(),
             model: self.model(),
@@ -299,7 +304,7 @@
 
     /// Whether an idle connection may be reused. A request that must not be retried fails for good
     /// if its endpoint closes the connection at that moment, so it uses only recently used ones.
-    pub(crate) fn reuse(&self) -> Reuse {
+    pub(crate) fn connection_reuse(&self) -> Reuse {
         match self.route().kind.is_idempotent() {
             true => Reuse::Allowed,
             false => Reuse::Recent,
--- a/crates/oatdale-relay/src/reply.rs
+++ b/crates/oatdale-relay/src/reply.rs
@@ -41,7 +41,7 @@
     /// The request is quarantined because it crashes endpoints; this time none has run it.
     Quarantined,
     /// An endpoint may have run the request, and its response is lost.
-    Lost,
+    ResponseLost,
     /// An endpoint may have run the request, and did not respond in time.
     TimedOut,
 }
@@ -61,7 +61,7 @@
             | Refusal::Evacuated
             | Refusal::NoTime
             | Refusal::Quarantined => StatusCode::SERVICE_UNAVAILABLE,
-            Refusal::Lost => StatusCode::BAD_GATEWAY,
+            Refusal::ResponseLost => StatusCode::BAD_GATEWAY,
             Refusal::TimedOut => StatusCode::GATEWAY_TIMEOUT,
         }
     }
@@ -82,16 +82,16 @@
             Refusal::Evacuated => "domains-evacuated",
             Refusal::NoTime => "no-time",
             Refusal::Quarantined => "quarantined",
-            Refusal::Lost => "answer-lost",
+            Refusal::ResponseLost => "answer-lost",
             Refusal::TimedOut => "timed-out",
         })
     }
 }
 
 /// Builds the response for a refused request.
-pub(crate) fn refuse(refusal: Refusal, retry_after: Option<Duration>) -> Response<Body> {
+pub(crate) fn refusal_response(refusal: Refusal, retry_after: Option<Duration>) -> Response<Body> {
     let mut res = plain(refusal.status(), format!("{refusal}\n").into());
-    if let Some(value) = retry_after.and_then(seconds) {
+    if let Some(value) = retry_after.and_then(header_seconds) {
         res.headers_mut().insert(header::RETRY_AFTER, value);
     }
     // On a reused connection, the unread rest of the body would be parsed as the next request.
@@ -107,13 +107,13 @@
 
 /// Builds a response with a short body.
 pub(crate) fn plain(status: StatusCode, body: Bytes) -> Response<Body> {
-    let mut res = Response::new(whole(body));
+    let mut res = Response::new(full_body(body));
     *res.status_mut() = status;
     res
 }
 
 /// A body whose bytes are all available.
-pub(crate) fn whole(body: Bytes) -> Body {
+pub(crate) fn full_body(body: Bytes) -> Body {
     Full::new(body)
         .map_err(|never| match never {})
         .boxed_unsync()
@@ -121,11 +121,11 @@
 
 /// A streamed body. An error closes the connection, so that a truncated response never looks
 /// complete.
-pub(crate) fn pieces(stream: BoxStream<'static, io::Result<Bytes>>) -> Body {
+pub(crate) fn stream_body(stream: BoxStream<'static, io::Result<Bytes>>) -> Body {
     use futures::StreamExt;
-    StreamBody::new(stream.map(|piece| piece.map(Frame::data))).boxed_unsync()
+    StreamBody::new(stream.map(|chunk| chunk.map(Frame::data))).boxed_unsync()
 }
 
-fn seconds(time: Duration) -> Option<HeaderValue> {
+fn header_seconds(time: Duration) -> Option<HeaderValue> {
     HeaderValue::try_from(format!("{:.2}", time.as_secs_f64())).ok()
 }
--- a/crates/oatdale-relay/src/serve.rs
+++ b/crates/oatdale-relay/src/serve.rs
@@ -1,15 +1,15 @@
 //! Serves one request of a caller, from its head to the end of the response.
 
-use crate::answer::{Answer, Next};
+use crate::answer::{EndpointResponse, Read};
 use crate::attempt::{self, Failure, SendOptions};
 use crate::crashes;
 use crate::cx::Cx;
-use crate::guard::ConnWatch;
-use crate::heads::{host, is_events, passed_on, strip};
+use crate::guard::ConnTracker;
+use crate::heads::{forwarded_head, host_header, is_event_stream, strip_hop_by_hop};
 use crate::plan::Plan;
-use crate::record::Record;
-use crate::reply::{self, Body, Refusal, refuse};
-use crate::stream::Relayed;
+use crate::record::RequestLog;
+use crate::reply::{self, Body, Refusal, refusal_response};
+use crate::stream::EventRelay;
 use crate::wire::Wire;
 use bytes::{Bytes, BytesMut};
 use futures::stream::{self, StreamExt};
@@ -24,60 +24,60 @@
 use tokio::time::Instant;
 
 /// Minimum time before the deadline for an attempt or a retry: no endpoint responds in less.
-const LEAST_TIME: Duration = Duration::from_millis(20);
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(20);
 
 /// Response bodies up to this many bytes are buffered before their head is sent, so that one that
 /// breaks off can be retried or reported to the caller by a status code.
-const SMALL: usize = 64 << 10;
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 64 << 10;
 
 /// `Retry-After` of a refusal, as a share of the route's target latency: short enough for the retry
 /// to be in time, and randomized so that callers refused together do not retry together.
-const RETURN: std::ops::Range<f64> = 0.4..1.2;
+const RETRY_AFTER_TARGET_SHARE: std::ops::Range<f64> = 0.4..1.2;
 
 /// Upper bound of the randomized part of `Retry-After`.
-const LATEST_RETURN: Duration = Duration::from_millis(1_500);
+const MAX_RANDOM_RETRY_AFTER: Duration = Duration::from_millis(1_500);
 
 /// `Retry-After` from a node that has no configuration yet, or no memory for a body.
-const START_RETURN: Duration = Duration::from_millis(500);
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// An endpoint's response to forward to the caller.
 enum Reply<W> {
     /// The head, the complete body and the endpoint's id.
-    Whole(Box<response::Parts>, Bytes, String),
+    Buffered(Box<response::Parts>, Bytes, String),
     /// The bytes read so far, and the response whose body has the rest.
-    Pieces(Bytes, Box<Answer<W>>),
+    Streamed(Bytes, Box<EndpointResponse<W>>),
 }
 
 /// What to do with an endpoint's response.
-enum Examined<W> {
-    Pass(Reply<W>),
+enum Decision<W> {
+    Forward(Reply<W>),
     Failed(Failure),
     /// Repeat the request with the model at this index of the ladder.
-    Larger(usize),
+    Escalate(usize),
 }
 
 /// Responds to one request.
 pub(crate) async fn serve<W: Wire>(
     cx: Arc<Cx<W>>,
-    watch: ConnWatch,
+    tracker: ConnTracker,
     req: Request<Incoming>,
 ) -> Result<Response<Body>, Infallible> {
-    watch.request();
+    tracker.request_started();
     let arrival = Instant::now();
     let (head, body) = req.into_parts();
     let facts = cx.wire.request(&head);
-    let mut record = Record::new(cx.clone(), watch, arrival, facts.id.as_deref());
-    let mut res = match prepare(&cx, head, facts, body, arrival, &mut record).await {
-        Ok(plan) => answer(&cx, plan, record).await,
+    let mut request_log = RequestLog::new(cx.clone(), tracker, arrival, facts.id.as_deref());
+    let mut res = match prepare(&cx, head, facts, body, arrival, &mut request_log).await {
+        Ok(plan) => respond(&cx, plan, request_log).await,
         Err(refusal) => {
             let retry = match refusal {
-                Refusal::NotReady | Refusal::NoMemory => Some(START_RETURN),
+                Refusal::NotReady | Refusal::NoMemory => Some(NOT_READY_RETRY_AFTER),
                 // Another node can serve it at once.
                 Refusal::Stopping => Some(Duration::ZERO),
                 _ => None,
             };
-            record.end(&format!("refused {refusal}"));
-            refuse(refusal, retry)
+            request_log.set_outcome(&format!("refused {refusal}"));
+            refusal_response(refusal, retry)
         }
     };
     if cx.is_stopping() {
@@ -94,7 +94,7 @@
     facts: crate::wire::RequestFacts,
     body: Incoming,
     arrival: Instant,
-    record: &mut Record<W>,
+    request_log: &mut RequestLog<W>,
 ) -> Result<Plan, Refusal> {
     let site = cx.site().ok_or(Refusal::NotReady)?;
     // The authority of an absolute-form target could contradict the `Host` header, which selects
@@ -102,12 +102,12 @@
     if head.uri.authority().is_some() || facts.id.is_none() {
         return Err(Refusal::BadRequest);
     }
-    let host = host(&head.headers).ok_or(Refusal::BadRequest)?;
-    record.about = format!("config={} ", site.version);
+    let host = host_header(&head.headers).ok_or(Refusal::BadRequest)?;
+    request_log.fields = format!("config={} ", site.version);
     let route = site.route(host, head.uri.path()).ok_or(Refusal::NoRoute)?;
-    strip(&mut head.headers);
+    strip_hop_by_hop(&mut head.headers);
     let mut plan = Plan::new(site, route, facts, head, arrival)?;
-    record.about = format!(
+    request_log.fields = format!(
         "config={} route={} service={} ",
         plan.site.version,
         plan.route().name,
@@ -122,11 +122,15 @@
 }
 
 /// Forwards a request to endpoints until one has responded or no retry is allowed.
-async fn answer<W: Wire>(cx: &Arc<Cx<W>>, mut plan: Plan, mut record: Record<W>) -> Response<Body> {
+async fn respond<W: Wire>(
+    cx: &Arc<Cx<W>>,
+    mut plan: Plan,
+    mut request_log: RequestLog<W>,
+) -> Response<Body> {
     cx.count_request(&plan.service);
-    plan.note_size(cx);
-    let result = ask(cx, &mut plan).await;
-    record.about = format!(
+    plan.record_size(cx);
+    let result = send_with_retries(cx, &mut plan).await;
+    request_log.fields = format!(
         "config={} route={} service={} session={} model={} sends={} confidences={:?} ",
         plan.site.version,
         plan.route().name,
@@ -138,41 +142,41 @@
     );
     let first_byte = plan.arrival.elapsed().as_secs_f64();
     match result {
-        Ok(Reply::Whole(head, body, endpoint)) => {
+        Ok(Reply::Buffered(head, body, endpoint)) => {
             cx.note_completed(&plan);
             cx.metrics.first_byte.observe(first_byte);
-            record.about += &format!("endpoint={endpoint} status={} ", head.status.as_u16());
-            record.end("complete");
-            Response::from_parts(passed_on(*head), reply::whole(body))
+            request_log.fields += &format!("endpoint={endpoint} status={} ", head.status.as_u16());
+            request_log.set_outcome("complete");
+            Response::from_parts(forwarded_head(*head), reply::full_body(body))
         }
-        Ok(Reply::Pieces(read, answer)) => {
+        Ok(Reply::Streamed(buffered, endpoint_res)) => {
             cx.metrics.first_byte.observe(first_byte);
-            record.about += &format!(
+            request_log.fields += &format!(
                 "endpoint={} status={} head_ms={} ",
-                answer.running.id,
-                answer.head.status.as_u16(),
+                endpoint_res.running.id,
+                endpoint_res.head.status.as_u16(),
                 plan.arrival.elapsed().as_millis()
             );
-            pass_pieces(cx, plan, read, *answer, record)
+            stream_response(cx, plan, buffered, *endpoint_res, request_log)
         }
-        Err((refusal, why)) => {
-            record.end(&format!("refused {refusal}: {why}"));
+        Err((refusal, detail)) => {
+            request_log.set_outcome(&format!("refused {refusal}: {detail}"));
             let retry = match refusal {
                 Refusal::Quarantined => cx.quarantine_left(&plan),
-                _ if refusal.status().as_u16() == 503 => Some(come_back(cx, &plan)),
+                _ if refusal.status().as_u16() == 503 => Some(retry_delay(cx, &plan)),
                 _ => None,
             };
-            refuse(refusal, retry)
+            refusal_response(refusal, retry)
         }
     }
 }
 
 /// How long a refused caller should wait: at least until an endpoint accepts requests again.
-fn come_back<W: Wire>(cx: &Cx<W>, plan: &Plan) -> Duration {
+fn retry_delay<W: Wire>(cx: &Cx<W>, plan: &Plan) -> Duration {
     let route = plan.route();
     let target = route.target_latency.unwrap_or(route.timeout);
-    let part = rand::rng().random_range(RETURN);
-    let spread = target.mul_f64(part).min(LATEST_RETURN);
+    let share = rand::rng().random_range(RETRY_AFTER_TARGET_SHARE);
+    let spread = target.mul_f64(share).min(MAX_RANDOM_RETRY_AFTER);
     let now = cx.now();
     let pause = {
         let state = cx.state();
@@ -181,57 +185,60 @@
     };
     match pause {
         Some(pause) => pause + spread,
-        None => spread.min(plan.left() / 3),
+        None => spread.min(plan.time_left() / 3),
     }
 }
 
 /// Sends a request to endpoints, one after another, until a response can be forwarded.
-async fn ask<W: Wire>(cx: &Arc<Cx<W>>, plan: &mut Plan) -> Result<Reply<W>, (Refusal, String)> {
+async fn send_with_retries<W: Wire>(
+    cx: &Arc<Cx<W>>,
+    plan: &mut Plan,
+) -> Result<Reply<W>, (Refusal, String)> {
     let idempotent = plan.route().kind.is_idempotent();
     let mut may_have_run = false;
-    let mut last: Option<Reply<W>> = None;
+    let mut last_error_reply: Option<Reply<W>> = None;
     loop {
-        if plan.left() < LEAST_TIME && plan.sends == 0 {
+        if plan.time_left() < MIN_ATTEMPT_TIME && plan.sends == 0 {
             return Err((Refusal::NoTime, "deadline too close".to_owned()));
         }
-        let how = SendOptions {
+        let options = SendOptions {
             last_event: plan.facts.last_event,
             may_abandon: idempotent && plan.has_attempts_after_next(),
         };
-        let failure = match attempt::attempt(cx, plan, how).await {
-            Ok(answer) => match examine(cx, plan, answer, how.may_abandon).await {
-                Examined::Pass(Reply::Whole(head, body, endpoint))
+        let failure = match attempt::attempt(cx, plan, options).await {
+            Ok(endpoint_res) => match decide(cx, plan, endpoint_res, options.may_abandon).await {
+                Decision::Forward(Reply::Buffered(head, body, endpoint))
                     if idempotent && head.status.is_server_error() =>
                 {
                     let status = head.status;
-                    last = Some(Reply::Whole(head, body, endpoint));
+                    last_error_reply = Some(Reply::Buffered(head, body, endpoint));
                     Failure::Unknown(format!("response status {status}"))
                 }
-                Examined::Pass(reply) => return Ok(reply),
-                Examined::Larger(size) => {
-                    plan.size = size;
+                Decision::Forward(reply) => return Ok(reply),
+                Decision::Escalate(model_index) => {
+                    plan.model_index = model_index;
                     plan.tried.pop();
                     continue;
                 }
-                Examined::Failed(failure) => failure,
+                Decision::Failed(failure) => failure,
             },
             Err(failure) => failure,
         };
         may_have_run |= !failure.is_not_run();
-        let again = match &failure {
+        let should_retry = match &failure {
             Failure::NoEndpoint(_) | Failure::TimedOut | Failure::Quarantined { .. } => false,
             // Costs no endpoint anything, and ends when all endpoints have been tried.
-            Failure::NotSent(_) => plan.left() > LEAST_TIME,
-            Failure::NotRun(_) => may_repeat(cx, plan) && (idempotent || !may_have_run),
-            Failure::Unknown(_) | Failure::Abandoned => idempotent && may_repeat(cx, plan),
+            Failure::NotSent(_) => plan.time_left() > MIN_ATTEMPT_TIME,
+            Failure::NotRun(_) => may_retry(cx, plan) && (idempotent || !may_have_run),
+            Failure::Unknown(_) | Failure::Abandoned => idempotent && may_retry(cx, plan),
         };
-        if again {
+        if should_retry {
             continue;
         }
-        return match (last, &failure) {
+        return match (last_error_reply, &failure) {
             (Some(reply), _) => Ok(reply),
             (None, Failure::TimedOut) => Err((Refusal::TimedOut, "no response in time".to_owned())),
-            (None, _) if may_have_run => Err((Refusal::Lost, format!("{failure:?}"))),
+            (None, _) if may_have_run => Err((Refusal::ResponseLost, format!("{failure:?}"))),
             (None, Failure::Quarantined { .. }) => {
                 let request = plan.fingerprint();
                 Err((Refusal::Quarantined, format!("request={request}")))
@@ -245,36 +252,43 @@
 }
 
 /// Whether a request may be retried; if so, charges the retry budget of its service.
-fn may_repeat<W: Wire>(cx: &Cx<W>, plan: &Plan) -> bool {
-    let may = plan.has_attempts() && plan.left() > LEAST_TIME && cx.may_repeat(&plan.service);
-    if may {
+fn may_retry<W: Wire>(cx: &Cx<W>, plan: &Plan) -> bool {
+    let allowed = plan.has_attempts_left()
+        && plan.time_left() > MIN_ATTEMPT_TIME
+        && cx.may_repeat(&plan.service);
+    if allowed {
         cx.metrics.repeats.inc();
     }
-    may
+    allowed
 }
 
 /// Decides what to do with a response whose head has arrived.
-async fn examine<W: Wire>(
+async fn decide<W: Wire>(
     cx: &Arc<Cx<W>>,
     plan: &mut Plan,
-    answer: Answer<W>,
+    endpoint_res: EndpointResponse<W>,
     may_abandon: bool,
-) -> Examined<W> {
-    let status = answer.head.status;
+) -> Decision<W> {
+    let status = endpoint_res.head.status;
     if status.is_success() {
-        let sizes = plan.route().ladder.len();
-        let room = plan.has_attempts();
+        let model_count = plan.route().ladder.len();
+        let can_retry = plan.has_attempts_left();
         let ladder = Ladder {
             threshold: cx.settings.ladder.least_confidence,
             wait: cx.state().wait(&plan.service),
             size: plan.relative_size,
         };
-        plan.confidences.extend(answer.facts.confidence);
-        let step = ladder.step(plan.size, sizes, answer.facts.confidence, room);
+        plan.confidences.extend(endpoint_res.facts.confidence);
+        let step = ladder.step(
+            plan.model_index,
+            model_count,
+            endpoint_res.facts.confidence,
+            can_retry,
+        );
         match step {
-            Step::Up(size) if cx.may_escalate(&plan.service) => {
+            Step::Up(model_index) if cx.may_escalate(&plan.service) => {
                 cx.metrics.escalations.inc();
-                return Examined::Larger(size);
+                return Decision::Escalate(model_index);
             }
             _ => {}
         }
@@ -282,94 +296,101 @@
     // These status codes would tell the caller that the request was not executed, which the
     // endpoint did not state.
     if matches!(status.as_u16(), 408 | 421 | 429 | 503) {
-        return Examined::Failed(Failure::Unknown(format!("response status {status}")));
+        return Decision::Failed(Failure::Unknown(format!("response status {status}")));
     }
-    if status.is_success() && plan.route().kind.is_stream() && is_events(&answer.head.headers) {
-        return Examined::Pass(Reply::Pieces(Bytes::new(), Box::new(answer)));
+    if status.is_success()
+        && plan.route().kind.is_stream()
+        && is_event_stream(&endpoint_res.head.headers)
+    {
+        return Decision::Forward(Reply::Streamed(Bytes::new(), Box::new(endpoint_res)));
     }
-    read_small(cx, plan, answer, may_abandon).await
+    buffer_body(cx, plan, endpoint_res, may_abandon).await
 }
 
 /// Buffers a response body, or returns it for streaming once it exceeds the bound.
-async fn read_small<W: Wire>(
+async fn buffer_body<W: Wire>(
     cx: &Arc<Cx<W>>,
     plan: &Plan,
-    mut answer: Answer<W>,
+    mut endpoint_res: EndpointResponse<W>,
     may_abandon: bool,
-) -> Examined<W> {
+) -> Decision<W> {
     let route = plan.route();
     let target = route.target_latency.unwrap_or(route.timeout);
-    let until = match may_abandon {
-        true => plan.limit.min(Instant::now() + target),
-        false => plan.limit,
+    let deadline = match may_abandon {
+        true => plan.deadline_at.min(Instant::now() + target),
+        false => plan.deadline_at,
     };
-    let mut read = BytesMut::new();
+    let mut buffered = BytesMut::new();
     loop {
-        match answer.next(until).await {
-            Next::Piece(piece) => read.extend_from_slice(&piece),
-            Next::End => {
-                let id = answer.running.id.clone();
-                return Examined::Pass(Reply::Whole(Box::new(answer.head), read.freeze(), id));
+        match endpoint_res.next(deadline).await {
+            Read::Chunk(chunk) => buffered.extend_from_slice(&chunk),
+            Read::End => {
+                let id = endpoint_res.running.id.clone();
+                return Decision::Forward(Reply::Buffered(
+                    Box::new(endpoint_res.head),
+                    buffered.freeze(),
+                    id,
+                ));
             }
-            Next::Broken(reason) => {
-                answer.running.silent();
-                crashes::note_broken(cx, plan, &answer.running);
-                return Examined::Failed(Failure::Unknown(reason));
+            Read::Broken(reason) => {
+                endpoint_res.running.silent();
+                crashes::note_broken(cx, plan, &endpoint_res.running);
+                return Decision::Failed(Failure::Unknown(reason));
             }
-            Next::Late => return Examined::Failed(Failure::Unknown("body timed out".to_owned())),
+            Read::Late => return Decision::Failed(Failure::Unknown("body timed out".to_owned())),
         }
-        if read.len() > SMALL {
-            return Examined::Pass(Reply::Pieces(read.freeze(), Box::new(answer)));
+        if buffered.len() > MAX_BUFFERED_RESPONSE_BYTES {
+            return Decision::Forward(Reply::Streamed(buffered.freeze(), Box::new(endpoint_res)));
         }
     }
 }
 
 /// Responds with a body that is streamed as the endpoint sends it.
-fn pass_pieces<W: Wire>(
+fn stream_response<W: Wire>(
     cx: &Arc<Cx<W>>,
     plan: Plan,
-    read: Bytes,
-    answer: Answer<W>,
-    record: Record<W>,
+    buffered: Bytes,
+    endpoint_res: EndpointResponse<W>,
+    request_log: RequestLog<W>,
 ) -> Response<Body> {
-    let head = passed_on(answer.head.clone());
-    let events = plan.route().kind.is_stream() && is_events(&head.headers);
-    let body = match events {
-        true => Relayed::new(cx.clone(), plan, answer, record).into_stream(),
+    let head = forwarded_head(endpoint_res.head.clone());
+    let streams_events = plan.route().kind.is_stream() && is_event_stream(&head.headers);
+    let body = match streams_events {
+        true => EventRelay::new(cx.clone(), plan, endpoint_res, request_log).into_stream(),
         false => {
-            let first = stream::once(async move { Ok(read) });
+            let first = stream::once(async move { Ok(buffered) });
             first
-                .chain(plain_pieces(cx.clone(), plan, answer, record))
+                .chain(stream_rest(cx.clone(), plan, endpoint_res, request_log))
                 .boxed()
         }
     };
-    Response::from_parts(head, reply::pieces(body))
+    Response::from_parts(head, reply::stream_body(body))
 }
 
 /// The rest of a body that is too long to be buffered.
-fn plain_pieces<W: Wire>(
+fn stream_rest<W: Wire>(
     cx: Arc<Cx<W>>,
     plan: Plan,
-    answer: Answer<W>,
-    record: Record<W>,
+    endpoint_res: EndpointResponse<W>,
+    request_log: RequestLog<W>,
 ) -> impl futures::Stream<Item = io::Result<Bytes>> + Send + 'static {
-    let state = Some((cx, plan, answer, record));
+    let state = Some((cx, plan, endpoint_res, request_log));
     stream::unfold(state, |state| async move {
-        let (cx, plan, mut answer, mut record) = state?;
-        match answer.next(plan.limit).await {
-            Next::Piece(piece) => Some((Ok(piece), Some((cx, plan, answer, record)))),
-            Next::End => {
+        let (cx, plan, mut endpoint_res, mut request_log) = state?;
+        match endpoint_res.next(plan.deadline_at).await {
+            Read::Chunk(chunk) => Some((Ok(chunk), Some((cx, plan, endpoint_res, request_log)))),
+            Read::End => {
                 cx.note_completed(&plan);
-                record.end("complete");
+                request_log.set_outcome("complete");
                 None
             }
-            Next::Broken(reason) => {
-                crashes::note_broken(&cx, &plan, &answer.running);
-                record.end(&format!("response body broke off: {reason}"));
+            Read::Broken(reason) => {
+                crashes::note_broken(&cx, &plan, &endpoint_res.running);
+                request_log.set_outcome(&format!("response body broke off: {reason}"));
                 Some((Err(io::Error::other(reason)), None))
             }
-            Next::Late => {
-                record.end("timed-out");
+            Read::Late => {
+                request_log.set_outcome("timed-out");
                 Some((Err(io::ErrorKind::TimedOut.into()), None))
             }
         }
--- a/crates/oatdale-relay/src/wire.rs
+++ b/crates/oatdale-relay/src/wire.rs
@@ -34,8 +34,8 @@
     /// The failure domain that a caller states in its query for node addresses, if any.
     fn caller_domain(&self, query: &str) -> Option<String>;
 
-    /// The response body for a query for node addresses, which callers may cache for `keep`.
-    fn addresses(&self, addrs: &[SocketAddr], keep: Duration) -> Bytes;
+    /// The response body for a query for node addresses, which callers may cache for `max_age`.
+    fn addresses(&self, addrs: &[SocketAddr], max_age: Duration) -> Bytes;
 }
 
 /// Metadata from a request's head.
