--- a/crates/oatdale-relay/src/local.rs
+++ b/crates/oatdale-relay/src/local.rs
@@ -33,7 +33,7 @@
     serve_with(listener, move |req| respond(cx.clone(), req)).await;
 }
 
-/// Accepts connections and serves their requests with `answer`, for requests without a body.
+/// Accepts connections and serves their requests with `handler`; requests have no body.
 pub(crate) async fn serve_with<F, A>(listener: TcpListener, handler: F)
 where
     F: Fn(Request<Incoming>) -> A + Clone + Send + 'static,
--- a/crates/oatdale-relay/src/plan.rs
+++ b/crates/oatdale-relay/src/plan.rs
@@ -138,7 +138,7 @@
         self.sends < self.route().attempts.max(1)
     }
 
-    /// Hash that identifies copies of this request: the same method, target, customer and body.
+    /// Hash that identifies copies of this request: same method, host, target, customer and body.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
             let fields: [&[u8]; 5] = [
@@ -241,7 +241,7 @@
         cx.place(&self.placement_query(&allowed))
     }
 
-    /// Whether an eligible endpoint has not received the request yet.
+    /// Whether there is an eligible endpoint that has not received the request yet.
     pub(crate) fn has_eligible_endpoint<W: Wire>(&self, cx: &Cx<W>) -> bool {
         let allowed = self.allowed_versions(cx);
         cx.has_place(&self.placement_query(&allowed))
--- a/crates/oatdale-relay/src/reply.rs
+++ b/crates/oatdale-relay/src/reply.rs
@@ -36,7 +36,7 @@
     NoEndpoint,
     /// All failure domains with endpoints for the request are evacuated.
     Evacuated,
-    /// The deadline was too close before the request was sent to any endpoint.
+    /// The deadline was too close to send the request to any endpoint.
     NoTime,
     /// The request is quarantined because it crashes endpoints; this time none has run it.
     Quarantined,
--- a/crates/oatdale-relay/src/stream.rs
+++ b/crates/oatdale-relay/src/stream.rs
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Counts received events, and records their rate once enough of them have arrived.
+    /// Counts complete events, and records a single time how fast they arrive.
     fn record_pace(&mut self) {
         let Some(pace) = self.pace.event(self.cx.now()) else {
             return;
