--- a/crates/oatdale-relay/src/answer.rs
+++ b/crates/oatdale-relay/src/answer.rs
@@ -1,4 +1,4 @@
-//! An endpoint's answer, and what comes next of its body.
+//! An endpoint's response, whose body is read chunk by chunk.
 
 use crate::running::Running;
 use crate::wire::{AnswerFacts, Wire};
@@ -8,48 +8,48 @@
 use hyper::body::Incoming;
 use tokio::time::{Instant, timeout_at};
 
-/// An answer's head, with its body still to be read.
-pub(crate) struct Answer<W> {
+/// A response whose head has been received and whose body has not been read to its end.
+pub(crate) struct EndpointResponse<W> {
     pub(crate) head: response::Parts,
     pub(crate) facts: AnswerFacts,
     pub(crate) body: Incoming,
     pub(crate) running: Running<W>,
 }
 
-/// What came next of a body.
-pub(crate) enum Next {
-    Piece(Bytes),
+/// Result of waiting for the next chunk of a body.
+pub(crate) enum Read {
+    Chunk(Bytes),
     End,
-    /// It breaks off, for this reason.
+    /// The body broke off, for this reason.
     Broken(String),
-    /// Nothing came in time.
+    /// No chunk arrived in time.
     Late,
 }
 
-impl<W: Wire> Answer<W> {
-    /// Waits for the next bytes of the body.
-    pub(crate) async fn next(&mut self, until: Instant) -> Next {
-        // What has come counts, also from an endpoint that has started again meanwhile.
-        let piece = tokio::select! {
+impl<W: Wire> EndpointResponse<W> {
+    /// Waits for the next chunk of the body.
+    pub(crate) async fn next(&mut self, until: Instant) -> Read {
+        // Biased: a chunk that has arrived counts even if its endpoint has restarted since.
+        let chunk = tokio::select! {
             biased;
-            piece = timeout_at(until, next_piece(&mut self.body)) => piece,
+            chunk = timeout_at(until, next_chunk(&mut self.body)) => chunk,
             () = self.running.started_again() => {
-                return Next::Broken("the endpoint started again".to_owned());
+                return Read::Broken("endpoint restarted during the response".to_owned());
             }
         };
-        match piece {
-            Ok(Some(Ok(piece))) => {
+        match chunk {
+            Ok(Some(Ok(chunk))) => {
                 self.running.note_progress();
-                Next::Piece(piece)
+                Read::Chunk(chunk)
             }
-            Ok(Some(Err(err))) => Next::Broken(err.to_string()),
-            Ok(None) => Next::End,
-            Err(_) => Next::Late,
+            Ok(Some(Err(err))) => Read::Broken(err.to_string()),
+            Ok(None) => Read::End,
+            Err(_) => Read::Late,
         }
     }
 }
 
-async fn next_piece(body: &mut Incoming) -> Option<Result<Bytes, hyper::Error>> {
+async fn next_chunk(body: &mut Incoming) -> Option<Result<Bytes, hyper::Error>> {
     loop {
         match body.frame().await? {
             Ok(frame) => match frame.into_data() {
--- a/crates/oatdale-relay/src/guard.rs
+++ b/crates/oatdale-relay/src/guard.rs
@@ -1,8 +1,8 @@
-//! Ends callers' connections that are idle or slow.
+//! Timeouts for callers' connections that are idle or send a request head slowly.
 //!
-//! The limits come with the configuration and change while connections live, so each connection
-//! looks them up when it checks. Without this, callers that open connections and send nothing, or
-//! a head's bytes one by one, use up the node's descriptors.
+//! The limits are part of the configuration and may change while a connection is open, so each
+//! check looks them up. Without these timeouts, callers that open connections and send nothing, or
+//! send a head byte by byte, would exhaust the node's file descriptors.
 
 use crate::site::CallerLimits;
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -12,92 +12,94 @@
 use std::task::{Context, Poll};
 use tokio::time::Instant;
 
-/// What a connection does.
+/// State of a connection.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Doing {
-    /// Waits for a request since then.
+enum ConnState {
+    /// Waiting for a request since that moment.
     Idle(Instant),
-    /// Receives a head since then.
+    /// Receiving a request head since that moment.
     Head(Instant),
-    /// Has a request under way.
-    Request,
+    /// A request is in flight.
+    InFlight,
 }
 
-/// What to do with a connection whose time is up.
+/// Result of checking a connection's timeouts.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(crate) enum Due {
-    /// Nothing before that moment.
-    Later(Instant),
-    /// It was idle for too long.
+pub(crate) enum Timeout {
+    /// Check again at that moment.
+    RecheckAt(Instant),
+    /// Close the connection: it has exceeded the idle timeout.
     CloseIdle,
-    /// A head took too long.
+    /// Close the connection: the request head has exceeded its timeout.
     CloseSlow,
 }
 
-/// One connection's state, shared by its bytes and its requests.
+/// State of one connection, shared by its I/O wrapper and its request handlers.
 #[derive(Clone, Debug)]
-pub(crate) struct ConnWatch(Arc<Mutex<Doing>>);
+pub(crate) struct ConnTracker(Arc<Mutex<ConnState>>);
 
-/// A connection that notes when bytes arrive.
-pub(crate) struct Guarded<I> {
+/// I/O wrapper that records when bytes arrive.
+pub(crate) struct TrackedIo<I> {
     io: I,
-    watch: ConnWatch,
+    tracker: ConnTracker,
 }
 
-impl ConnWatch {
+impl ConnTracker {
     pub(crate) fn new() -> Self {
-        ConnWatch(Arc::new(Mutex::new(Doing::Idle(Instant::now()))))
+        ConnTracker(Arc::new(Mutex::new(ConnState::Idle(Instant::now()))))
     }
 
-    /// A request's head has come whole.
-    pub(crate) fn request(&self) {
-        self.set(Doing::Request);
+    /// Records that a complete request head has been received.
+    pub(crate) fn request_started(&self) {
+        self.set(ConnState::InFlight);
     }
 
-    /// The answer has ended.
-    pub(crate) fn answered(&self) {
-        self.set(Doing::Idle(Instant::now()));
+    /// Records that the response has ended.
+    pub(crate) fn response_ended(&self) {
+        self.set(ConnState::Idle(Instant::now()));
     }
 
     pub(crate) fn is_idle(&self) -> bool {
-        matches!(self.get(), Doing::Idle(_))
+        matches!(self.get(), ConnState::Idle(_))
     }
 
-    pub(crate) fn due(&self, limits: &CallerLimits) -> Due {
+    /// Checks the timeouts against the current limits.
+    pub(crate) fn check_timeouts(&self, limits: &CallerLimits) -> Timeout {
         let now = Instant::now();
         match self.get() {
-            Doing::Idle(since) if now >= since + limits.idle_timeout => Due::CloseIdle,
-            Doing::Head(since) if now >= since + limits.header_timeout => Due::CloseSlow,
-            Doing::Head(since) => Due::Later(since + limits.header_timeout),
-            Doing::Idle(since) => {
-                Due::Later((since + limits.idle_timeout).min(now + limits.header_timeout))
+            ConnState::Idle(since) if now >= since + limits.idle_timeout => Timeout::CloseIdle,
+            ConnState::Head(since) if now >= since + limits.header_timeout => Timeout::CloseSlow,
+            ConnState::Head(since) => Timeout::RecheckAt(since + limits.header_timeout),
+            ConnState::Idle(since) => {
+                Timeout::RecheckAt((since + limits.idle_timeout).min(now + limits.header_timeout))
             }
-            Doing::Request => Due::Later(now + limits.header_timeout),
+            ConnState::InFlight => Timeout::RecheckAt(now + limits.header_timeout),
         }
     }
 
-    fn bytes(&self) {
+    /// Records that bytes have been received.
+    fn bytes_received(&self) {
         if self.is_idle() {
-            self.set(Doing::Head(Instant::now()));
+            self.set(ConnState::Head(Instant::now()));
         }
     }
 
-    fn get(&self) -> Doing {
+    fn get(&self) -> ConnState {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn set(&self, doing: Doing) {
-        *self.0.lock().unwrap_or_else(PoisonError::into_inner) = doing;
+    fn set(&self, state: ConnState) {
+        *self.0.lock().unwrap_or_else(PoisonError::into_inner) = state;
     }
 }
 
-impl<I> Guarded<I> {
-    pub(crate) fn new(io: I, watch: ConnWatch) -> Self {
-        Guarded { io, watch }
+impl<I> TrackedIo<I> {
+    pub(crate) fn new(io: I, tracker: ConnTracker) -> Self {
+        TrackedIo { io, tracker }
     }
 }
 
-impl<I: Read + Unpin> Read for Guarded<I> {
+impl<I: Read + Unpin> Read for TrackedIo<I> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -105,13 +107,13 @@
     ) -> Poll<Result<()>> {
         let poll = Pin::new(&mut self.io).poll_read(cx, buf);
         if let Poll::Ready(Ok(())) = poll {
-            self.watch.bytes();
+            self.tracker.bytes_received();
         }
         poll
     }
 }
 
-impl<I: Write + Unpin> Write for Guarded<I> {
+impl<I: Write + Unpin> Write for TrackedIo<I> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
