--- a/crates/oatdale-relay/src/cx.rs
+++ b/crates/oatdale-relay/src/cx.rs
@@ -1,4 +1,4 @@
-//! What all of a relay's requests share.
+//! State shared by all requests of a relay.
 
 use crate::body::BodyMemory;
 use crate::crashes;
@@ -20,23 +20,22 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// How long a connection to an endpoint may take to open. Endpoints are a few milliseconds away;
-/// one that takes longer is better replaced by another within the time that callers wait.
+/// Connect timeout to an endpoint. Endpoints are a few milliseconds away; a slower one is better
+/// replaced by another within the time that callers wait.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long an unused connection to an endpoint is kept, where the endpoint announces no time.
+/// How long an idle connection to an endpoint is kept, unless the endpoint announces a time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Unused connections kept for one endpoint.
+/// Maximum number of idle connections kept per endpoint.
 const MAX_IDLE: usize = 16;
 
-/// The part of the repeats that larger models leave: a stream that breaks off is lost
-/// without a repeat, an answer of a small model is only worse. When an endpoint with several
-/// streams of one node dies, all of them need one at once.
+/// Fraction of the retry budget that escalations to larger models leave for retries of broken
+/// streams: a broken stream is lost without a retry, while an answer of a small model is only
+/// worse. When an endpoint with several streams of one node dies, all of them need a retry at once.
 const KEPT_FOR_BROKEN: f64 = 0.2;
 
-/// The part of the time for a stop in which new streams are taken: most of them end within the
-/// rest of it.
+/// Fraction of the stop time in which new streams are accepted: most of them end within the rest.
 const STREAMS_WHILE_STOPPING: f64 = 0.3;
 
 /// Shared state of one relay.
@@ -46,9 +45,9 @@
     pub(crate) pool: Pool,
     pub(crate) metrics: Metrics,
     pub(crate) body_memory: BodyMemory,
-    /// For datagrams of and to other nodes.
+    /// Socket for datagrams between nodes.
     pub(crate) socket: UdpSocket,
-    /// Changes when a request is quarantined, for its copies that are under way.
+    /// Notified when a request is quarantined, for its copies in flight.
     pub(crate) held: watch::Sender<()>,
     started: Instant,
     state: Mutex<State>,
@@ -80,12 +79,12 @@
         }
     }
 
-    /// Time since the process began.
+    /// Returns the time since the process started.
     pub(crate) fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// The moment at which so much time has passed since the process began.
+    /// Returns the instant at this time after the process started.
     pub(crate) fn at(&self, time: Duration) -> Instant {
         self.started + time
     }
@@ -98,7 +97,7 @@
         self.state().stopping.is_some()
     }
 
-    /// Whether a stream that begins now would end before this node does.
+    /// Whether a stream that begins now is likely to end before this node stops.
     pub(crate) fn has_time_for_stream(&self) -> bool {
         let state = self.state();
         let takes = state.bounds.stop().mul_f64(STREAMS_WHILE_STOPPING);
@@ -111,7 +110,7 @@
         state.site.is_some() && !state.directory.is_empty() && state.stopping.is_none()
     }
 
-    /// Takes in news from the platform.
+    /// Applies an update from the platform.
     pub(crate) fn update(&self, update: Update) {
         let now = self.now();
         let mut state = self.state();
@@ -174,7 +173,7 @@
                 gossip::broadcast(self, state, &Message::EndpointLeaves { id, born });
             }
             News::StartedAgain(before) => {
-                log::info!(target: "directory", "event=started_again id={id} born={born:?}");
+                log::info!(target: "directory", "event=endpoint_restarted id={id} born={born:?}");
                 self.pool.forget(before);
             }
             News::None | News::Leaves => {}
@@ -189,7 +188,11 @@
     pub(crate) fn take_site(&self, state: &mut State, site: Arc<Site>) {
         let old = state.site.as_ref().map(|s| s.version);
         if old.is_some_and(|old| site.version <= old) {
-            log::debug!(target: "config", "event=not_newer version={} old={old:?}", site.version);
+            log::debug!(
+                target: "config",
+                "event=config_not_newer version={} old={old:?}",
+                site.version
+            );
             return;
         }
         log::info!(
@@ -202,21 +205,21 @@
         state.site = Some(site);
     }
 
-    /// Notes that the requests that are held have changed.
+    /// Updates the metric of quarantined requests and notifies requests in flight.
     pub(crate) fn note_held(&self, state: &State) {
         let held = state.quarantine.held(self.now()).count();
         self.metrics.quarantined.set(held as i64);
         self.held.send_replace(());
     }
 
-    /// Which software versions a request may use now. `own` is the request's hash.
+    /// Returns the software versions that a request may use now. `own` is the request's hash.
     pub(crate) fn allowed(&self, service: &str, session: Option<u64>, own: u64) -> Allowed {
         let now = self.now();
         let state = self.state();
         state.roll_outs.allowed(now, service, session, own)
     }
 
-    /// Whether an endpoint may take a request.
+    /// Whether an endpoint can take a request.
     pub(crate) fn has_place(&self, wanted: &Wanted<'_>) -> bool {
         let now = self.now();
         let mut state = self.state();
@@ -225,7 +228,7 @@
         picked.is_some()
     }
 
-    /// Places a request and counts it, or tells why no endpoint may take it.
+    /// Places a request and counts it, or returns why no endpoint can take it.
     pub(crate) fn place(self: &Arc<Self>, wanted: &Wanted<'_>) -> Result<Running<W>, Shortage> {
         let now = self.now();
         let mut state = self.state();
@@ -246,7 +249,7 @@
         ))
     }
 
-    /// Notes a request for a service, which pays for repeats.
+    /// Counts a request for a service; requests earn its retry budget.
     pub(crate) fn count_request(&self, service: &str) {
         let now = self.now();
         self.state().roll_outs.count_request(now, service);
@@ -255,12 +258,13 @@
         state.repeats(service).request(now, &allowed);
     }
 
-    /// Whether a request for a service may be sent once more.
+    /// Whether a request for a service may be retried; if so, spends from its retry budget.
     pub(crate) fn may_repeat(&self, service: &str) -> bool {
         self.repeat(service, 0.0)
     }
 
-    /// Whether a request for a service may be sent once more only to get a better answer.
+    /// Whether a request may be escalated to a larger model for a better answer; if so, spends from
+    /// the retry budget.
     pub(crate) fn may_escalate(&self, service: &str) -> bool {
         self.repeat(service, KEPT_FOR_BROKEN)
     }
@@ -271,7 +275,10 @@
         let allowed = state.allowance(now);
         let may = state.repeats(service).repeat(now, &allowed, kept);
         if !may {
-            log::info!(target: "attempt", "event=no_repeat service={service} kept={kept}");
+            log::info!(
+                target: "attempt",
+                "event=retry_budget_exhausted service={service} reserved={kept}"
+            );
         }
         may
     }
--- a/crates/oatdale-relay/src/directory.rs
+++ b/crates/oatdale-relay/src/directory.rs
@@ -1,4 +1,4 @@
-//! The endpoints that a node knows of, what it has under way there, and how they did.
+//! Registry of the endpoints known to a node, with the load this node puts on each and its health.
 
 use crate::asking::Report;
 use crate::state::hash;
@@ -10,117 +10,121 @@
 use std::time::Duration;
 use tokio_util::sync::CancellationToken;
 
-/// How long after the key-value service came back an entry may still be missing because it lapsed
-/// while its endpoint could not renew it. Endpoints write anew within about two seconds.
+/// Grace period after the key-value service recovers in which an entry may still be missing because
+/// its lease expired while its endpoint could not renew it. Endpoints rewrite their entries within
+/// about two seconds.
 const RETURN_GRACE: Duration = Duration::from_millis(1_900);
 
-/// How long after an endpoint has started its record may still say nothing of it.
+/// How long after an endpoint's restart its record may not show the restart yet.
 const RECORD_DELAY: Duration = Duration::from_millis(2_500);
 
-/// Time between two notes that an endpoint is unreachable.
+/// Minimum time between two reports that an endpoint is unreachable.
 const NEWS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long an endpoint that is gone stays known, so that its last answers find their place.
+/// How long a removed endpoint stays in the directory, so that its last responses can still be
+/// attributed to it.
 const KEEP_GONE: Duration = Duration::from_secs(60);
 
-/// The place of one start of an endpoint in the directory; never used again for another one.
+/// Key of one start of an endpoint in the directory; never reused.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct EndpointKey(u32);
 
-/// All endpoints.
+/// Directory of all known endpoints.
 #[derive(Debug, Default)]
 pub struct Directory {
     entries: BTreeMap<EndpointKey, Entry>,
     by_id: BTreeMap<String, EndpointKey>,
     next: u32,
     store: Store,
-    /// Failure domains that operators have evacuated; unset until an order, or that there is none, was read.
+    /// Failure domains evacuated by operators; `None` until the evacuation orders, or their
+    /// absence, have been read.
     evacuated: Option<BTreeSet<String>>,
 }
 
-/// What is known of one endpoint.
+/// State of one endpoint.
 #[derive(Debug)]
 pub struct Entry {
-    /// What the endpoint says of itself.
+    /// The endpoint's own record.
     pub endpoint: Endpoint,
-    /// What its answers tell.
+    /// Health as observed from its responses.
     pub health: Health,
-    /// Requests under way from this node.
+    /// In-flight requests from this node.
     pub running: u32,
-    /// The same, weighted by their size.
+    /// In-flight requests from this node, weighted by their size.
     pub load: f64,
-    /// Its number in what nodes tell each other of loads.
+    /// Number that identifies the endpoint in load reports between nodes.
     pub(crate) number: u32,
-    /// Long prompts that other nodes sent there.
+    /// Long prompts sent to it by other nodes.
     others: Vec<Heavy>,
-    /// When it last sent anything to this node.
+    /// When this node last received bytes from it.
     pub last_progress: Duration,
-    /// When it was last asked whether it is alive.
+    /// When its liveness was last probed.
     pub probed: Duration,
-    /// What it last said of its work.
+    /// Last report of its work.
     pub(crate) report: Option<Report>,
-    /// Until when it is cold, as it said last.
+    /// When it stops being cold, by its last announcement.
     warm_at: Duration,
-    /// The latest moment at which it may have become cold without its record saying so yet.
+    /// The latest time at which it may have become cold without its record saying so.
     unnoticed: Option<Duration>,
-    /// What this node sent there while it was cold.
+    /// Requests sent to it by this node while it was cold.
     pub(crate) warm_up: WarmUp,
-    /// This node's share of what it bears while it is cold, and when that was found out.
+    /// When this node's share of the cold endpoint's request rate was last computed, and the share
+    /// in requests per second.
     pub(crate) warm_up_share: Option<(Duration, u32)>,
-    /// Until when it wants no requests from this node.
+    /// End of the back-off that it asked this node for.
     pub(crate) paused_until: Duration,
-    /// Cancelled when the endpoint has started again: what it was sent before is lost.
+    /// Cancelled when the endpoint restarts: requests sent to the earlier start are lost.
     pub(crate) life: CancellationToken,
     gone: Gone,
 }
 
-/// A long prompt that another node sent.
+/// Long prompt sent by another node.
 #[derive(Clone, Copy, PartialEq, Debug)]
 struct Heavy {
     told: Duration,
-    /// When it is read.
+    /// When the engine has finished reading it.
     until: Duration,
     weight: f64,
 }
 
-/// What a record has told that others, or requests under way, have to know.
+/// Change in a record that other nodes or in-flight requests must be notified of.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum News {
-    /// Nothing.
+    /// No relevant change.
     None,
-    /// The endpoint leaves.
+    /// The endpoint announced that it is leaving.
     Leaves,
-    /// The endpoint has started again under its id; its earlier start was at this address.
+    /// The endpoint restarted under the same id; holds the address of its earlier start.
     StartedAgain(SocketAddr),
 }
 
-/// How many endpoints of a service do not get a request, by reason.
+/// Number of endpoints of a service that cannot take a request, by reason.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub(crate) struct Shortage {
-    /// They had it.
+    /// Already tried for this request.
     tried: usize,
-    /// They leave or are gone.
+    /// Leaving or removed.
     leaving: usize,
-    /// Their failure domain is evacuated.
+    /// In an evacuated failure domain.
     evacuated: usize,
-    /// They want a pause.
+    /// In a back-off that they asked for.
     paused: usize,
-    /// They are cold, and get no more from this node now.
+    /// Cold, and this node's share of their request rate is used up.
     cold: usize,
-    /// They run a version that the request may not use.
+    /// Running a version that the request must not use.
     other: usize,
 }
 
-/// Whether an endpoint's entry is there.
+/// Whether an endpoint's entry is registered.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Gone {
     No,
-    /// Its entry is missing, which may be for an outage of the key-value service alone: it is used
-    /// until then.
+    /// The entry is missing, possibly only because of an outage of the key-value service; the
+    /// endpoint is used until this time.
     At(Duration),
 }
 
-/// Whether the key-value service answers.
+/// Availability of the key-value service.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 enum Store {
     #[default]
@@ -130,7 +134,7 @@
 }
 
 impl Directory {
-    /// Takes over all endpoints there are, and returns where those were that have started again.
+    /// Replaces all endpoints and returns the previous addresses of those that have restarted.
     pub fn replace(&mut self, now: Duration, all: Vec<Endpoint>) -> Vec<SocketAddr> {
         let is_first = self.entries.is_empty();
         let missing: Vec<String> = self
@@ -149,24 +153,24 @@
             }
         }
         if is_first {
-            // They may have run for long.
+            // On the first read, endpoints that report no cold time may have been running for long.
             self.entries.values_mut().for_each(|e| e.unnoticed = None);
         }
         before
     }
 
-    /// Takes in an endpoint that is new or changed.
+    /// Inserts or updates an endpoint.
     ///
-    /// A record of an earlier start than the known one was overtaken on its way and changes nothing. A
-    /// later start takes the place of the known one with nothing of it: not its leaving, its failures,
-    /// its load, nor the requests that it was sent.
+    /// A record of an earlier start than the known one is stale and is ignored. A later start
+    /// replaces the known one and inherits nothing from it: not its leaving state, its failures,
+    /// its load or its in-flight requests.
     pub fn upsert(&mut self, now: Duration, endpoint: Endpoint) -> News {
         let known = self.by_id.get(&endpoint.id).copied();
         match known.and_then(|key| self.entries.get_mut(&key)) {
             Some(entry) if endpoint.born < entry.endpoint.born => {
                 log::info!(
                     target: "directory",
-                    "event=overtaken id={} born={:?} known={:?}",
+                    "event=stale_record id={} born={:?} known={:?}",
                     endpoint.id, endpoint.born, entry.endpoint.born
                 );
                 News::None
@@ -193,8 +197,8 @@
         self.forget(now);
     }
 
-    /// Notes that an endpoint that started at `born` announced that it leaves, as another node has read
-    /// it, and says whether that is news.
+    /// Marks an endpoint that started at `born` as leaving, as read by another node, and returns
+    /// whether it was not marked before.
     pub fn leaves(&mut self, id: &str, born: Option<u64>) -> bool {
         match self.by_id_mut(id) {
             Some(entry) if entry.endpoint.born <= born => {
@@ -204,17 +208,18 @@
         }
     }
 
-    /// Notes that the entry of an endpoint that started at `born` is missing, as another node has read it.
+    /// Removes an endpoint that started at `born` and whose entry another node found missing.
     pub fn remove_start(&mut self, now: Duration, id: &str, born: Option<u64>) -> bool {
         let is_known = |e: &mut Entry| e.endpoint.born <= born;
         self.by_id_mut(id).is_some_and(is_known) && self.remove(now, id)
     }
 
-    /// Notes that an endpoint's entry is missing, and says whether that is news and no outage explains it.
+    /// Removes an endpoint whose entry is missing, and returns whether that is new and not
+    /// explained by an outage.
     ///
-    /// While the key-value service is away, and a little longer, entries go missing because their
-    /// endpoints could not renew them; all endpoints would seem to be gone at once, and every
-    /// request would be refused. In steady times a missing entry is a leaving endpoint.
+    /// While the key-value service is unavailable, and shortly after, entries expire because their
+    /// endpoints cannot renew them; removing all of them at once would refuse every request. While
+    /// the service is available, a missing entry means that the endpoint is leaving.
     pub fn remove(&mut self, now: Duration, id: &str) -> bool {
         let at = match self.store {
             Store::Steady => now,
@@ -235,19 +240,19 @@
         }
     }
 
-    /// The key-value service does not answer.
+    /// Records that the key-value service does not answer.
     pub fn store_lost(&mut self) {
         self.store = Store::Lost;
     }
 
-    /// The key-value service answers, for the first time or again.
+    /// Records that the key-value service answers, for the first time or again.
     pub fn store_back(&mut self, now: Duration) {
         if self.store == Store::Lost {
             self.store = Store::BackSince(now);
         }
     }
 
-    /// Ends the time in which missing entries may come back.
+    /// Ends the grace period for missing entries once it is over.
     pub fn tick(&mut self, now: Duration) {
         match self.store {
             Store::BackSince(since) if now >= since + RETURN_GRACE => self.store = Store::Steady,
@@ -255,7 +260,8 @@
         }
     }
 
-    /// Takes over which failure domains are evacuated. Their endpoints get nothing new, and go on with what they have.
+    /// Sets the evacuated failure domains. Their endpoints get no new requests and finish those in
+    /// flight.
     pub fn set_evacuated(&mut self, now: Duration, domains: BTreeSet<String>) {
         let before = self.evacuated.replace(domains).unwrap_or_default();
         let domains = self.evacuated.iter().flatten();
@@ -264,8 +270,8 @@
         }
         let taken_back = before.into_iter().filter(|d| !self.is_evacuated(d));
         for domain in taken_back.collect::<Vec<_>>() {
-            log::warn!(target: "directory", "event=domain_taken_back domain={domain}");
-            // They had nothing to do, and their records may tell so later.
+            log::warn!(target: "directory", "event=domain_evacuation_lifted domain={domain}");
+            // They were idle and may have become cold; their records may say so only later.
             let entries = self.entries.values_mut();
             entries
                 .filter(|e| e.endpoint.domain == domain)
@@ -273,7 +279,8 @@
         }
     }
 
-    /// The endpoints of a service that are there and cold, where one of this service may be for `time` unnoticed.
+    /// Returns the available endpoints of a service that may be cold, where `time` is how long one
+    /// that became cold unnoticed stays so.
     pub(crate) fn cold_mut(
         &mut self,
         now: Duration,
@@ -286,7 +293,7 @@
         })
     }
 
-    /// The failure domains that are evacuated, if that is known.
+    /// Returns the evacuated failure domains, or `None` if they are not known yet.
     pub fn evacuated(&self) -> Option<&BTreeSet<String>> {
         self.evacuated.as_ref()
     }
@@ -296,13 +303,13 @@
         evacuated.is_some_and(|domains| domains.contains(domain))
     }
 
-    /// The endpoint with this id.
+    /// Returns the endpoint with this id.
     pub fn by_id_mut(&mut self, id: &str) -> Option<&mut Entry> {
         let key = self.by_id.get(id)?;
         self.entries.get_mut(key)
     }
 
-    /// The endpoints of a service that may get new work.
+    /// Returns the endpoints of a service that may get new requests.
     pub fn usable<'a>(
         &'a self,
         now: Duration,
@@ -315,8 +322,8 @@
             .map(|(key, e)| (*key, e))
     }
 
-    /// How long until the first endpoint of a service wants requests from this node again. `None` if one does now,
-    /// or if there is none.
+    /// Returns the time until the first endpoint of a service ends its back-off towards this node.
+    /// `None` if one accepts requests now, or if there is none.
     pub fn pause_left(&self, now: Duration, service: &str) -> Option<Duration> {
         let entries = self.entries.values();
         let there = entries.filter(|e| e.endpoint.service == service && self.may_get_work(now, e));
@@ -328,7 +335,7 @@
         entry.takes_work(now) && !self.is_evacuated(&entry.endpoint.domain)
     }
 
-    /// Why no endpoint of a service may take a request that was sent to these already.
+    /// Counts why no endpoint of a service can take a request that was already sent to `tried`.
     pub(crate) fn shortage(
         &self,
         now: Duration,
@@ -352,7 +359,7 @@
         shortage
     }
 
-    /// Whether this node has work on another version of a service than `target`.
+    /// Whether this node has in-flight requests on a version of a service other than `target`.
     pub fn has_other_work(&self, service: &str, target: &str) -> bool {
         self.entries
             .values()
@@ -360,29 +367,29 @@
             .any(|e| e.endpoint.version != target)
     }
 
-    /// What this node has under way at each endpoint, by the endpoint's number.
+    /// Returns this node's load at each endpoint, by the endpoint's number.
     pub(crate) fn loads(&self) -> impl Iterator<Item = (u32, f64)> {
         self.entries.values().map(|e| (e.number, e.load))
     }
 
-    /// One endpoint.
+    /// Returns the endpoint with this key.
     pub fn get(&self, key: EndpointKey) -> Option<&Entry> {
         self.entries.get(&key)
     }
 
-    /// Whether an endpoint has started again since it got this place.
+    /// Whether an endpoint has restarted since it got this key.
     pub(crate) fn started_again(&self, key: EndpointKey) -> bool {
         self.entries
             .get(&key)
             .is_some_and(|e| e.life.is_cancelled())
     }
 
-    /// One endpoint, to note what it did.
+    /// Returns the endpoint with this key for an update.
     pub fn get_mut(&mut self, key: EndpointKey) -> Option<&mut Entry> {
         self.entries.get_mut(&key)
     }
 
-    /// All endpoints that are not gone.
+    /// Returns all endpoints that are not removed.
     pub fn iter(&self, now: Duration) -> impl Iterator<Item = &Endpoint> {
         let there = move |e: &&Entry| match e.gone {
             Gone::No => true,
@@ -391,17 +398,17 @@
         self.entries.values().filter(there).map(|e| &e.endpoint)
     }
 
-    /// How many endpoints are known and not gone.
+    /// Returns the number of registered endpoints.
     pub fn len(&self) -> usize {
         self.entries.values().filter(|e| e.gone == Gone::No).count()
     }
 
-    /// How many endpoints are remembered, those that are gone among them.
+    /// Returns the number of endpoints held in memory, including removed ones.
     pub fn known(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no endpoint is known.
+    /// Whether no endpoint is registered.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -418,7 +425,7 @@
 }
 
 impl Shortage {
-    /// Whether there would be an endpoint if no domain were evacuated.
+    /// Whether evacuations are the reason that no endpoint is available.
     pub(crate) fn is_evacuation(&self) -> bool {
         self.evacuated > 0 && self.tried + self.paused + self.cold + self.other == 0
     }
@@ -439,7 +446,7 @@
         Entry {
             number: hash(&(&endpoint.id, endpoint.born)) as u32,
             warm_at: now.saturating_add(endpoint.cold_left.unwrap_or_default()),
-            // One that does not say how it is has just started.
+            // An endpoint that does not report whether it is cold is treated as just started.
             unnoticed: endpoint.cold_left.is_none().then_some(now),
             warm_up: WarmUp::default(),
             warm_up_share: None,
@@ -457,10 +464,10 @@
         }
     }
 
-    /// Takes in another record of the same start.
+    /// Applies another record of the same start.
     ///
-    /// One that announced its leaving does not come back without a new start: a record that says
-    /// otherwise is an older one.
+    /// An endpoint that announced its leaving returns only with a new start: a record that says
+    /// otherwise is older.
     fn update(&mut self, now: Duration, endpoint: Endpoint) -> News {
         let known = &self.endpoint;
         let is_other = (endpoint.serial, endpoint.cold_left) != (known.serial, known.cold_left);
@@ -482,13 +489,13 @@
         }
     }
 
-    /// The endpoint has started again: this start is over, with all that it was sent.
+    /// Ends this start after the endpoint has restarted; its in-flight requests are lost.
     fn end_life(&mut self, now: Duration) {
         self.gone = Gone::At(now);
         self.life.cancel();
     }
 
-    /// Whether it may be cold, if one that started again unnoticed is for `time`.
+    /// Whether it may be cold, where `time` is how long one that restarted unnoticed stays cold.
     pub(crate) fn is_cold(&self, now: Duration, time: Duration) -> bool {
         self.says_cold(now)
             || self
@@ -496,29 +503,30 @@
                 .is_some_and(|at| now < at.saturating_add(time))
     }
 
-    /// Whether it said that it is cold.
+    /// Whether it has announced that it is cold.
     pub(crate) fn says_cold(&self, now: Duration) -> bool {
         now < self.warm_at
     }
 
-    /// Notes how much longer it is cold, as it says itself.
+    /// Sets how much longer it is cold, as it announced itself.
     pub(crate) fn set_cold(&mut self, now: Duration, left: Duration) {
         self.warm_at = now.saturating_add(left);
     }
 
-    /// Notes that it is cold for so long at least.
+    /// Extends the time for which it is cold to at least `left` from now.
     pub(crate) fn stays_cold(&mut self, now: Duration, left: Duration) {
         self.warm_at = self.warm_at.max(now.saturating_add(left));
     }
 
-    /// Notes that it could not be reached, so that it may start again soon, and says whether that is news.
+    /// Records that it is unreachable, so that it may restart soon, and returns whether this is to
+    /// be reported again.
     pub(crate) fn unreachable(&mut self, now: Duration) -> bool {
         let latest = now + RECORD_DELAY;
         let before = self.unnoticed.replace(latest);
         before.is_none_or(|before| latest >= before + NEWS_INTERVAL)
     }
 
-    /// Notes a long prompt that another node sent there.
+    /// Adds a long prompt that another node sent to it.
     pub fn add_others(&mut self, now: Duration, time: Duration, weight: f64) {
         self.others.retain(|heavy| heavy.until > now);
         self.others.push(Heavy {
@@ -528,20 +536,21 @@
         });
     }
 
-    /// What is under way there as far as this node knows: its own requests, and others' long prompts, unless
-    /// they were told of so long ago that the sums hold them.
+    /// Returns its load as known to this node: this node's requests and the long prompts of other
+    /// nodes, except those announced at or before `summed`, which the load sums already include.
     pub fn known_load(&self, now: Duration, summed: Option<Duration>) -> f64 {
         let counts = |h: &&Heavy| h.until > now && summed.is_none_or(|summed| h.told > summed);
         let others = self.others.iter().filter(counts);
         self.load + others.map(|h| h.weight).sum::<f64>()
     }
 
-    /// Whether it was to end: it announced that it leaves or its record is gone, and it has not started again.
+    /// Whether its end was planned: it announced its leaving or its record is gone, and it has not
+    /// restarted.
     pub(crate) fn left_by_plan(&self, now: Duration) -> bool {
         !self.takes_work(now) && !self.life.is_cancelled()
     }
 
-    /// Whether it may get new work.
+    /// Whether it may get new requests.
     pub fn takes_work(&self, now: Duration) -> bool {
         let there = match self.gone {
             Gone::No => true,
@@ -550,12 +559,12 @@
         there && !self.endpoint.leaving
     }
 
-    /// Notes that it wants no requests from this node for a while.
+    /// Starts or extends its back-off towards this node.
     pub fn pause(&mut self, now: Duration, time: Duration) {
         self.paused_until = self.paused_until.max(now + time);
     }
 
-    /// Another endpoint answered at its address: this one is gone, whatever its entry says.
+    /// Marks it as gone, whatever its entry says: another endpoint answered at its address.
     pub fn replaced(&mut self) {
         self.endpoint.leaving = true;
     }
--- a/crates/oatdale-relay/src/gossip.rs
+++ b/crates/oatdale-relay/src/gossip.rs
@@ -1,8 +1,8 @@
-//! Datagrams by which nodes add up what they saw of a roll-out, say that they leave, and tell of
-//! long prompts that they send.
+//! Datagrams between nodes: counts for roll-outs under way, announcements of leaving nodes and
+//! endpoints, long prompts, loads and crashes.
 //!
-//! A lost datagram is made up for by the next one: each has the sender's counts since the order, and
-//! a leaving node says so several times.
+//! A lost datagram is made up for by the next one: each carries the sender's counts since the
+//! order, and a leaving node announces this several times.
 
 use crate::crashes;
 use crate::cx::Cx;
@@ -17,48 +17,48 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between two reports while a roll-out is under way: a bad version is noticed by all within
-/// it, and a site of ten nodes sends some two hundred datagrams a second.
+/// Interval between reports while a roll-out is under way: all nodes notice a bad version within
+/// it, and a site of ten nodes sends about two hundred datagrams a second.
 pub(crate) const REPORT_EVERY: Duration = Duration::from_millis(400);
 
-/// The longest datagram that passes every network whole.
+/// Longest datagram, in bytes, that passes every network unfragmented.
 const MAX_DATAGRAM: usize = 1_200;
 
-/// How often a leaving node says so, and the pause between.
+/// Number of announcements sent by a leaving node, and the interval between them.
 const SAID: usize = 3;
 const SAID_EVERY: Duration = Duration::from_millis(100);
 
-/// Requests from this weight on are told of: a prompt of this length holds up all others at its
-/// engine for half a second, and other nodes would send theirs there meanwhile.
+/// Minimum weight of a request that is announced: a prompt of this length blocks its engine for
+/// half a second, and other nodes would send theirs there meanwhile.
 const HEAVY: f64 = 3.0;
 
-/// The most that one prompt counts.
+/// Maximum weight counted for one prompt.
 const MOST_WEIGHT: f64 = 50.0;
 
-/// Time for which an engine reads a prompt, for each unit of weight: 3,000 tokens of the largest
-/// model at some 15 to 20 tokens a millisecond.
+/// Time that an engine takes to read a prompt, per unit of weight: 3,000 tokens of the largest
+/// model at 15 to 20 tokens per millisecond.
 const READ_TIME: Duration = Duration::from_millis(200);
 
-/// One datagram.
+/// Message of one datagram.
 #[derive(Serialize, Deserialize)]
 pub(crate) enum Message {
     Report(Report),
-    /// Sessions of the sender on old versions.
+    /// The sender's sessions on old versions.
     OnOld(OnOld),
-    /// The node with this host name stops.
+    /// The node with this host name is stopping.
     Leaving(String),
-    /// The endpoint with this id that started then announced that it leaves.
+    /// The endpoint with this id, started at `born`, announced that it is leaving.
     EndpointLeaves {
         id: String,
         born: Option<u64>,
     },
-    /// The record of the endpoint with this id that started then is gone.
+    /// The record of the endpoint with this id, started at `born`, is gone.
     EndpointGone {
         id: String,
         born: Option<u64>,
     },
-    /// The endpoint with this id that started then is cold for so long, or may become so since it could not be
-    /// reached.
+    /// The endpoint with this id, started at `born`, is cold for `left_ms`; without a time, it was
+    /// unreachable and may become cold.
     EndpointCold {
         id: String,
         born: Option<u64>,
@@ -66,34 +66,34 @@
     },
     /// A long prompt was sent to an endpoint.
     Heavy {
-        /// The endpoint's id.
+        /// Id of the endpoint.
         endpoint: String,
         weight: f64,
     },
-    /// The sender's loads, to be added up.
+    /// The sender's loads, for the aggregators.
     Loads(Vec<Load>),
-    /// An endpoint crashed under these requests.
+    /// An endpoint crashed while it ran these requests.
     Crashed {
-        /// The endpoint's number.
+        /// Number of the endpoint.
         endpoint: u32,
         requests: Vec<u128>,
     },
-    /// A request crashes endpoints, and is to be refused.
+    /// A request crashes endpoints and must be refused.
     Quarantined {
         request: u128,
     },
-    /// A request that endpoints had crashed under has completed.
+    /// A request during which endpoints had crashed has completed.
     Completed {
         request: u128,
     },
-    /// What so many nodes together have at endpoints.
+    /// Sums of the loads of `nodes` nodes at endpoints.
     Sums {
         nodes: usize,
         loads: Vec<Load>,
     },
 }
 
-/// Takes in other nodes' datagrams.
+/// Receives the datagrams of other nodes.
 pub(crate) async fn listen<W: Wire>(cx: Arc<Cx<W>>) {
     let mut buf = vec![0; MAX_DATAGRAM];
     loop {
@@ -162,7 +162,8 @@
             crashes::take_release(cx, state, Fingerprint(request));
         }),
         Ok(Message::Sums { nodes, loads }) => take_from_known(cx, from, |state| {
-            // No sum is over more nodes than there are; one that says so would keep others out.
+            // No sum covers more nodes than are known; a sender that claims more would block the
+            // sums of others.
             let known = state.nodes.iter(now).count();
             state.shared.take(now, nodes.min(known), &loads);
         }),
@@ -170,22 +171,23 @@
     }
 }
 
-/// Takes in what decides where requests go, if a node of the list says it.
+/// Applies a message that affects placement, if its sender is a known node.
 fn take_from_known<W: Wire>(cx: &Cx<W>, from: SocketAddr, take: impl FnOnce(&mut State)) {
     let now = cx.now();
     let mut state = cx.state();
     let is_known = state.nodes.iter(now).any(|n| n.nodes == from);
     match is_known {
         true => take(&mut state),
-        false => log::debug!(target: "gossip", "event=datagram_of_unknown from={from}"),
+        false => log::debug!(target: "gossip", "event=unknown_sender from={from}"),
     }
 }
 
-/// Tells other nodes of the roll-outs under way.
+/// Reports the roll-outs under way to other nodes.
 ///
-/// All tell the first nodes by name, which judge; these tell all, so that the number of datagrams
-/// grows with the number of nodes and not with its square. Sessions on old versions are told to all by
-/// the node that has them: with more nodes than judges the others would never hear of them.
+/// All nodes report to the first ones by name, the judges; these report to all, so that the number
+/// of datagrams grows with the number of nodes and not with its square. Sessions on old versions
+/// are reported to all by the node that has them: with more nodes than judges, the others would not
+/// learn of them otherwise.
 pub(crate) async fn report<W: Wire>(cx: &Cx<W>) {
     for (datagram, to) in datagrams(cx) {
         if let Err(err) = cx.socket.send_to(&datagram, to).await {
@@ -194,10 +196,11 @@
     }
 }
 
-/// Tells other nodes of a request with a long prompt.
+/// Announces a request with a long prompt to the other nodes.
 ///
-/// Engines report their load late, and each node knows only its own requests: two long prompts that
-/// meet at one engine make everybody there late. All nodes are told: those that are not would send theirs there too.
+/// Engines report their load late, and each node knows only its own requests: two long prompts at
+/// one engine delay every request there. All nodes are notified, since the others would send their
+/// requests there too.
 pub(crate) fn announce_long_prompt<W: Wire>(cx: &Cx<W>, running: &Running<W>) {
     if running.weight < HEAVY {
         return;
@@ -209,16 +212,17 @@
     broadcast(cx, &cx.state(), &message);
 }
 
-/// Tells all other nodes at once of something that they would see later by themselves, or not at all: an
-/// endpoint that gets no new work, a long prompt at one, a session whose version they have to keep.
+/// Notifies all other nodes at once of an event that they would learn of later or not at all: an
+/// endpoint that gets no new work, a long prompt at one, a session whose version must be kept.
 ///
-/// Each node reads the records only about once a second, since each call has its price; together they
-/// look many times a second. A lost datagram is made up for by the node's own next look.
+/// Each node reads the records only about once a second, since every call has a cost; together the
+/// nodes read many times a second. A lost datagram is made up for by the node's own next read.
 pub(crate) fn broadcast<W: Wire>(cx: &Cx<W>, state: &State, message: &Message) {
     send_now(cx, others(cx, state), message);
 }
 
-/// Tells this node's loads to those who add them up, again and again, and the sums to those who told theirs.
+/// Periodically sends this node's loads to the aggregators, and its sums to the nodes that
+/// reported.
 pub(crate) async fn share_loads<W: Wire>(cx: Arc<Cx<W>>) {
     loop {
         let every = cx.state().shared.scheme().every;
@@ -229,7 +233,7 @@
     }
 }
 
-/// Tells the loads of each group of endpoints to the two nodes that add them up.
+/// Sends the loads of each group of endpoints to the group's aggregators.
 fn send_own_loads<W: Wire>(cx: &Cx<W>, state: &mut State) {
     let now = cx.now();
     let nodes = state.nodes.iter(now).count();
@@ -262,7 +266,7 @@
     send_loads(cx, told, &sums, sums_of);
 }
 
-/// The nodes that add up a group's loads: the first ones by a hash that is the same on every node.
+/// Returns the aggregators of a group: the first nodes by a hash that is the same on every node.
 fn adders<W: Wire>(cx: &Cx<W>, state: &State, group: u32) -> Vec<SocketAddr> {
     let mut nodes: Vec<_> = state.nodes.iter(cx.now()).collect();
     nodes.sort_by_cached_key(|n| hash(&(group, &n.host)));
@@ -277,7 +281,7 @@
     message: impl Fn(Vec<Load>) -> Message,
 ) {
     let to: Vec<_> = to.collect();
-    // Without any load too: those who tell nothing are told nothing.
+    // Sent without any load too: aggregators send sums only to nodes that report.
     let parts = loads
         .chunks(MOST_LOADS)
         .chain(loads.is_empty().then_some(loads));
@@ -286,7 +290,7 @@
     }
 }
 
-/// Sends a datagram without waiting: what the socket does not take now is lost.
+/// Sends a datagram without waiting; it is lost if the socket is not ready.
 pub(crate) fn send_now<W: Wire>(
     cx: &Cx<W>,
     to: impl Iterator<Item = SocketAddr>,
@@ -302,7 +306,7 @@
     }
 }
 
-/// Tells all other nodes that this one stops.
+/// Announces to all other nodes that this one is stopping.
 pub(crate) async fn leave<W: Wire>(cx: &Cx<W>) {
     let others: Vec<_> = others(cx, &cx.state()).collect();
     let message = Message::Leaving(cx.settings.host.clone());
@@ -319,7 +323,7 @@
     }
 }
 
-/// Where other nodes take datagrams.
+/// Returns the datagram addresses of the other nodes.
 fn others<'a, W: Wire>(cx: &'a Cx<W>, state: &'a State) -> impl Iterator<Item = SocketAddr> + 'a {
     let others = state.nodes.iter(cx.now());
     let others = others.filter(|n| n.host != cx.settings.host);
@@ -330,7 +334,11 @@
     let mut datagram = Vec::new();
     match ciborium::into_writer(message, &mut datagram) {
         Ok(()) if datagram.len() > MAX_DATAGRAM => {
-            log::warn!(target: "gossip", "event=datagram_too_long bytes={}", datagram.len());
+            log::warn!(
+                target: "gossip",
+                "event=datagram_too_long bytes={} max_bytes={MAX_DATAGRAM}",
+                datagram.len()
+            );
             None
         }
         Ok(()) => Some(datagram),
--- a/crates/oatdale-relay/src/loads.rs
+++ b/crates/oatdale-relay/src/loads.rs
@@ -1,12 +1,14 @@
-//! What all nodes together have under way at each endpoint.
+//! Aggregated load of all nodes at each endpoint.
 //!
-//! A node of a large site sees a hundredth of what an engine has to do: to each of them the engine that keeps a
-//! popular beginning of prompts looks idle, until half of its requests wait there while other engines have room.
-//! So each node tells two others its loads, which add up what they are told and tell the sums to those who told
-//! them. Which two is found by each node for itself; where nodes differ, the sum over more nodes counts.
+//! A node of a large site sees about a hundredth of an engine's work: an engine that caches a
+//! popular prompt prefix looks idle to every node, until half of its requests queue there while
+//! other engines have capacity. So each node reports its loads to two aggregators, which sum them
+//! up and send the sums back to the nodes that reported. Each node determines the aggregators by
+//! itself; where nodes disagree, the sum over more nodes is used.
 //!
-//! What those two send grows with nodes times endpoints. So on larger sites endpoints are dealt into groups, each
-//! with two nodes of its own that add up, and beyond a number of groups nodes tell less often.
+//! The traffic of the aggregators grows with nodes times endpoints. On larger sites, endpoints are
+//! therefore divided into groups with two aggregators each, and above a certain number of groups
+//! the reports are sent less often.
 
 mod scheme;
 
@@ -17,50 +19,53 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Loads in one datagram: each takes up to nine bytes of the 1,200 that pass every network.
+/// Maximum number of loads in one datagram: each takes up to nine of the 1,200 bytes that pass
+/// every network.
 pub const MOST_LOADS: usize = 120;
 
-/// Nodes that add up: one would do; while one is gone and the others do not know it, the other one goes on.
+/// Aggregators per group. One would do; the second continues while the first is down and the other
+/// nodes have not noticed.
 pub(crate) const ADDERS: usize = 2;
 
-/// The part of the nodes of the last sum that another one must have to take its place: two nodes add up, and
-/// one that has just become one of them knows few loads.
+/// Minimum number of nodes in a sum that replaces the last one, as a fraction of that one's nodes:
+/// there are two aggregators, and one that has just taken the role has received few loads.
 const LEAST_PART: f64 = 0.8;
 
-/// The load at one endpoint; in a datagram a pair of numbers, since names would take three times the bytes.
+/// Load at one endpoint, encoded as a pair of numbers: field names would triple the datagram's
+/// size.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(into = "(u32, u16)", from = "(u32, u16)")]
 pub struct Load {
-    /// The endpoint's number, which is the same on every node.
+    /// Number of the endpoint, the same on every node.
     pub endpoint: u32,
-    /// In tenths of a short request.
+    /// Load in tenths of a short request.
     pub tenths: u16,
 }
 
-/// Loads as they were told last; says what is to be told next.
+/// Loads as last reported; determines what the next report contains.
 #[derive(Clone, Debug, Default)]
 struct Reported(BTreeMap<u32, u16>);
 
-/// Adds up what other nodes tell.
+/// Sums up the loads reported by the nodes.
 #[derive(Clone, Debug, Default)]
 pub struct Adder {
     scheme: Scheme,
-    /// When each node last told something, and what.
+    /// Time of each node's last report, and its loads.
     nodes: BTreeMap<SocketAddr, (Duration, Known)>,
     reported: Reported,
 }
 
-/// The sums as a node has heard them.
+/// Load sums as received from the aggregators.
 #[derive(Clone, Debug, Default)]
 pub struct Shared {
     scheme: Scheme,
     own: Reported,
     sums: Known,
-    /// When a sum last came, and over how many nodes it was.
+    /// When a sum was last accepted, and the number of nodes that it covers.
     last: Option<(Duration, usize)>,
 }
 
-/// Loads in requests, by endpoint, with the moments at which they were told.
+/// Loads in requests by endpoint, each with the time at which it was received.
 #[derive(Clone, Debug, Default)]
 struct Known(BTreeMap<u32, (Duration, f64)>);
 
@@ -77,7 +82,8 @@
 }
 
 impl Reported {
-    /// What to tell of these loads, in requests: those that are not zero, or were not when last told.
+    /// Returns the next report of these loads, given in requests: those that are not zero, and
+    /// zeros for those that were not zero in the last report.
     fn next(&mut self, loads: impl Iterator<Item = (u32, f64)>) -> Vec<Load> {
         let loads = loads.map(|(endpoint, load)| (endpoint, tenths(load)));
         let now: BTreeMap<u32, u16> = loads.filter(|(_, tenths)| *tenths > 0).collect();
@@ -97,19 +103,20 @@
 }
 
 impl Adder {
-    /// Goes on with another scheme.
+    /// Sets the aggregation scheme.
     pub fn set_scheme(&mut self, scheme: Scheme) {
         self.scheme = scheme;
     }
 
-    /// Takes in what a node tells of its loads.
+    /// Records a report of a node's loads.
     pub fn take(&mut self, now: Duration, from: SocketAddr, loads: &[Load]) {
         let (at, known) = self.nodes.entry(from).or_default();
         *at = now;
         known.take(now, self.scheme.fresh(), loads);
     }
 
-    /// The sums over all nodes that told lately, over how many, and who they are. Forgets the others.
+    /// Returns the number of nodes with recent reports, the sums of their loads and their
+    /// addresses. Drops the other nodes.
     pub fn sum(&mut self, now: Duration) -> (usize, Vec<Load>, Vec<SocketAddr>) {
         let fresh = self.scheme.fresh();
         self.nodes.retain(|_, (at, _)| now < *at + fresh);
@@ -124,22 +131,22 @@
 }
 
 impl Shared {
-    /// Goes on with another scheme.
+    /// Sets the aggregation scheme.
     pub fn set_scheme(&mut self, scheme: Scheme) {
         self.scheme = scheme;
     }
 
-    /// The scheme that is followed.
+    /// Returns the aggregation scheme in use.
     pub fn scheme(&self) -> Scheme {
         self.scheme
     }
 
-    /// What to tell of this node's own loads.
+    /// Returns the next report of this node's loads.
     pub fn report(&mut self, own: impl Iterator<Item = (u32, f64)>) -> Vec<Load> {
         self.own.next(own)
     }
 
-    /// Takes in a sum over so many nodes, this one among them.
+    /// Records sums over `nodes` nodes, including this one.
     pub fn take(&mut self, now: Duration, nodes: usize, sums: &[Load]) {
         let last = self.last.filter(|(at, _)| now < *at + self.scheme.fresh());
         if last.is_some_and(|(_, least)| (nodes as f64) < least as f64 * LEAST_PART) {
@@ -149,13 +156,13 @@
         self.sums.take(now, self.scheme.fresh(), sums);
     }
 
-    /// What the other nodes have at an endpoint, in requests; nothing if it was not told lately.
+    /// Returns the load of the other nodes at an endpoint, in requests; 0 if no recent sum has it.
     pub fn others(&self, now: Duration, endpoint: u32) -> f64 {
         let sum = self.sums.get(now, self.scheme.fresh(), endpoint);
         (sum - self.own.requests(endpoint)).max(0.0)
     }
 
-    /// When sums last came, if lately.
+    /// Returns when sums were last accepted, if recently.
     pub fn last_report(&self, now: Duration) -> Option<Duration> {
         let (at, _) = self.last?;
         (now < at + self.scheme.fresh()).then_some(at)
--- a/crates/oatdale-relay/src/loads/scheme.rs
+++ b/crates/oatdale-relay/src/loads/scheme.rs
@@ -1,33 +1,34 @@
-//! Who adds up the loads of which endpoints, and how often they are told.
+//! Groups of endpoints for load aggregation, and the report interval.
 
 use std::time::Duration;
 
-/// How long what was told counts, as a multiple of the pause between two tellings: some may be lost.
+/// How long a report is valid, as a multiple of the report interval: some reports may be lost.
 const FRESH: u32 = 4;
 
-/// Time between two tellings: an engine of a busy site gets some two requests meanwhile.
+/// Shortest report interval: an engine of a busy site gets about two requests in it.
 const EVERY: Duration = Duration::from_millis(250);
 
-/// Nodes times endpoints for each group. A node that adds up so many sends 150 kB a second, a tenth of a link of
-/// 10 Mbit/s.
+/// Nodes times endpoints per group. An aggregator of that size sends 150 kB/s, about a tenth of a
+/// 10 Mbit/s link.
 const GROUP_SIZE: usize = 4_096;
 
-/// Groups up to which nodes tell each quarter of a second: for each group a node sends and gets eight datagrams
-/// a second, so 128 each way for 16 groups, fewer than there are about long prompts at such a size.
+/// Number of groups up to which reports are sent every quarter of a second. Per group, a node sends
+/// and receives eight datagrams a second, so 128 each way for 16 groups: fewer than the
+/// announcements of long prompts at such a size.
 const MOST_GROUPS: usize = 16;
 
-/// How loads are told on a site of this size.
+/// Aggregation scheme for a site of a given size.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Scheme {
-    /// Into how many groups endpoints are dealt; a power of two, so that nodes that know of a few more or less
-    /// mostly agree.
+    /// Number of groups that endpoints are divided into: a power of two, so that nodes whose counts
+    /// of nodes and endpoints differ slightly mostly agree.
     pub groups: u32,
-    /// Time between two tellings.
+    /// Report interval.
     pub every: Duration,
 }
 
 impl Scheme {
-    /// The scheme for so many nodes and endpoints.
+    /// Returns the scheme for this number of nodes and endpoints.
     pub fn new(nodes: usize, endpoints: usize) -> Self {
         let groups = (nodes * endpoints / GROUP_SIZE).max(1).ilog2();
         let groups = 1_usize << groups;
@@ -38,12 +39,12 @@
         }
     }
 
-    /// The group of an endpoint.
+    /// Returns the group of an endpoint.
     pub fn group(&self, endpoint: u32) -> u32 {
         endpoint % self.groups
     }
 
-    /// How long what was told counts.
+    /// Returns how long a report is valid.
     pub(crate) fn fresh(&self) -> Duration {
         self.every * FRESH
     }
--- a/crates/oatdale-relay/src/nodes.rs
+++ b/crates/oatdale-relay/src/nodes.rs
@@ -1,21 +1,21 @@
-//! The other nodes, as far as the key-value service tells of them.
+//! The other nodes, as recorded in the key-value service.
 
 use crate::update::Node;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long after the key-value service came back a node may still be missing because its lease
-/// ended meanwhile: it writes anew with its next renewal.
+/// Grace period after the key-value service recovers in which a node may still be missing because
+/// its lease expired meanwhile: it writes its record again with its next renewal.
 const RETURN_GRACE: Duration = Duration::from_millis(3_000);
 
-/// All nodes.
+/// All known nodes.
 #[derive(Debug, Default)]
 pub(crate) struct Nodes {
     nodes: BTreeMap<String, Known>,
-    /// Until when nodes that go missing are kept; unset in steady times.
+    /// Until when missing nodes are kept; `None` unless there was an outage.
     grace: Option<Duration>,
-    /// Nodes that said that they leave, and until when this counts: the host's next process has the
-    /// same name.
+    /// Nodes that announced their leaving, and until when that applies: the next process on the
+    /// host has the same name.
     left: BTreeMap<String, Duration>,
 }
 
@@ -26,10 +26,10 @@
 }
 
 impl Nodes {
-    /// Takes over the nodes there are.
+    /// Replaces all nodes.
     ///
-    /// Right after an outage some are missing although they run. Callers that are told of few
-    /// nodes all move to these, which then have too much to do.
+    /// Right after an outage, some nodes are missing although they run. Callers that get a list of
+    /// few nodes would all move to these and overload them.
     pub(crate) fn replace(&mut self, now: Duration, all: Vec<Node>) {
         let grace = self.grace.filter(|until| *until > now);
         for known in self.nodes.values_mut() {
@@ -46,10 +46,10 @@
             .retain(|_, k| k.until.is_none_or(|until| until > now));
     }
 
-    /// Notes that a node said itself that it leaves.
+    /// Records that a node announced its own leaving.
     ///
-    /// While the key-value service is away a stopping node can't take its record back. Callers would
-    /// be told of it until it is gone, and what they send it late would be refused.
+    /// While the key-value service is unavailable, a stopping node can't delete its record. Callers
+    /// would be given its address until it is gone, and their late requests would be refused.
     pub(crate) fn leave(&mut self, until: Duration, host: &str) {
         self.left.insert(host.to_owned(), until);
     }
@@ -62,17 +62,18 @@
         self.grace = self.grace.map(|_| now + RETURN_GRACE);
     }
 
-    /// Takes over the nodes that another node knows, which the key-value service answers.
+    /// Replaces all nodes by those of a peer that the key-value service answers.
     ///
-    /// What is missing there is gone, although this node can't ask by itself. Otherwise it would go on
-    /// telling callers of hosts that lost their power while it is cut off, and they would try these in vain.
+    /// Nodes missing there are gone, although this node can't verify that itself. Otherwise, while
+    /// cut off, it would keep giving callers the addresses of hosts that lost power, and they would
+    /// try these in vain.
     pub(crate) fn replace_as_told(&mut self, now: Duration, all: Vec<Node>) {
         let grace = self.grace.take();
         self.replace(now, all);
         self.grace = grace;
     }
 
-    /// Those that are there or may be, by name.
+    /// Returns the nodes that run or may run, by name.
     pub(crate) fn iter(&self, now: Duration) -> impl Iterator<Item = &Node> {
         let left = move |host: &str| self.left.get(host).is_some_and(|until| *until > now);
         self.nodes
--- a/crates/oatdale-relay/src/peers.rs
+++ b/crates/oatdale-relay/src/peers.rs
@@ -1,8 +1,8 @@
-//! What nodes tell each other of the site while the key-value service does not answer one of them.
+//! State exchange between nodes while the key-value service does not answer one of them.
 //!
-//! The service may turn a single node away, or be down while a node starts. Such a node would go on
-//! with an old configuration, send requests to endpoints that left, or refuse everything, although its
-//! neighbours know better. It asks one of them at a time, until the service answers again.
+//! The service may reject a single node, or be down while a node starts. Such a node would use an
+//! outdated configuration, send requests to endpoints that left, or refuse everything, although its
+//! peers know better. It polls one peer at a time until the service answers again.
 
 mod wire;
 
@@ -27,23 +27,24 @@
 use tokio::time::{Instant, sleep};
 use wire::Snapshot;
 
-/// Time between two questions. Endpoints that leave must get nothing new two seconds later, and the
-/// node that is asked learns of it within one.
+/// Polling interval. Endpoints that leave must get no new requests two seconds later, and the
+/// polled node learns of their leaving within one.
 const ASK_EVERY: Duration = Duration::from_millis(500);
 
-/// How long the key-value service may be silent before others are asked: it is back at once after most
-/// failed calls.
+/// How long the key-value service may be silent before peers are polled: after most failed calls it
+/// answers again at once.
 const PATIENCE: Duration = Duration::from_millis(700);
 
-/// How long an answer's head may take, and each pause in its body: nodes are a few milliseconds apart.
+/// Timeout for the head of a response and for each pause in its body: nodes are a few milliseconds
+/// apart.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// The longest answer: several times the largest value that the key-value service holds.
+/// Maximum size of a response, in bytes: several times the largest value in the key-value service.
 const MAX_ANSWER: usize = 8 << 20;
 
 const PATH: &str = "/v1/state";
 
-/// Tells other nodes what this one knows.
+/// Serves this node's state to other nodes.
 pub(crate) async fn serve<W: Wire>(cx: Arc<Cx<W>>, records: Arc<Replica>, listener: TcpListener) {
     serve_with(listener, move |req| {
         answer(cx.clone(), records.clone(), req)
@@ -77,7 +78,7 @@
     Ok(res)
 }
 
-/// What this node knows; the configuration only if it is newer than `after`.
+/// Returns this node's state, with the configuration only if it is newer than `after`.
 fn snapshot<W: Wire>(cx: &Cx<W>, after: u64) -> Snapshot {
     let now = cx.now();
     let state = cx.state();
@@ -101,7 +102,7 @@
     }
 }
 
-/// Asks other nodes while the key-value service does not answer this one.
+/// Polls other nodes while the key-value service does not answer this one.
 pub(crate) async fn follow<W: Wire>(cx: Arc<Cx<W>>) {
     loop {
         sleep(ASK_EVERY).await;
@@ -122,7 +123,7 @@
     }
 }
 
-/// One of the nodes that are known, or of the seeds.
+/// Picks a known node or a seed at random.
 fn pick<W: Wire>(cx: &Cx<W>) -> Option<SocketAddr> {
     let now = cx.now();
     let own = cx.settings.listen.state;
@@ -145,21 +146,22 @@
     Snapshot::decode(&body).map_err(|err| err.to_string())
 }
 
-/// Takes in what another node knows.
+/// Applies a peer's snapshot.
 ///
-/// The key-value service answers that node: then an endpoint that it does not have has left. Otherwise
-/// its entries may have lapsed with the service, and it only helps a node that knows none.
+/// If the key-value service answers the peer, endpoints missing from the snapshot have left.
+/// Otherwise their entries may have expired with the service, and the endpoints are used only by a
+/// node that knows none.
 fn take<W: Wire>(cx: &Cx<W>, peer: SocketAddr, snapshot: Snapshot) {
     let now = cx.now();
     let mut guard = cx.state();
     let state = &mut *guard;
-    // The service's own news go first: it may have come back while the other node was asked.
+    // The service's own updates take precedence: it may have recovered during the request.
     if state.store_lost.is_none() {
         return;
     }
     log::info!(
         target: "peers",
-        "event=heard peer={peer} current={} config={:?} endpoints={} nodes={}",
+        "event=snapshot_received peer={peer} current={} config={:?} endpoints={} nodes={}",
         snapshot.is_current, snapshot.site.as_ref().map(|s| s.version),
         snapshot.endpoints.len(), snapshot.nodes.len()
     );
@@ -175,7 +177,7 @@
             cx.pool.forget(addr);
         }
     }
-    // Before the configuration: a node that has just got one serves at once.
+    // Applied before the configuration: a node that gets its first one serves at once.
     match snapshot.evacuated {
         Some(domains) if snapshot.is_current || state.directory.evacuated().is_none() => {
             cx.take_evacuated(state, domains);
--- a/crates/oatdale-relay/src/peers/wire.rs
+++ b/crates/oatdale-relay/src/peers/wire.rs
@@ -1,4 +1,4 @@
-//! What a node tells another one that asks, as CBOR.
+//! CBOR encoding of the state that a node sends to a peer.
 
 use crate::roll_outs::Report;
 use crate::site::{CallerLimits, Customers, Route, ServiceFacts, Site};
@@ -8,30 +8,30 @@
 use std::collections::{BTreeSet, HashMap};
 use std::io;
 
-/// All that a node knows of the site.
+/// State of the site as known to a node.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Snapshot {
-    /// Whether the key-value service answers the node that tells it.
+    /// Whether the key-value service answers the sending node.
     pub(super) is_current: bool,
-    /// The configuration in force, if it is newer than the one that the other node has.
+    /// The configuration in force, if it is newer than the receiver's.
     pub(super) site: Option<SiteWire>,
     /// All endpoints.
     pub(super) endpoints: Vec<Endpoint>,
-    /// Failure domains that are evacuated, if it knows; nodes of an earlier version do not tell them.
+    /// Evacuated failure domains, if known; nodes of an earlier version do not send them.
     #[serde(default)]
     pub(super) evacuated: Option<BTreeSet<String>>,
     /// All nodes.
     pub(super) nodes: Vec<Node>,
     /// Roll-outs that have ended.
     pub(super) ended: Vec<RollOut>,
-    /// Those that have not, with what the node saw of them.
+    /// Roll-outs under way, with the sender's counts.
     pub(super) under_way: Vec<Report>,
-    /// Requests that are refused since they crash endpoints; nodes of an earlier version do not tell them.
+    /// Requests refused because they crash endpoints; nodes of an earlier version do not send them.
     #[serde(default)]
     pub(super) quarantined: Vec<u128>,
 }
 
-/// A configuration without what follows from it.
+/// Configuration without the values derived from it.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct SiteWire {
     pub(super) version: u64,
--- a/crates/oatdale-relay/src/state.rs
+++ b/crates/oatdale-relay/src/state.rs
@@ -1,4 +1,4 @@
-//! What the platform and the answers have told so far, and the picks that follow from it.
+//! State learned from the platform and from responses, and the endpoint selection based on it.
 
 mod warm_up;
 
@@ -17,71 +17,72 @@
 use tokio::time::Instant;
 use warm_up::has_room;
 
-/// The part of the site's allowance for repeats that nodes plan to use: the rest is for what nodes
-/// count apart from each other, and for nodes that start again and know nothing of their repeats.
+/// Part of the site's retry budget that nodes plan to use. The rest covers that nodes count
+/// independently, and that restarted nodes do not know of their earlier retries.
 const REPEAT_SHARE: f64 = 0.85;
 
-/// Nodes among which the allowance beyond the ratio is dealt out at least: a node that starts does
-/// not know the others yet.
+/// Minimum number of nodes that share the budget beyond the ratio: a starting node does not know
+/// the others yet.
 const LEAST_NODES: usize = 4;
 
-/// Endpoints of a new version that a trial uses at least: one that is slow or failing by itself is told
-/// from a bad version by what the others do.
+/// Minimum number of endpoints of a new version that a trial uses: only the others tell whether one
+/// slow or failing endpoint is at fault by itself or the version is.
 const LEAST_TRIED: usize = 3;
 
-/// Answers over which the wait at largest models is averaged: some seconds of one node's.
+/// Number of responses over which the wait at the largest models is averaged: a few seconds of one
+/// node's traffic.
 const WAIT_MEMORY: f64 = 12.0;
 
-/// What the platform and the answers have told so far.
+/// State of the relay, as learned from the platform and from responses.
 pub(crate) struct State {
     pub(crate) bounds: Bounds,
     pub(crate) site: Option<Arc<Site>>,
     pub(crate) directory: Directory,
-    /// Checks whether endpoints crashed.
+    /// Pending checks whether endpoints crashed.
     pub(crate) checks: Checks,
-    /// Requests that crash endpoints.
+    /// Requests quarantined because they crash endpoints.
     pub(crate) quarantine: Quarantine,
-    /// This node's decisions about these that the platform's records do not have yet.
+    /// This node's quarantine decisions that the platform's records do not contain yet.
     pub(crate) unrecorded: Unrecorded,
     pub(crate) roll_outs: RollOuts,
     pub(crate) nodes: Nodes,
-    /// What other nodes tell of their loads, to be added up.
+    /// Sums up the loads reported by other nodes.
     pub(crate) adder: Adder,
-    /// What all nodes together have at the endpoints.
+    /// Load of all nodes together at each endpoint.
     pub(crate) shared: Shared,
     repeats: HashMap<String, Repeats>,
-    /// How long largest models let requests wait, as parts of their targets, by service.
+    /// Mean wait at the largest models, as a fraction of their target latency, by service.
     waits: HashMap<String, Mean>,
-    /// Mean sizes of generations by route.
+    /// Mean generation size by route.
     sizes: HashMap<String, Mean>,
-    /// When the node was told to stop, if it was.
+    /// When this node was told to stop, if it was.
     pub(crate) stopping: Option<Instant>,
-    /// Whether this node reads the records for itself only.
+    /// Whether this node reads the platform's records only for itself.
     pub(crate) reads_alone: bool,
-    /// Since when the key-value service does not answer this node, if it does not.
+    /// Since when the key-value service has not answered this node, if it does not.
     pub(crate) store_lost: Option<Duration>,
-    /// Since when the other nodes know this one.
+    /// Since when the other nodes have known this one.
     known_since: Duration,
 }
 
-/// Requests over which the usual size of a route's generations is averaged.
+/// Number of requests over which a route's mean generation size is averaged.
 const SIZE_MEMORY: f64 = 200.0;
 
-/// What decides where a request is placed.
+/// Inputs for placing a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Wanted<'a> {
     pub(crate) service: &'a str,
     pub(crate) allowed: &'a Allowed,
-    /// Endpoints that had it already.
+    /// Endpoints that the request was already sent to.
     pub(crate) tried: &'a [EndpointKey],
-    /// Hash of the prompt's shared beginning, if an engine may keep it.
+    /// Hash of the prompt's shared prefix, if an engine may have it cached.
     pub(crate) prefix: Option<u64>,
-    /// How much it adds to an endpoint's load.
+    /// Load that the request adds to an endpoint.
     pub(crate) weight: f64,
 }
 
 impl State {
-    /// Nothing is known yet.
+    /// Creates an empty state.
     pub(crate) fn new(bounds: Bounds) -> Self {
         State {
             bounds,
@@ -99,13 +100,13 @@
             sizes: HashMap::new(),
             stopping: None,
             reads_alone: true,
-            // It is lost until it has answered once.
+            // The service counts as unavailable until it has answered once.
             store_lost: Some(Duration::ZERO),
             known_since: Duration::ZERO,
         }
     }
 
-    /// This node's part of the repeats that the site allows.
+    /// Returns this node's part of the site's retry budget.
     pub(crate) fn allowance(&self, now: Duration) -> Allowance {
         let nodes = self.nodes.iter(now).count().max(LEAST_NODES);
         Allowance {
@@ -115,24 +116,24 @@
         }
     }
 
-    /// A service's requests and repeats at this node.
+    /// Returns the counts of requests and retries of a service at this node.
     pub(crate) fn repeats(&mut self, service: &str) -> &mut Repeats {
         self.repeats.entry(service.to_owned()).or_default()
     }
 
-    /// Notes how long a largest model let a request wait, as a part of its target.
+    /// Records how long a largest model let a request wait, as a fraction of its target latency.
     pub(crate) fn note_wait(&mut self, service: &str, part: f64) {
         let mean = self.waits.entry(service.to_owned());
         mean.or_insert_with(|| Mean::new(WAIT_MEMORY)).add(part);
     }
 
-    /// Forgets what was learned of routes that a configuration no longer has.
+    /// Drops statistics of routes that the configuration no longer has.
     pub(crate) fn keep_routes(&mut self, site: &Site) {
         let names: HashSet<_> = site.routes.iter().map(|r| r.name.as_str()).collect();
         self.sizes.retain(|name, _| names.contains(name.as_str()));
     }
 
-    /// Notes the size of a generation and returns it as a multiple of the usual one of its route.
+    /// Records the size of a generation and returns it as a multiple of its route's mean.
     pub(crate) fn relative_size(&mut self, route: &str, size: f64) -> f64 {
         let mean = self.sizes.entry(route.to_owned());
         let mean = mean.or_insert_with(|| Mean::new(SIZE_MEMORY));
@@ -140,12 +141,12 @@
         size / mean.get_or(size).max(1.0)
     }
 
-    /// How long largest models let requests wait lately, as a part of their targets.
+    /// Returns the recent mean wait at the largest models, as a fraction of their target latency.
     pub(crate) fn wait(&self, service: &str) -> f64 {
         self.waits.get(service).map_or(0.0, |mean| mean.get_or(0.0))
     }
 
-    /// The endpoint for a request, and among how many it was picked.
+    /// Picks the endpoint for a request; also returns the number of candidates.
     pub(crate) fn pick(
         &self,
         now: Duration,
@@ -157,7 +158,7 @@
             .filter(|(key, _)| !wanted.tried.contains(key))
             .collect();
         let listed = self.with_room(now, wanted, &all);
-        // Those that seem to be away are asked only when there is no other.
+        // Ejected endpoints are used only when there is no other.
         let awake = kept(&listed, |e| !e.health.is_ejected(now));
         let listed = if awake.is_empty() { listed } else { awake };
         let candidates: Vec<Candidate> = listed
@@ -179,7 +180,8 @@
 }
 
 impl State {
-    /// The endpoints whose version a request may use, without cold ones that get no more from this node now.
+    /// Returns the endpoints whose version the request may use, without cold ones for which this
+    /// node's share is used up.
     fn with_room<'a>(
         &self,
         now: Duration,
@@ -199,11 +201,12 @@
         }
     }
 
-    /// What an endpoint has to do, as far as it matters for where a request is placed.
+    /// Returns an endpoint's load as used for placement.
     ///
-    /// Sums are a quarter of a second old. Plain requests go where the load is least: with the same sums all
-    /// nodes would send theirs to the same endpoint until the next ones come. Prompts stay with the engine that
-    /// keeps their beginning, and others take their place by it when that one has too much.
+    /// Sums of loads are a quarter of a second old. Plain requests go to the endpoint with the
+    /// least load: if all nodes used the same sums, they would all pick the same endpoint until the
+    /// next sums arrive. Prompts stay with the engine that has their prefix cached, and use the
+    /// sums to move to another one when it is overloaded.
     fn load(&self, now: Duration, wanted: &Wanted<'_>, entry: &Entry) -> f64 {
         match (wanted.prefix, self.shared.last_report(now)) {
             (Some(_), Some(heard)) => {
@@ -215,10 +218,10 @@
     }
 }
 
-/// An endpoint that may be picked.
+/// Endpoint considered for a request.
 type Listed<'a> = (EndpointKey, &'a Entry);
 
-/// The endpoints whose version a request may use.
+/// Returns the endpoints whose version the request may use.
 fn of_version<'a>(now: Duration, allowed: &Allowed, all: &[Listed<'a>]) -> Vec<Listed<'a>> {
     let is = |version: &str, e: &Entry| e.endpoint.version == version;
     match allowed {
@@ -249,7 +252,7 @@
     all.iter().filter(|(_, e)| keep(e)).copied().collect()
 }
 
-/// The same on every node.
+/// Returns a hash that is the same on every node.
 pub(crate) fn hash(value: &impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
     value.hash(&mut hasher);
--- a/crates/oatdale-relay/tests/directory.rs
+++ b/crates/oatdale-relay/tests/directory.rs
@@ -1,4 +1,4 @@
-//! Endpoints that come, leave and go missing.
+//! Endpoints that are added, removed, restarted, cold or evacuated.
 
 use oatdale_relay::{Directory, Endpoint, News};
 use std::time::Duration;
@@ -44,8 +44,8 @@
     assert_eq!(usable(&directory, ms(200)), ["y", "z"]);
 }
 
-// All entries lapse while the key-value service is away. Were they taken for gone at its return,
-// every request would be refused until they are written anew.
+// All entries expire during an outage of the key-value service. If they were removed on its
+// recovery, every request would be refused until they are rewritten.
 #[test]
 fn entries_that_lapsed_in_an_outage_may_come_back() {
     let mut directory = Directory::default();
@@ -57,13 +57,13 @@
     directory.upsert(ms(6_000), endpoint("y"));
     directory.tick(ms(7_000));
     assert_eq!(usable(&directory, ms(7_000)), ["y"]);
-    // Steady again: a missing entry counts at once.
+    // The grace period is over: a missing entry is removed at once.
     directory.remove(ms(8_000), "y");
     assert!(usable(&directory, ms(8_000)).is_empty());
 }
 
-// A node reads an older record of an endpoint after it has heard that the endpoint leaves. It must
-// not send anything there again.
+// Guards against new requests to a leaving endpoint: a node reads an older record after it learned
+// of the leaving.
 #[test]
 fn an_endpoint_that_leaves_never_comes_back_under_its_id() {
     let mut directory = Directory::default();
@@ -77,7 +77,7 @@
     assert!(usable(&directory, ms(20)).is_empty());
 }
 
-// Endpoints are replaced all day. What is kept of those that are gone must not grow for ever.
+// Guards against unbounded growth of the directory: endpoints are replaced all day.
 #[test]
 fn endpoints_that_are_long_gone_are_forgotten() {
     let mut directory = Directory::default();
@@ -87,11 +87,15 @@
         directory.remove(ms(n * 1_000 + 500), &id);
     }
     assert_eq!(directory.len(), 0);
-    assert!(directory.known() < 100, "{}", directory.known());
+    assert!(
+        directory.known() < 100,
+        "{} endpoints in memory, less than 100 expected",
+        directory.known()
+    );
 }
 
-// Another node sends a long prompt to an endpoint, which holds up all others there for a second. This
-// node must see it as load for as long as the prompt is read, and no longer.
+// A long prompt that another node sent blocks the endpoint for about a second. This node must count
+// it as load exactly until it is read.
 #[test]
 fn long_prompts_of_other_nodes_count_until_they_are_read() {
     let mut directory = Directory::default();
@@ -101,13 +105,13 @@
     entry.add_others(ms(200), ms(400), 2.0);
     let loads = [150, 300, 700, 1_200].map(|now| entry.known_load(ms(now), None));
     assert_eq!(loads, [7.0, 7.0, 5.0, 0.0]);
-    // Sums of all loads that were added up after the first of them was told hold it already.
+    // Load sums computed after the first prompt was announced already include it.
     assert_eq!(entry.known_load(ms(300), Some(ms(150))), 2.0);
     assert!(directory.by_id_mut("y").is_none());
 }
 
-// An endpoint announces that it leaves, crashes, and starts again under its id. It must get work again, and
-// what the node believed of its earlier start must not be held against it.
+// An endpoint announces its leaving, crashes, and restarts under its id. It must get requests
+// again, without the failures and load recorded for its earlier start.
 #[test]
 fn an_endpoint_that_starts_again_begins_anew() {
     let mut directory = Directory::default();
@@ -129,8 +133,8 @@
     assert!(!entry.health.is_ejected(ms(20)));
 }
 
-// A record of an endpoint's earlier start is read, or told of by another node, after the endpoint has started
-// again. It must not end the new start, nor bring the old one back.
+// A record of an earlier start arrives, directly or from another node, after the endpoint has
+// restarted. It must not end the new start or bring back the earlier one.
 #[test]
 fn what_comes_late_of_an_earlier_start_changes_nothing() {
     let mut directory = Directory::default();
@@ -147,12 +151,13 @@
     assert_eq!(usable(&directory, ms(20)), ["x"]);
     assert!(directory.leaves("x", Some(2_000)));
     assert!(usable(&directory, ms(30)).is_empty());
-    // Nor does a record without a start, which is not of a later one.
+    // A record without a start time is not of a later start either.
     directory.upsert(ms(40), endpoint("x"));
     assert!(usable(&directory, ms(40)).is_empty());
 }
 
-// Guards against a pause that keeps out a new start of its endpoint, or that a shorter one ends.
+// Guards against a back-off that applies to a new start of its endpoint, or that a shorter one cuts
+// off.
 #[test]
 fn a_pause_holds_for_one_start_of_an_endpoint() {
     let mut directory = Directory::default();
@@ -168,7 +173,8 @@
     assert_eq!(usable(&directory, ms(600)), ["x"]);
 }
 
-// Guards against callers being sent back for the pause of an endpoint while another one takes requests, or leaves.
+// Guards against sending callers away for the back-off of one endpoint while another one takes
+// requests, or for that of a leaving endpoint.
 #[test]
 fn the_first_endpoint_that_takes_requests_counts() {
     let mut directory = Directory::default();
@@ -183,7 +189,7 @@
     assert_eq!(directory.pause_left(ms(0), "desk"), None);
 }
 
-// Guards against a time that ends the process: records of endpoints also come from other nodes, as they are.
+// Guards against a panic on overflow: records of endpoints also come unchecked from other nodes.
 #[test]
 fn an_endpoint_may_be_cold_for_any_time() {
     let mut directory = Directory::default();
@@ -197,7 +203,8 @@
     assert_eq!(usable(&directory, ms(30)), ["x"]);
 }
 
-// Guards against requests to a domain that operators evacuate, and against endpoints that are taken for gone with it.
+// Guards against requests to a domain that operators evacuated, and against treating its endpoints
+// as removed.
 #[test]
 fn an_evacuated_domain_is_left_out_until_it_is_taken_back() {
     let mut directory = Directory::default();
--- a/crates/oatdale-relay/tests/loads.rs
+++ b/crates/oatdale-relay/tests/loads.rs
@@ -1,4 +1,4 @@
-//! Loads that nodes tell each other, and their sums.
+//! Load reports between nodes, and their sums.
 
 use oatdale_relay::{Adder, Load, MOST_LOADS, Scheme, Shared};
 use std::net::SocketAddr;
@@ -33,8 +33,8 @@
     assert_eq!(shared.last_report(ms(40)), Some(ms(30)));
 }
 
-// An endpoint has no work any more. Those that were told of its load must hear that it is gone, or its place in a
-// prompt's order would go to others for a second.
+// An endpoint has no work any more. Nodes that received its load must receive the zero, or prompts
+// that belong there would be sent to other endpoints for a second.
 #[test]
 fn what_is_zero_now_is_told_once() {
     let mut shared = Shared::default();
@@ -44,7 +44,7 @@
     assert_eq!(shared.report([(2, 1.0)].into_iter()), [load(2, 10)]);
 }
 
-// Both nodes that add up are gone, or a node is cut off. What was told before says nothing of the load now.
+// Both aggregators are down, or a node is cut off. Old reports say nothing about the current load.
 #[test]
 fn what_was_told_a_second_ago_counts_no_more() {
     let mut adder = Adder::default();
@@ -59,7 +59,8 @@
     assert_eq!(shared.last_report(ms(1_000)), None);
 }
 
-// Nodes differ in who adds up, as one has just come. Its sums are over few nodes: all endpoints would look idle.
+// Nodes disagree on the aggregators, since one has just joined. Its sums cover few nodes: with
+// them, all endpoints would look idle.
 #[test]
 fn a_sum_over_few_nodes_does_not_take_the_place_of_one_over_many() {
     let mut shared = Shared::default();
@@ -68,37 +69,45 @@
     assert_eq!(shared.others(ms(200), 1), 40.0);
     shared.take(ms(250), 58, &[load(1, 300)]);
     assert_eq!(shared.others(ms(300), 1), 30.0);
-    // The others are gone, and nothing better comes.
+    // The other aggregators are gone, and no better sum arrives.
     shared.take(ms(1_300), 3, &[load(1, 10)]);
     assert_eq!(shared.others(ms(1_400), 1), 1.0);
 }
 
-// A datagram that is longer than the network or the receiver takes is lost, with all loads of a busy site: only idle
-// sites would know theirs.
+// A datagram longer than the network or the receiver accepts is lost, with all loads of a busy
+// site: only idle sites would know theirs.
 #[test]
 fn the_most_loads_that_are_told_at_once_fit_into_a_datagram() {
     let all = vec![load(u32::MAX, u16::MAX); MOST_LOADS];
     let mut datagram = Vec::new();
-    ciborium::into_writer(&all, &mut datagram).expect("loads are plain numbers");
-    assert!(datagram.len() < 1_150, "{} bytes", datagram.len());
+    ciborium::into_writer(&all, &mut datagram).expect("loads are encodable");
+    assert!(
+        datagram.len() < 1_150,
+        "datagram of {} bytes, less than 1150 expected",
+        datagram.len()
+    );
 }
 
-// A site has 300 nodes and as many endpoints, or six times as many of these. Were two nodes to add up all of it,
-// their links of 10 Mbit/s would be full of sums, and callers' answers would wait behind them.
+// A site has 300 nodes and as many endpoints, or six times as many endpoints. If two nodes
+// aggregated all of it, sums would fill their 10 Mbit/s links and delay responses to callers.
 #[test]
 fn who_adds_up_sends_little_at_any_size() {
     for (nodes, endpoints) in [(7, 12), (66, 117), (87, 90), (300, 300), (360, 2_100)] {
         let scheme = Scheme::new(nodes, endpoints);
         let a_second = 1.0 / scheme.every.as_secs_f64();
         let in_group = endpoints as f64 / f64::from(scheme.groups);
-        // A node of two groups, with 60 bytes for each datagram beside nine for each endpoint.
+        // A node that aggregates two groups, with 60 bytes overhead per datagram and nine bytes per
+        // endpoint.
         let sent = 2.0 * nodes as f64 * a_second * (60.0 + 9.0 * in_group);
         assert!(
             sent < 0.5 * 10e6 / 8.0,
-            "{nodes} nodes: {sent} bytes a second"
+            "{nodes} nodes: {sent} bytes per second exceed half of a 10 Mbit/s link"
         );
         let datagrams = 2.0 * f64::from(scheme.groups) * a_second;
-        assert!(datagrams <= 256.0, "{nodes} nodes: {datagrams} datagrams");
+        assert!(
+            datagrams <= 256.0,
+            "{nodes} nodes: {datagrams} datagrams per second, at most 256 expected"
+        );
     }
     assert_eq!(Scheme::new(66, 63).groups, 1);
 }
--- a/crates/oatdale-relay/tests/placement_spec.rs
+++ b/crates/oatdale-relay/tests/placement_spec.rs
@@ -1,5 +1,5 @@
-//! Evacuated domains and cold endpoints, explored: nodes learn late, are cut off, come back and start again at any
-//! time, and send whenever they may.
+//! Model check of evacuated domains and cold endpoints: nodes learn late, are cut off, reconnect
+//! and restart at any time, and send whenever they may.
 //!
 //! What a node may send is decided by the product's own `Directory`, `WarmUp` and `warm_up_share`.
 
@@ -9,27 +9,27 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Time between two moments of the models.
+/// Duration of one step of the models' clock.
 const TICK: Duration = Duration::from_millis(500);
 
-/// Within so many ticks a connected node learns of a change.
+/// Ticks within which a connected node learns of a change.
 const LEARN_TICKS: u8 = 3;
 
 const MAX_STATES: usize = 3_000_000;
 
 const DOMAIN: &str = "a";
 
-/// What is wrong on purpose.
+/// Fault injected into a model.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Break {
     Nothing,
     /// A node serves before it has read whether a domain is evacuated.
     ServesUnread,
-    /// A node that comes back does not read what it missed.
+    /// A node that reconnects does not read the changes it missed.
     MissesChanges,
-    /// The directory is not asked.
+    /// The directory is not consulted.
     IgnoresOrders,
-    /// Each node takes all that an endpoint bears for its share.
+    /// Each node uses an endpoint's whole request rate as its share.
     NoShares,
     /// A node that has just started has a share.
     NoSettling,
@@ -37,16 +37,16 @@
     SendsWhileLost,
 }
 
-/// One node that follows the orders of one domain.
+/// Node that follows the evacuation orders of one domain.
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Default)]
 struct Follower {
-    /// What it has read; unset if nothing yet.
+    /// The order that it has read; `None` if none yet.
     known: Option<bool>,
-    /// For how many ticks it has been connected; unset while it is cut off.
+    /// For how many ticks it has been connected; `None` while it is cut off.
     connected: Option<u8>,
-    /// For how many of these it has missed the last change.
+    /// For how many of these ticks it has missed the last change.
     late: u8,
-    /// Whether it reads what it missed.
+    /// Whether it reads missed changes.
     reads: bool,
 }
 
@@ -64,7 +64,8 @@
 
 struct Evacuation(Break);
 
-/// Ticks after an order in which requests may still reach the domain, and after which a node that came back counts.
+/// Ticks after an order in which requests may still reach the domain, and after which a reconnected
+/// node is checked.
 const BOUND_TICKS: u8 = 5;
 
 const MAX_TICKS: u8 = 12;
@@ -72,7 +73,8 @@
 const MAX_FAULTS: u8 = 3;
 
 impl Evacuation {
-    /// Whether a node sends to the domain: what the product's directory says of the orders that the node knows.
+    /// Whether a node sends to the domain, decided by the product's directory from the orders that
+    /// the node knows.
     fn sends(&self, node: &Follower) -> bool {
         let known = match (node.known, self.0) {
             (None, Break::ServesUnread) => false,
@@ -112,7 +114,7 @@
         next.changes += 1;
         next.unchanged = 0;
         for node in &mut next.nodes {
-            // A change that comes while it is connected reaches it.
+            // A change that is made while the node is connected reaches it.
             node.reads |= node.connected.is_some();
         }
         next
@@ -130,7 +132,7 @@
         if node.connected.is_some() && node.reads && node.known != Some(world.is_evacuated) {
             let known = Some(world.is_evacuated);
             step(
-                "learns",
+                "reads the order",
                 Follower {
                     known,
                     late: 0,
@@ -159,7 +161,7 @@
                         reads,
                         ..node.clone()
                     };
-                    step("comes back", back, false);
+                    step("reconnects", back, false);
                 }
             }
             let connected = node.connected.map(|_| 0);
@@ -168,7 +170,7 @@
                 reads: true,
                 ..Follower::default()
             };
-            step("starts again", started, true);
+            step("restarts", started, true);
         }
         if self.sends(node) {
             let counts = node.connected.is_some_and(|ticks| ticks > BOUND_TICKS);
@@ -179,7 +181,7 @@
             }
             if node.known.is_none() {
                 let mut next = world.clone();
-                next.wrong = Some("a node sends before it knows the orders");
+                next.wrong = Some("a node sends before it has read the orders");
                 steps.push((format!("node {at} sends"), next));
             }
         }
@@ -206,7 +208,7 @@
     fn steps(&self, world: &Orders) -> Vec<(String, Orders)> {
         let mut steps = Vec::new();
         if world.tick < MAX_TICKS {
-            steps.push(("time goes on".to_owned(), Self::tick(world)));
+            steps.push(("clock tick".to_owned(), Self::tick(world)));
         }
         if world.changes < MAX_CHANGES {
             steps.push(("operators change the order".to_owned(), Self::change(world)));
@@ -223,16 +225,16 @@
 
 const NODES: usize = 3;
 
-/// Requests a second that the endpoint bears, and the most that may reach it.
+/// Requests per second that the endpoint can take, and the maximum that may reach it.
 const RATE: u32 = 4;
 const BOUND: u32 = RATE * 3 / 2 + 5;
 
-/// Requests a second that nodes plan to send: four fifths of the bound.
+/// Requests per second that nodes plan to send: four fifths of the bound.
 const PLANNED: u32 = BOUND * 4 / 5;
 
 const MAX_COLD_FAULTS: u8 = 2;
 
-/// Ticks after which it does not matter any more how long a process has run.
+/// Ticks after which a process's uptime no longer matters.
 const OLD: u8 = 7;
 
 /// Ticks after which a node has noticed that it is cut off.
@@ -241,19 +243,19 @@
 /// Ticks after which a node that is down or cut off has no record any more.
 const LEASE_TICKS: u8 = 4;
 
-/// Ticks after which it does not matter any more what a node sent.
+/// Ticks after which a sent request no longer matters.
 const FORGOTTEN: u8 = 3;
 
-/// One node that sends to a cold endpoint.
+/// Node that sends to a cold endpoint.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct Sender {
-    /// For how many ticks its process has run; unset while it is down.
+    /// For how many ticks its process has run; `None` while it is down.
     up: Option<u8>,
-    /// The nodes that it knows, itself among them; none before it has read of any.
+    /// The nodes that it knows, including itself; empty until it has read the list.
     known: BTreeSet<usize>,
     /// For how many ticks it has been down or cut off; 0 if it is neither.
     gone_for: u8,
-    /// How many requests it sent lately, after how many ticks ago.
+    /// Recent requests: how many ticks ago, and how many.
     sent: Vec<(u8, u32)>,
 }
 
@@ -261,14 +263,14 @@
 struct Cold {
     faults: u8,
     nodes: Vec<Sender>,
-    /// Requests in this tick and in the one before.
+    /// Requests that arrived in this tick and in the one before.
     arrived: [u32; 2],
 }
 
 struct Shares(Break);
 
 impl Shares {
-    /// How many requests a node may send now.
+    /// Returns how many requests a node may send now.
     fn allowed(&self, world: &Cold, at: usize) -> u32 {
         let node = &world.nodes[at];
         let Some(up) = node.up.filter(|_| !node.known.is_empty()) else {
@@ -306,7 +308,7 @@
             node.sent.iter_mut().for_each(|(ago, _)| *ago += 1);
             node.sent.retain(|(ago, _)| *ago < FORGOTTEN);
             node.up = node.up.map(|up| (up + 1).min(OLD));
-            // By now it has read of those that run.
+            // By now it has read the list of running nodes.
             let is_old = node.up.is_some_and(|up| up >= LEARN_TICKS);
             node.gone_for += u8::from((1..=LEASE_TICKS).contains(&node.gone_for));
             if is_old && node.gone_for == 0 {
@@ -327,13 +329,13 @@
         };
         let may = self.allowed(world, at);
         if may > 0 {
-            step("sends what it may", false, &|next| {
+            step("sends all that it may", false, &|next| {
                 next.nodes[at].sent.push((0, may));
                 next.arrived[0] += may;
             });
         }
         if node.up.is_some() && node.gone_for == 0 && node.known != registered(world) {
-            step("reads of the nodes", false, &|next| {
+            step("reads the node list", false, &|next| {
                 next.nodes[at].known = registered(world);
             });
         }
@@ -344,7 +346,7 @@
             (None, _) => step("starts", false, &|next| {
                 next.nodes[at] = Sender::starting();
             }),
-            (Some(_), true) => step("comes back", false, &|next| {
+            (Some(_), true) => step("reconnects", false, &|next| {
                 let node = &mut next.nodes[at];
                 let is_forgotten = node.gone_for > LEASE_TICKS;
                 node.gone_for = 0;
@@ -377,7 +379,8 @@
     }
 }
 
-/// The nodes that have a record: the lease of one that is killed or cut off ends later than a cut is noticed.
+/// Returns the nodes that have a record: the lease of a killed or cut-off node expires only after
+/// such a node has noticed the cut.
 fn registered(world: &Cold) -> BTreeSet<usize> {
     let nodes = world.nodes.iter().enumerate();
     let registered = nodes.filter(|(_, n)| n.gone_for <= LEASE_TICKS);
@@ -402,7 +405,7 @@
     }
 
     fn steps(&self, world: &Cold) -> Vec<(String, Cold)> {
-        let mut steps = vec![("time goes on".to_owned(), Self::tick(world))];
+        let mut steps = vec![("clock tick".to_owned(), Self::tick(world))];
         let nodes = 0..world.nodes.len();
         steps.extend(nodes.flat_map(|at| self.of_node(world, at)));
         steps
@@ -412,7 +415,9 @@
         let arrived: u32 = world.arrived.iter().sum();
         match arrived <= BOUND {
             true => Ok(()),
-            false => Err(format!("{arrived} requests in a second")),
+            false => Err(format!(
+                "{arrived} requests in a second, at most {BOUND} allowed"
+            )),
         }
     }
 }
@@ -435,13 +440,16 @@
 /// Explores a specification that holds.
 fn assert_holds(spec: &impl Spec) {
     let states = explore(spec, MAX_STATES).unwrap_or_else(|found| panic!("{found}"));
-    println!("{states} states");
-    assert!(states > 10_000, "{states}");
+    println!("{states} states explored");
+    assert!(
+        states > 10_000,
+        "only {states} states explored, more than 10,000 expected"
+    );
 }
 
-/// Explores one with a mistake, which breaks this promise.
+/// Explores a specification with an injected fault, which must break this promise.
 fn assert_found(spec: &impl Spec, broken: Break, promise: &str) {
-    let found = explore(spec, MAX_STATES).expect_err("the break is found");
+    let found = explore(spec, MAX_STATES).expect_err("the injected fault must be found");
     println!("{broken:?}: {found}");
     assert!(found.broken.contains(promise), "{broken:?}: {found}");
 }
@@ -454,7 +462,7 @@
 #[test]
 fn deliberate_breaks_of_evacuations_are_found() {
     let cases = [
-        (Break::ServesUnread, "before it knows the orders"),
+        (Break::ServesUnread, "before it has read the orders"),
         (Break::MissesChanges, "to an evacuated domain"),
         (Break::IgnoresOrders, "to an evacuated domain"),
     ];
