--- a/crates/oatdale-relay/src/cx.rs
+++ b/crates/oatdale-relay/src/cx.rs
@@ -28,15 +28,15 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Maximum number of idle connections kept per endpoint.
-const MAX_IDLE: usize = 16;
+const MAX_IDLE_PER_ENDPOINT: usize = 16;
 
 /// Fraction of the retry budget that escalations to larger models leave for retries of broken
 /// streams: a broken stream is lost without a retry, while an answer of a small model is only
 /// worse. When an endpoint with several streams of one node dies, all of them need a retry at once.
-const KEPT_FOR_BROKEN: f64 = 0.2;
+const STREAM_RETRY_RESERVE: f64 = 0.2;
 
 /// Fraction of the stop time in which new streams are accepted: most of them end within the rest.
-const STREAMS_WHILE_STOPPING: f64 = 0.3;
+const STREAM_ACCEPT_FRACTION: f64 = 0.3;
 
 /// Shared state of one relay.
 pub(crate) struct Cx<W> {
@@ -64,7 +64,7 @@
         let pool = Pool::new(PoolConfig {
             connect_timeout: CONNECT_TIMEOUT,
             idle_timeout: IDLE_TIMEOUT,
-            max_idle: MAX_IDLE,
+            max_idle: MAX_IDLE_PER_ENDPOINT,
         });
         Cx {
             wire,
@@ -100,8 +100,10 @@
     /// Whether a stream that begins now is likely to end before this node stops.
     pub(crate) fn has_time_for_stream(&self) -> bool {
         let state = self.state();
-        let takes = state.bounds.stop().mul_f64(STREAMS_WHILE_STOPPING);
-        state.stopping.is_none_or(|since| since.elapsed() < takes)
+        let accept_time = state.bounds.stop().mul_f64(STREAM_ACCEPT_FRACTION);
+        state
+            .stopping
+            .is_none_or(|since| since.elapsed() < accept_time)
     }
 
     /// Whether callers should use this node.
@@ -115,7 +117,7 @@
         let now = self.now();
         let mut state = self.state();
         match update {
-            Update::Site(site) => self.take_site(&mut state, site),
+            Update::Site(site) => self.apply_site(&mut state, site),
             Update::Endpoints(all) => {
                 for addr in state.directory.replace(now, all) {
                     self.pool.forget(addr);
@@ -128,7 +130,7 @@
                     endpoint.id, endpoint.born, endpoint.service, endpoint.addr, endpoint.version,
                     endpoint.leaving, endpoint.cold_left
                 );
-                self.take_endpoint(&mut state, now, endpoint);
+                self.apply_endpoint(&mut state, now, endpoint);
             }
             Update::EndpointGone(id) => {
                 log::info!(target: "directory", "event=endpoint_gone id={id}");
@@ -137,7 +139,7 @@
                     gossip::broadcast(self, &state, &Message::EndpointGone { id, born });
                 }
             }
-            Update::Evacuated(domains) => self.take_evacuated(&mut state, domains),
+            Update::Evacuated(domains) => self.apply_evacuated(&mut state, domains),
             Update::RollOut(roll_out) => state.roll_outs.update(now, roll_out),
             Update::Quarantine { request, is_held } => {
                 crashes::take_record(self, &mut state, request, is_held);
@@ -152,40 +154,40 @@
             Update::ReadsAlone(alone) => state.reads_alone = alone,
             Update::StoreLost => {
                 self.metrics.store.set(0);
-                state.store_lost = Some(now);
-                state.directory.store_lost();
-                state.nodes.store_lost();
+                state.store_unavailable_since = Some(now);
+                state.directory.mark_store_unavailable();
+                state.nodes.mark_store_unavailable();
             }
             Update::StoreBack => {
                 self.metrics.store.set(1);
-                state.store_back(now);
-                state.directory.store_back(now);
-                state.nodes.store_back(now);
+                state.mark_store_available(now);
+                state.directory.mark_store_available(now);
+                state.nodes.mark_store_available(now);
             }
         }
         self.metrics.endpoints.set(state.directory.len() as i64);
     }
 
-    fn take_endpoint(&self, state: &mut State, now: Duration, endpoint: Endpoint) {
+    fn apply_endpoint(&self, state: &mut State, now: Duration, endpoint: Endpoint) {
         let (id, born) = (endpoint.id.clone(), endpoint.born);
         match state.directory.upsert(now, endpoint) {
             News::Leaves if state.reads_alone => {
                 gossip::broadcast(self, state, &Message::EndpointLeaves { id, born });
             }
-            News::StartedAgain(before) => {
+            News::StartedAgain(previous_addr) => {
                 log::info!(target: "directory", "event=endpoint_restarted id={id} born={born:?}");
-                self.pool.forget(before);
+                self.pool.forget(previous_addr);
             }
             News::None | News::Leaves => {}
         }
     }
 
-    pub(crate) fn take_evacuated(&self, state: &mut State, domains: BTreeSet<String>) {
+    pub(crate) fn apply_evacuated(&self, state: &mut State, domains: BTreeSet<String>) {
         self.metrics.evacuated.set(domains.len() as i64);
         state.directory.set_evacuated(self.now(), domains);
     }
 
-    pub(crate) fn take_site(&self, state: &mut State, site: Arc<Site>) {
+    pub(crate) fn apply_site(&self, state: &mut State, site: Arc<Site>) {
         let old = state.site.as_ref().map(|s| s.version);
         if old.is_some_and(|old| site.version <= old) {
             log::debug!(
@@ -201,7 +203,7 @@
             site.version, site.routes.len()
         );
         self.metrics.version.set(site.version as i64);
-        state.keep_routes(&site);
+        state.retain_routes(&site);
         state.site = Some(site);
     }
 
@@ -223,8 +225,8 @@
     pub(crate) fn has_place(&self, wanted: &Wanted<'_>) -> bool {
         let now = self.now();
         let mut state = self.state();
-        state.share_cold(now, wanted.service, &self.settings.host);
-        let picked = state.pick(now, wanted, &self.settings.failure_domain);
+        state.update_warm_up_shares(now, wanted.service, &self.settings.host);
+        let picked = state.pick_endpoint(now, wanted, &self.settings.failure_domain);
         picked.is_some()
     }
 
@@ -232,11 +234,12 @@
     pub(crate) fn place(self: &Arc<Self>, wanted: &Wanted<'_>) -> Result<Running<W>, Shortage> {
         let now = self.now();
         let mut state = self.state();
-        state.share_cold(now, wanted.service, &self.settings.host);
-        let Some((key, choices)) = state.pick(now, wanted, &self.settings.failure_domain) else {
+        state.update_warm_up_shares(now, wanted.service, &self.settings.host);
+        let Some((key, choices)) = state.pick_endpoint(now, wanted, &self.settings.failure_domain)
+        else {
             return Err(state.shortage(now, wanted));
         };
-        state.note_warm_up(now, key);
+        state.count_warm_up_request(now, key);
         let Some(entry) = state.directory.get_mut(key) else {
             return Err(state.shortage(now, wanted));
         };
@@ -254,32 +257,32 @@
         let now = self.now();
         self.state().roll_outs.count_request(now, service);
         let mut state = self.state();
-        let allowed = state.allowance(now);
-        state.repeats(service).request(now, &allowed);
+        let budget = state.retry_budget(now);
+        state.retry_counts(service).request(now, &budget);
     }
 
     /// Whether a request for a service may be retried; if so, spends from its retry budget.
     pub(crate) fn may_repeat(&self, service: &str) -> bool {
-        self.repeat(service, 0.0)
+        self.spend_retry(service, 0.0)
     }
 
     /// Whether a request may be escalated to a larger model for a better answer; if so, spends from
     /// the retry budget.
     pub(crate) fn may_escalate(&self, service: &str) -> bool {
-        self.repeat(service, KEPT_FOR_BROKEN)
+        self.spend_retry(service, STREAM_RETRY_RESERVE)
     }
 
-    fn repeat(&self, service: &str, kept: f64) -> bool {
+    fn spend_retry(&self, service: &str, reserve: f64) -> bool {
         let now = self.now();
         let mut state = self.state();
-        let allowed = state.allowance(now);
-        let may = state.repeats(service).repeat(now, &allowed, kept);
-        if !may {
+        let budget = state.retry_budget(now);
+        let is_granted = state.retry_counts(service).repeat(now, &budget, reserve);
+        if !is_granted {
             log::info!(
                 target: "attempt",
-                "event=retry_budget_exhausted service={service} reserved={kept}"
+                "event=retry_budget_exhausted service={service} reserved={reserve}"
             );
         }
-        may
+        is_granted
     }
 }
--- a/crates/oatdale-relay/src/directory.rs
+++ b/crates/oatdale-relay/src/directory.rs
@@ -13,17 +13,17 @@
 /// Grace period after the key-value service recovers in which an entry may still be missing because
 /// its lease expired while its endpoint could not renew it. Endpoints rewrite their entries within
 /// about two seconds.
-const RETURN_GRACE: Duration = Duration::from_millis(1_900);
+const RECOVERY_GRACE: Duration = Duration::from_millis(1_900);
 
 /// How long after an endpoint's restart its record may not show the restart yet.
-const RECORD_DELAY: Duration = Duration::from_millis(2_500);
+const RESTART_RECORD_DELAY: Duration = Duration::from_millis(2_500);
 
 /// Minimum time between two reports that an endpoint is unreachable.
-const NEWS_INTERVAL: Duration = Duration::from_secs(1);
+const UNREACHABLE_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long a removed endpoint stays in the directory, so that its last responses can still be
 /// attributed to it.
-const KEEP_GONE: Duration = Duration::from_secs(60);
+const REMOVED_RETENTION: Duration = Duration::from_secs(60);
 
 /// Key of one start of an endpoint in the directory; never reused.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
@@ -55,7 +55,7 @@
     /// Number that identifies the endpoint in load reports between nodes.
     pub(crate) number: u32,
     /// Long prompts sent to it by other nodes.
-    others: Vec<Heavy>,
+    remote_prompts: Vec<LongPrompt>,
     /// When this node last received bytes from it.
     pub last_progress: Duration,
     /// When its liveness was last probed.
@@ -63,9 +63,9 @@
     /// Last report of its work.
     pub(crate) report: Option<Report>,
     /// When it stops being cold, by its last announcement.
-    warm_at: Duration,
+    cold_until: Duration,
     /// The latest time at which it may have become cold without its record saying so.
-    unnoticed: Option<Duration>,
+    maybe_cold_since: Option<Duration>,
     /// Requests sent to it by this node while it was cold.
     pub(crate) warm_up: WarmUp,
     /// When this node's share of the cold endpoint's request rate was last computed, and the share
@@ -75,15 +75,15 @@
     pub(crate) paused_until: Duration,
     /// Cancelled when the endpoint restarts: requests sent to the earlier start are lost.
     pub(crate) life: CancellationToken,
-    gone: Gone,
+    registration: Registration,
 }
 
 /// Long prompt sent by another node.
 #[derive(Clone, Copy, PartialEq, Debug)]
-struct Heavy {
-    told: Duration,
+struct LongPrompt {
+    announced: Duration,
     /// When the engine has finished reading it.
-    until: Duration,
+    read_at: Duration,
     weight: f64,
 }
 
@@ -112,25 +112,26 @@
     /// Cold, and this node's share of their request rate is used up.
     cold: usize,
     /// Running a version that the request must not use.
-    other: usize,
+    other_version: usize,
 }
 
 /// Whether an endpoint's entry is registered.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Gone {
-    No,
+enum Registration {
+    Present,
     /// The entry is missing, possibly only because of an outage of the key-value service; the
     /// endpoint is used until this time.
-    At(Duration),
+    ExpiresAt(Duration),
 }
 
 /// Availability of the key-value service.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 enum Store {
     #[default]
-    Steady,
-    Lost,
-    BackSince(Duration),
+    Up,
+    Down,
+    /// Recovered at this time; missing entries are still in their grace period.
+    UpSince(Duration),
 }
 
 impl Directory {
@@ -146,17 +147,19 @@
         for id in missing {
             self.remove(now, &id);
         }
-        let mut before = Vec::new();
+        let mut previous_addrs = Vec::new();
         for endpoint in all {
             if let News::StartedAgain(addr) = self.upsert(now, endpoint) {
-                before.push(addr);
+                previous_addrs.push(addr);
             }
         }
         if is_first {
             // On the first read, endpoints that report no cold time may have been running for long.
-            self.entries.values_mut().for_each(|e| e.unnoticed = None);
+            self.entries
+                .values_mut()
+                .for_each(|e| e.maybe_cold_since = None);
         }
-        before
+        previous_addrs
     }
 
     /// Inserts or updates an endpoint.
@@ -176,10 +179,10 @@
                 News::None
             }
             Some(entry) if endpoint.born > entry.endpoint.born => {
-                entry.end_life(now);
-                let before = entry.endpoint.addr;
+                entry.retire(now);
+                let previous_addr = entry.endpoint.addr;
                 self.insert(now, endpoint);
-                News::StartedAgain(before)
+                News::StartedAgain(previous_addr)
             }
             Some(entry) => entry.update(now, endpoint),
             None => {
@@ -194,12 +197,12 @@
         self.next += 1;
         self.by_id.insert(endpoint.id.clone(), key);
         self.entries.insert(key, Entry::new(now, endpoint));
-        self.forget(now);
+        self.evict_removed(now);
     }
 
     /// Marks an endpoint that started at `born` as leaving, as read by another node, and returns
     /// whether it was not marked before.
-    pub fn leaves(&mut self, id: &str, born: Option<u64>) -> bool {
+    pub fn mark_leaving(&mut self, id: &str, born: Option<u64>) -> bool {
         match self.by_id_mut(id) {
             Some(entry) if entry.endpoint.born <= born => {
                 !std::mem::replace(&mut entry.endpoint.leaving, true)
@@ -209,7 +212,7 @@
     }
 
     /// Removes an endpoint that started at `born` and whose entry another node found missing.
-    pub fn remove_start(&mut self, now: Duration, id: &str, born: Option<u64>) -> bool {
+    pub fn remove_incarnation(&mut self, now: Duration, id: &str, born: Option<u64>) -> bool {
         let is_known = |e: &mut Entry| e.endpoint.born <= born;
         self.by_id_mut(id).is_some_and(is_known) && self.remove(now, id)
     }
@@ -222,40 +225,40 @@
     /// the service is available, a missing entry means that the endpoint is leaving.
     pub fn remove(&mut self, now: Duration, id: &str) -> bool {
         let at = match self.store {
-            Store::Steady => now,
-            Store::Lost => now + RETURN_GRACE,
-            Store::BackSince(since) => now.max(since + RETURN_GRACE),
+            Store::Up => now,
+            Store::Down => now + RECOVERY_GRACE,
+            Store::UpSince(since) => now.max(since + RECOVERY_GRACE),
         };
         let entry = self
             .by_id
             .get(id)
             .and_then(|key| self.entries.get_mut(key))
-            .filter(|entry| entry.gone == Gone::No);
+            .filter(|entry| entry.registration == Registration::Present);
         match entry {
             Some(entry) => {
-                entry.gone = Gone::At(at);
-                self.store == Store::Steady
+                entry.registration = Registration::ExpiresAt(at);
+                self.store == Store::Up
             }
             None => false,
         }
     }
 
     /// Records that the key-value service does not answer.
-    pub fn store_lost(&mut self) {
-        self.store = Store::Lost;
+    pub fn mark_store_unavailable(&mut self) {
+        self.store = Store::Down;
     }
 
     /// Records that the key-value service answers, for the first time or again.
-    pub fn store_back(&mut self, now: Duration) {
-        if self.store == Store::Lost {
-            self.store = Store::BackSince(now);
+    pub fn mark_store_available(&mut self, now: Duration) {
+        if self.store == Store::Down {
+            self.store = Store::UpSince(now);
         }
     }
 
     /// Ends the grace period for missing entries once it is over.
     pub fn tick(&mut self, now: Duration) {
         match self.store {
-            Store::BackSince(since) if now >= since + RETURN_GRACE => self.store = Store::Steady,
+            Store::UpSince(since) if now >= since + RECOVERY_GRACE => self.store = Store::Up,
             _ => {}
         }
     }
@@ -263,25 +266,25 @@
     /// Sets the evacuated failure domains. Their endpoints get no new requests and finish those in
     /// flight.
     pub fn set_evacuated(&mut self, now: Duration, domains: BTreeSet<String>) {
-        let before = self.evacuated.replace(domains).unwrap_or_default();
+        let previous = self.evacuated.replace(domains).unwrap_or_default();
         let domains = self.evacuated.iter().flatten();
-        for domain in domains.filter(|d| !before.contains(*d)) {
+        for domain in domains.filter(|d| !previous.contains(*d)) {
             log::warn!(target: "directory", "event=domain_evacuated domain={domain}");
         }
-        let taken_back = before.into_iter().filter(|d| !self.is_evacuated(d));
-        for domain in taken_back.collect::<Vec<_>>() {
+        let lifted = previous.into_iter().filter(|d| !self.is_evacuated(d));
+        for domain in lifted.collect::<Vec<_>>() {
             log::warn!(target: "directory", "event=domain_evacuation_lifted domain={domain}");
             // They were idle and may have become cold; their records may say so only later.
             let entries = self.entries.values_mut();
             entries
                 .filter(|e| e.endpoint.domain == domain)
-                .for_each(|e| e.unnoticed = e.unnoticed.max(Some(now)));
+                .for_each(|e| e.maybe_cold_since = e.maybe_cold_since.max(Some(now)));
         }
     }
 
     /// Returns the available endpoints of a service that may be cold, where `time` is how long one
     /// that became cold unnoticed stays so.
-    pub(crate) fn cold_mut(
+    pub(crate) fn cold_endpoints_mut(
         &mut self,
         now: Duration,
         service: &str,
@@ -289,7 +292,7 @@
     ) -> impl Iterator<Item = &mut Entry> {
         let entries = self.entries.values_mut();
         entries.filter(move |e| {
-            e.endpoint.service == service && e.takes_work(now) && e.is_cold(now, time)
+            e.endpoint.service == service && e.accepts_new_requests(now) && e.is_cold(now, time)
         })
     }
 
@@ -317,7 +320,7 @@
     ) -> impl Iterator<Item = (EndpointKey, &'a Entry)> {
         self.entries
             .iter()
-            .filter(move |(_, e)| e.endpoint.service == service && self.may_get_work(now, e))
+            .filter(move |(_, e)| e.endpoint.service == service && self.is_eligible(now, e))
             .filter(move |(_, e)| now >= e.paused_until)
             .map(|(key, e)| (*key, e))
     }
@@ -326,13 +329,14 @@
     /// `None` if one accepts requests now, or if there is none.
     pub fn pause_left(&self, now: Duration, service: &str) -> Option<Duration> {
         let entries = self.entries.values();
-        let there = entries.filter(|e| e.endpoint.service == service && self.may_get_work(now, e));
-        let first = there.map(|e| e.paused_until).min()?;
+        let eligible =
+            entries.filter(|e| e.endpoint.service == service && self.is_eligible(now, e));
+        let first = eligible.map(|e| e.paused_until).min()?;
         first.checked_sub(now).filter(|left| !left.is_zero())
     }
 
-    fn may_get_work(&self, now: Duration, entry: &Entry) -> bool {
-        entry.takes_work(now) && !self.is_evacuated(&entry.endpoint.domain)
+    fn is_eligible(&self, now: Duration, entry: &Entry) -> bool {
+        entry.accepts_new_requests(now) && !self.is_evacuated(&entry.endpoint.domain)
     }
 
     /// Counts why no endpoint of a service can take a request that was already sent to `tried`.
@@ -341,18 +345,18 @@
         now: Duration,
         service: &str,
         tried: &[EndpointKey],
-        has_room: impl Fn(&Entry) -> bool,
+        has_capacity: impl Fn(&Entry) -> bool,
     ) -> Shortage {
         let mut shortage = Shortage::default();
         let of_service = |e: &Entry| e.endpoint.service == service;
         for (key, entry) in self.entries.iter().filter(|(_, e)| of_service(e)) {
             let count = match entry {
                 _ if tried.contains(key) => &mut shortage.tried,
-                e if !e.takes_work(now) => &mut shortage.leaving,
+                e if !e.accepts_new_requests(now) => &mut shortage.leaving,
                 e if self.is_evacuated(&e.endpoint.domain) => &mut shortage.evacuated,
                 e if now < e.paused_until => &mut shortage.paused,
-                e if !has_room(e) => &mut shortage.cold,
-                _ => &mut shortage.other,
+                e if !has_capacity(e) => &mut shortage.cold,
+                _ => &mut shortage.other_version,
             };
             *count += 1;
         }
@@ -391,20 +395,26 @@
 
     /// Returns all endpoints that are not removed.
     pub fn iter(&self, now: Duration) -> impl Iterator<Item = &Endpoint> {
-        let there = move |e: &&Entry| match e.gone {
-            Gone::No => true,
-            Gone::At(at) => now < at,
+        let is_present = move |e: &&Entry| match e.registration {
+            Registration::Present => true,
+            Registration::ExpiresAt(at) => now < at,
         };
-        self.entries.values().filter(there).map(|e| &e.endpoint)
+        self.entries
+            .values()
+            .filter(is_present)
+            .map(|e| &e.endpoint)
     }
 
     /// Returns the number of registered endpoints.
     pub fn len(&self) -> usize {
-        self.entries.values().filter(|e| e.gone == Gone::No).count()
+        self.entries
+            .values()
+            .filter(|e| e.registration == Registration::Present)
+            .count()
     }
 
     /// Returns the number of endpoints held in memory, including removed ones.
-    pub fn known(&self) -> usize {
+    pub fn tracked_len(&self) -> usize {
         self.entries.len()
     }
 
@@ -413,12 +423,12 @@
         self.len() == 0
     }
 
-    fn forget(&mut self, now: Duration) {
-        let old = |e: &Entry| match e.gone {
-            Gone::At(at) => e.running == 0 && now > at + KEEP_GONE,
-            Gone::No => false,
+    fn evict_removed(&mut self, now: Duration) {
+        let is_expired = |e: &Entry| match e.registration {
+            Registration::ExpiresAt(at) => e.running == 0 && now > at + REMOVED_RETENTION,
+            Registration::Present => false,
         };
-        self.entries.retain(|_, e| !old(e));
+        self.entries.retain(|_, e| !is_expired(e));
         let entries = &self.entries;
         self.by_id.retain(|_, key| entries.contains_key(key));
     }
@@ -427,7 +437,7 @@
 impl Shortage {
     /// Whether evacuations are the reason that no endpoint is available.
     pub(crate) fn is_evacuation(&self) -> bool {
-        self.evacuated > 0 && self.tried + self.paused + self.cold + self.other == 0
+        self.evacuated > 0 && self.tried + self.paused + self.cold + self.other_version == 0
     }
 }
 
@@ -436,7 +446,7 @@
         write!(
             f,
             "tried={} leaving={} evacuated={} paused={} cold={} other={}",
-            self.tried, self.leaving, self.evacuated, self.paused, self.cold, self.other
+            self.tried, self.leaving, self.evacuated, self.paused, self.cold, self.other_version
         )
     }
 }
@@ -445,22 +455,22 @@
     fn new(now: Duration, endpoint: Endpoint) -> Entry {
         Entry {
             number: hash(&(&endpoint.id, endpoint.born)) as u32,
-            warm_at: now.saturating_add(endpoint.cold_left.unwrap_or_default()),
+            cold_until: now.saturating_add(endpoint.cold_left.unwrap_or_default()),
             // An endpoint that does not report whether it is cold is treated as just started.
-            unnoticed: endpoint.cold_left.is_none().then_some(now),
+            maybe_cold_since: endpoint.cold_left.is_none().then_some(now),
             warm_up: WarmUp::default(),
             warm_up_share: None,
             endpoint,
             health: Health::default(),
             running: 0,
             load: 0.0,
-            others: Vec::new(),
+            remote_prompts: Vec::new(),
             last_progress: now,
             probed: Duration::ZERO,
             report: None,
             paused_until: Duration::ZERO,
             life: CancellationToken::new(),
-            gone: Gone::No,
+            registration: Registration::Present,
         }
     }
 
@@ -470,28 +480,28 @@
     /// otherwise is older.
     fn update(&mut self, now: Duration, endpoint: Endpoint) -> News {
         let known = &self.endpoint;
-        let is_other = (endpoint.serial, endpoint.cold_left) != (known.serial, known.cold_left);
-        match endpoint.cold_left.filter(|_| is_other) {
-            Some(left) if endpoint.serial < known.serial => self.stays_cold(now, left),
-            Some(left) => self.set_cold(now, left),
+        let has_changed = (endpoint.serial, endpoint.cold_left) != (known.serial, known.cold_left);
+        match endpoint.cold_left.filter(|_| has_changed) {
+            Some(remaining) if endpoint.serial < known.serial => self.extend_cold(now, remaining),
+            Some(remaining) => self.set_cold(now, remaining),
             None => {}
         }
-        let left = self.endpoint.leaving;
-        let leaving = left || endpoint.leaving;
+        let was_leaving = self.endpoint.leaving;
+        let leaving = was_leaving || endpoint.leaving;
         self.endpoint = Endpoint {
             leaving,
             ..endpoint
         };
-        self.gone = Gone::No;
-        match leaving && !left {
+        self.registration = Registration::Present;
+        match leaving && !was_leaving {
             true => News::Leaves,
             false => News::None,
         }
     }
 
     /// Ends this start after the endpoint has restarted; its in-flight requests are lost.
-    fn end_life(&mut self, now: Duration) {
-        self.gone = Gone::At(now);
+    fn retire(&mut self, now: Duration) {
+        self.registration = Registration::ExpiresAt(now);
         self.life.cancel();
     }
 
@@ -499,39 +509,39 @@
     pub(crate) fn is_cold(&self, now: Duration, time: Duration) -> bool {
         self.says_cold(now)
             || self
-                .unnoticed
+                .maybe_cold_since
                 .is_some_and(|at| now < at.saturating_add(time))
     }
 
     /// Whether it has announced that it is cold.
     pub(crate) fn says_cold(&self, now: Duration) -> bool {
-        now < self.warm_at
+        now < self.cold_until
     }
 
     /// Sets how much longer it is cold, as it announced itself.
-    pub(crate) fn set_cold(&mut self, now: Duration, left: Duration) {
-        self.warm_at = now.saturating_add(left);
+    pub(crate) fn set_cold(&mut self, now: Duration, remaining: Duration) {
+        self.cold_until = now.saturating_add(remaining);
     }
 
-    /// Extends the time for which it is cold to at least `left` from now.
-    pub(crate) fn stays_cold(&mut self, now: Duration, left: Duration) {
-        self.warm_at = self.warm_at.max(now.saturating_add(left));
+    /// Extends the time for which it is cold to at least `remaining` from now.
+    pub(crate) fn extend_cold(&mut self, now: Duration, remaining: Duration) {
+        self.cold_until = self.cold_until.max(now.saturating_add(remaining));
     }
 
     /// Records that it is unreachable, so that it may restart soon, and returns whether this is to
     /// be reported again.
     pub(crate) fn unreachable(&mut self, now: Duration) -> bool {
-        let latest = now + RECORD_DELAY;
-        let before = self.unnoticed.replace(latest);
-        before.is_none_or(|before| latest >= before + NEWS_INTERVAL)
+        let latest = now + RESTART_RECORD_DELAY;
+        let last_report = self.maybe_cold_since.replace(latest);
+        last_report.is_none_or(|last_report| latest >= last_report + UNREACHABLE_REPORT_INTERVAL)
     }
 
     /// Adds a long prompt that another node sent to it.
-    pub fn add_others(&mut self, now: Duration, time: Duration, weight: f64) {
-        self.others.retain(|heavy| heavy.until > now);
-        self.others.push(Heavy {
-            told: now,
-            until: now + time,
+    pub fn add_remote_prompt(&mut self, now: Duration, time: Duration, weight: f64) {
+        self.remote_prompts.retain(|prompt| prompt.read_at > now);
+        self.remote_prompts.push(LongPrompt {
+            announced: now,
+            read_at: now + time,
             weight,
         });
     }
@@ -539,24 +549,24 @@
     /// Returns its load as known to this node: this node's requests and the long prompts of other
     /// nodes, except those announced at or before `summed`, which the load sums already include.
     pub fn known_load(&self, now: Duration, summed: Option<Duration>) -> f64 {
-        let counts = |h: &&Heavy| h.until > now && summed.is_none_or(|summed| h.told > summed);
-        let others = self.others.iter().filter(counts);
-        self.load + others.map(|h| h.weight).sum::<f64>()
+        let counts = |p: &&LongPrompt| p.read_at > now && summed.is_none_or(|t| p.announced > t);
+        let remote_prompts = self.remote_prompts.iter().filter(counts);
+        self.load + remote_prompts.map(|p| p.weight).sum::<f64>()
     }
 
     /// Whether its end was planned: it announced its leaving or its record is gone, and it has not
     /// restarted.
     pub(crate) fn left_by_plan(&self, now: Duration) -> bool {
-        !self.takes_work(now) && !self.life.is_cancelled()
+        !self.accepts_new_requests(now) && !self.life.is_cancelled()
     }
 
     /// Whether it may get new requests.
-    pub fn takes_work(&self, now: Duration) -> bool {
-        let there = match self.gone {
-            Gone::No => true,
-            Gone::At(at) => now < at,
+    pub fn accepts_new_requests(&self, now: Duration) -> bool {
+        let is_registered = match self.registration {
+            Registration::Present => true,
+            Registration::ExpiresAt(at) => now < at,
         };
-        there && !self.endpoint.leaving
+        is_registered && !self.endpoint.leaving
     }
 
     /// Starts or extends its back-off towards this node.
--- a/crates/oatdale-relay/src/gossip.rs
+++ b/crates/oatdale-relay/src/gossip.rs
@@ -6,7 +6,7 @@
 
 use crate::crashes;
 use crate::cx::Cx;
-use crate::loads::{ADDERS, Load, MOST_LOADS, Scheme};
+use crate::loads::{AGGREGATORS_PER_GROUP, Load, MOST_LOADS, Scheme};
 use crate::roll_outs::{JUDGES, OnOld, Report};
 use crate::running::Running;
 use crate::state::{State, hash};
@@ -22,22 +22,22 @@
 pub(crate) const REPORT_EVERY: Duration = Duration::from_millis(400);
 
 /// Longest datagram, in bytes, that passes every network unfragmented.
-const MAX_DATAGRAM: usize = 1_200;
+const MAX_DATAGRAM_BYTES: usize = 1_200;
 
 /// Number of announcements sent by a leaving node, and the interval between them.
-const SAID: usize = 3;
-const SAID_EVERY: Duration = Duration::from_millis(100);
+const LEAVE_ANNOUNCEMENTS: usize = 3;
+const LEAVE_ANNOUNCEMENT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Minimum weight of a request that is announced: a prompt of this length blocks its engine for
 /// half a second, and other nodes would send theirs there meanwhile.
-const HEAVY: f64 = 3.0;
+const LONG_PROMPT_WEIGHT: f64 = 3.0;
 
 /// Maximum weight counted for one prompt.
-const MOST_WEIGHT: f64 = 50.0;
+const MAX_PROMPT_WEIGHT: f64 = 50.0;
 
 /// Time that an engine takes to read a prompt, per unit of weight: 3,000 tokens of the largest
 /// model at 15 to 20 tokens per millisecond.
-const READ_TIME: Duration = Duration::from_millis(200);
+const READ_TIME_PER_WEIGHT: Duration = Duration::from_millis(200);
 
 /// Message of one datagram.
 #[derive(Serialize, Deserialize)]
@@ -95,10 +95,10 @@
 
 /// Receives the datagrams of other nodes.
 pub(crate) async fn listen<W: Wire>(cx: Arc<Cx<W>>) {
-    let mut buf = vec![0; MAX_DATAGRAM];
+    let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         match cx.socket.recv_from(&mut buf).await {
-            Ok((len, from)) => take(&cx, &buf[..len], from),
+            Ok((len, from)) => handle_datagram(&cx, &buf[..len], from),
             Err(err) => {
                 log::debug!(target: "gossip", "event=receive_failed err={err}");
                 tokio::time::sleep(Duration::from_millis(20)).await;
@@ -107,7 +107,7 @@
     }
 }
 
-fn take<W: Wire>(cx: &Cx<W>, datagram: &[u8], from: SocketAddr) {
+fn handle_datagram<W: Wire>(cx: &Cx<W>, datagram: &[u8], from: SocketAddr) {
     let now = cx.now();
     match ciborium::from_reader(datagram) {
         Ok(Message::Report(report)) => cx.state().roll_outs.merge_report(now, &report),
@@ -116,26 +116,26 @@
             log::info!(target: "gossip", "event=node_leaves host={host}");
             let mut state = cx.state();
             let until = now + state.bounds.stop();
-            state.nodes.leave(until, &host);
+            state.nodes.mark_node_leaving(until, &host);
         }
         Ok(Message::EndpointLeaves { id, born }) => {
-            if cx.state().directory.leaves(&id, born) {
+            if cx.state().directory.mark_leaving(&id, born) {
                 log::info!(target: "gossip", "event=endpoint_leaves id={id} born={born:?} from={from}");
             }
         }
         Ok(Message::EndpointGone { id, born }) => {
-            if cx.state().directory.remove_start(now, &id, born) {
+            if cx.state().directory.remove_incarnation(now, &id, born) {
                 log::info!(target: "gossip", "event=endpoint_gone id={id} born={born:?} from={from}");
             }
         }
-        Ok(Message::EndpointCold { id, born, left_ms }) => take_from_known(cx, from, |state| {
+        Ok(Message::EndpointCold { id, born, left_ms }) => apply_from_known(cx, from, |state| {
             let entry = state.directory.by_id_mut(&id);
             let Some(entry) = entry.filter(|e| e.endpoint.born <= born) else {
                 return;
             };
             log::info!(target: "gossip", "event=endpoint_cold id={id} left_ms={left_ms:?} from={from}");
             match left_ms {
-                Some(ms) => entry.stays_cold(now, Duration::from_millis(ms.into())),
+                Some(ms) => entry.extend_cold(now, Duration::from_millis(ms.into())),
                 None => {
                     entry.unreachable(now);
                 }
@@ -144,40 +144,40 @@
         Ok(Message::Heavy { endpoint, weight }) => {
             let mut state = cx.state();
             if let Some(entry) = state.directory.by_id_mut(&endpoint) {
-                let weight = weight.clamp(0.0, MOST_WEIGHT);
-                entry.add_others(now, READ_TIME.mul_f64(weight), weight);
+                let weight = weight.clamp(0.0, MAX_PROMPT_WEIGHT);
+                entry.add_remote_prompt(now, READ_TIME_PER_WEIGHT.mul_f64(weight), weight);
             }
         }
-        Ok(Message::Loads(loads)) => take_from_known(cx, from, |state| {
-            state.adder.take(now, from, &loads);
+        Ok(Message::Loads(loads)) => apply_from_known(cx, from, |state| {
+            state.load_aggregator.record_report(now, from, &loads);
         }),
-        Ok(Message::Crashed { endpoint, requests }) => take_from_known(cx, from, |state| {
+        Ok(Message::Crashed { endpoint, requests }) => apply_from_known(cx, from, |state| {
             let requests: Vec<_> = requests.into_iter().map(Fingerprint).collect();
             crashes::note_crash(cx, state, endpoint, &requests);
         }),
-        Ok(Message::Quarantined { request }) => take_from_known(cx, from, |state| {
+        Ok(Message::Quarantined { request }) => apply_from_known(cx, from, |state| {
             crashes::take_decision(cx, state, Fingerprint(request));
         }),
-        Ok(Message::Completed { request }) => take_from_known(cx, from, |state| {
+        Ok(Message::Completed { request }) => apply_from_known(cx, from, |state| {
             crashes::take_release(cx, state, Fingerprint(request));
         }),
-        Ok(Message::Sums { nodes, loads }) => take_from_known(cx, from, |state| {
+        Ok(Message::Sums { nodes, loads }) => apply_from_known(cx, from, |state| {
             // No sum covers more nodes than are known; a sender that claims more would block the
             // sums of others.
             let known = state.nodes.iter(now).count();
-            state.shared.take(now, nodes.min(known), &loads);
+            state.load_sums.record_sums(now, nodes.min(known), &loads);
         }),
         Err(err) => log::warn!(target: "gossip", "event=bad_datagram from={from} err={err}"),
     }
 }
 
 /// Applies a message that affects placement, if its sender is a known node.
-fn take_from_known<W: Wire>(cx: &Cx<W>, from: SocketAddr, take: impl FnOnce(&mut State)) {
+fn apply_from_known<W: Wire>(cx: &Cx<W>, from: SocketAddr, apply: impl FnOnce(&mut State)) {
     let now = cx.now();
     let mut state = cx.state();
     let is_known = state.nodes.iter(now).any(|n| n.nodes == from);
     match is_known {
-        true => take(&mut state),
+        true => apply(&mut state),
         false => log::debug!(target: "gossip", "event=unknown_sender from={from}"),
     }
 }
@@ -189,7 +189,7 @@
 /// are reported to all by the node that has them: with more nodes than judges, the others would not
 /// learn of them otherwise.
 pub(crate) async fn report<W: Wire>(cx: &Cx<W>) {
-    for (datagram, to) in datagrams(cx) {
+    for (datagram, to) in roll_out_datagrams(cx) {
         if let Err(err) = cx.socket.send_to(&datagram, to).await {
             log::debug!(target: "gossip", "event=send_failed to={to} err={err}");
         }
@@ -202,7 +202,7 @@
 /// one engine delay every request there. All nodes are notified, since the others would send their
 /// requests there too.
 pub(crate) fn announce_long_prompt<W: Wire>(cx: &Cx<W>, running: &Running<W>) {
-    if running.weight < HEAVY {
+    if running.weight < LONG_PROMPT_WEIGHT {
         return;
     }
     let message = Message::Heavy {
@@ -218,15 +218,15 @@
 /// Each node reads the records only about once a second, since every call has a cost; together the
 /// nodes read many times a second. A lost datagram is made up for by the node's own next read.
 pub(crate) fn broadcast<W: Wire>(cx: &Cx<W>, state: &State, message: &Message) {
-    send_now(cx, others(cx, state), message);
+    send_now(cx, other_nodes(cx, state), message);
 }
 
 /// Periodically sends this node's loads to the aggregators, and its sums to the nodes that
 /// reported.
 pub(crate) async fn share_loads<W: Wire>(cx: Arc<Cx<W>>) {
     loop {
-        let every = cx.state().shared.scheme().every;
-        tokio::time::sleep(every).await;
+        let interval = cx.state().load_sums.scheme().interval;
+        tokio::time::sleep(interval).await;
         let mut state = cx.state();
         send_own_loads(&cx, &mut state);
         send_load_sums(&cx, &mut state);
@@ -238,15 +238,17 @@
     let now = cx.now();
     let nodes = state.nodes.iter(now).count();
     let scheme = Scheme::new(nodes, state.directory.len());
-    state.shared.set_scheme(scheme);
-    state.adder.set_scheme(scheme);
-    let own = state.shared.report(state.directory.loads());
+    state.load_sums.set_scheme(scheme);
+    state.load_aggregator.set_scheme(scheme);
+    let own_loads = state.load_sums.own_report(state.directory.loads());
     for group in 0..scheme.groups {
-        let loads = own.iter().filter(|l| scheme.group(l.endpoint) == group);
+        let loads = own_loads
+            .iter()
+            .filter(|l| scheme.group(l.endpoint) == group);
         let loads: Vec<_> = loads.copied().collect();
-        for to in adders(cx, state, group) {
+        for to in aggregators(cx, state, group) {
             match to == cx.settings.listen.nodes {
-                true => state.adder.take(now, to, &loads),
+                true => state.load_aggregator.record_report(now, to, &loads),
                 false => send_loads(cx, [to].into_iter(), &loads, Message::Loads),
             }
         }
@@ -255,22 +257,22 @@
 
 fn send_load_sums<W: Wire>(cx: &Cx<W>, state: &mut State) {
     let now = cx.now();
-    let (nodes, sums, told) = state.adder.sum(now);
+    let (nodes, sums, reporters) = state.load_aggregator.sum(now);
     if nodes == 0 {
         return;
     }
-    state.shared.take(now, nodes, &sums);
-    let told = told.into_iter();
-    let told = told.filter(|to| *to != cx.settings.listen.nodes);
-    let sums_of = |loads| Message::Sums { nodes, loads };
-    send_loads(cx, told, &sums, sums_of);
+    state.load_sums.record_sums(now, nodes, &sums);
+    let reporters = reporters.into_iter();
+    let reporters = reporters.filter(|to| *to != cx.settings.listen.nodes);
+    let to_message = |loads| Message::Sums { nodes, loads };
+    send_loads(cx, reporters, &sums, to_message);
 }
 
 /// Returns the aggregators of a group: the first nodes by a hash that is the same on every node.
-fn adders<W: Wire>(cx: &Cx<W>, state: &State, group: u32) -> Vec<SocketAddr> {
+fn aggregators<W: Wire>(cx: &Cx<W>, state: &State, group: u32) -> Vec<SocketAddr> {
     let mut nodes: Vec<_> = state.nodes.iter(cx.now()).collect();
     nodes.sort_by_cached_key(|n| hash(&(group, &n.host)));
-    let first = nodes.into_iter().take(ADDERS);
+    let first = nodes.into_iter().take(AGGREGATORS_PER_GROUP);
     first.map(|n| n.nodes).collect()
 }
 
@@ -282,11 +284,11 @@
 ) {
     let to: Vec<_> = to.collect();
     // Sent without any load too: aggregators send sums only to nodes that report.
-    let parts = loads
+    let batches = loads
         .chunks(MOST_LOADS)
         .chain(loads.is_empty().then_some(loads));
-    for part in parts {
-        send_now(cx, to.iter().copied(), &message(part.to_vec()));
+    for batch in batches {
+        send_now(cx, to.iter().copied(), &message(batch.to_vec()));
     }
 }
 
@@ -308,23 +310,26 @@
 
 /// Announces to all other nodes that this one is stopping.
 pub(crate) async fn leave<W: Wire>(cx: &Cx<W>) {
-    let others: Vec<_> = others(cx, &cx.state()).collect();
+    let others: Vec<_> = other_nodes(cx, &cx.state()).collect();
     let message = Message::Leaving(cx.settings.host.clone());
     let Some(datagram) = encode(&message) else {
         return;
     };
-    for _ in 0..SAID {
+    for _ in 0..LEAVE_ANNOUNCEMENTS {
         for to in &others {
             if let Err(err) = cx.socket.send_to(&datagram, to).await {
                 log::debug!(target: "gossip", "event=send_failed to={to} err={err}");
             }
         }
-        tokio::time::sleep(SAID_EVERY).await;
+        tokio::time::sleep(LEAVE_ANNOUNCEMENT_INTERVAL).await;
     }
 }
 
 /// Returns the datagram addresses of the other nodes.
-fn others<'a, W: Wire>(cx: &'a Cx<W>, state: &'a State) -> impl Iterator<Item = SocketAddr> + 'a {
+fn other_nodes<'a, W: Wire>(
+    cx: &'a Cx<W>,
+    state: &'a State,
+) -> impl Iterator<Item = SocketAddr> + 'a {
     let others = state.nodes.iter(cx.now());
     let others = others.filter(|n| n.host != cx.settings.host);
     others.map(|n| n.nodes)
@@ -333,10 +338,10 @@
 fn encode(message: &Message) -> Option<Vec<u8>> {
     let mut datagram = Vec::new();
     match ciborium::into_writer(message, &mut datagram) {
-        Ok(()) if datagram.len() > MAX_DATAGRAM => {
+        Ok(()) if datagram.len() > MAX_DATAGRAM_BYTES => {
             log::warn!(
                 target: "gossip",
-                "event=datagram_too_long bytes={} max_bytes={MAX_DATAGRAM}",
+                "event=datagram_too_long bytes={} max_bytes={MAX_DATAGRAM_BYTES}",
                 datagram.len()
             );
             None
@@ -349,7 +354,7 @@
     }
 }
 
-fn datagrams<W: Wire>(cx: &Cx<W>) -> Vec<(Vec<u8>, SocketAddr)> {
+fn roll_out_datagrams<W: Wire>(cx: &Cx<W>) -> Vec<(Vec<u8>, SocketAddr)> {
     let now = cx.now();
     let mut state = cx.state();
     let host = &cx.settings.host;
@@ -359,10 +364,10 @@
     });
     let mut nodes: Vec<_> = state.nodes.iter(now).collect();
     nodes.sort_by(|a, b| a.host.cmp(&b.host));
-    let judges = nodes.iter().take(JUDGES).any(|n| n.host == *host);
-    let reach = if judges { nodes.len() } else { JUDGES };
-    let others = |most: usize| {
-        let first = nodes.iter().take(most);
+    let is_judge = nodes.iter().take(JUDGES).any(|n| n.host == *host);
+    let recipient_count = if is_judge { nodes.len() } else { JUDGES };
+    let others = |limit: usize| {
+        let first = nodes.iter().take(limit);
         first.filter(|n| n.host != *host).map(|n| n.nodes)
     };
     let mut out = Vec::new();
@@ -370,7 +375,7 @@
         .into_iter()
         .filter_map(|r| encode(&Message::Report(r)))
     {
-        out.extend(others(reach).map(|to| (datagram.clone(), to)));
+        out.extend(others(recipient_count).map(|to| (datagram.clone(), to)));
     }
     for datagram in on_old
         .into_iter()
--- a/crates/oatdale-relay/src/loads.rs
+++ b/crates/oatdale-relay/src/loads.rs
@@ -25,11 +25,11 @@
 
 /// Aggregators per group. One would do; the second continues while the first is down and the other
 /// nodes have not noticed.
-pub(crate) const ADDERS: usize = 2;
+pub(crate) const AGGREGATORS_PER_GROUP: usize = 2;
 
 /// Minimum number of nodes in a sum that replaces the last one, as a fraction of that one's nodes:
 /// there are two aggregators, and one that has just taken the role has received few loads.
-const LEAST_PART: f64 = 0.8;
+const MIN_COVERAGE: f64 = 0.8;
 
 /// Load at one endpoint, encoded as a pair of numbers: field names would triple the datagram's
 /// size.
@@ -44,30 +44,30 @@
 
 /// Loads as last reported; determines what the next report contains.
 #[derive(Clone, Debug, Default)]
-struct Reported(BTreeMap<u32, u16>);
+struct LastReport(BTreeMap<u32, u16>);
 
 /// Sums up the loads reported by the nodes.
 #[derive(Clone, Debug, Default)]
 pub struct Adder {
     scheme: Scheme,
     /// Time of each node's last report, and its loads.
-    nodes: BTreeMap<SocketAddr, (Duration, Known)>,
-    reported: Reported,
+    nodes: BTreeMap<SocketAddr, (Duration, TimedLoads)>,
+    reported: LastReport,
 }
 
 /// Load sums as received from the aggregators.
 #[derive(Clone, Debug, Default)]
 pub struct Shared {
     scheme: Scheme,
-    own: Reported,
-    sums: Known,
+    own: LastReport,
+    sums: TimedLoads,
     /// When a sum was last accepted, and the number of nodes that it covers.
-    last: Option<(Duration, usize)>,
+    last_sum: Option<(Duration, usize)>,
 }
 
 /// Loads in requests by endpoint, each with the time at which it was received.
 #[derive(Clone, Debug, Default)]
-struct Known(BTreeMap<u32, (Duration, f64)>);
+struct TimedLoads(BTreeMap<u32, (Duration, f64)>);
 
 impl From<Load> for (u32, u16) {
     fn from(load: Load) -> Self {
@@ -81,18 +81,23 @@
     }
 }
 
-impl Reported {
+impl LastReport {
     /// Returns the next report of these loads, given in requests: those that are not zero, and
     /// zeros for those that were not zero in the last report.
-    fn next(&mut self, loads: impl Iterator<Item = (u32, f64)>) -> Vec<Load> {
+    fn next_report(&mut self, loads: impl Iterator<Item = (u32, f64)>) -> Vec<Load> {
         let loads = loads.map(|(endpoint, load)| (endpoint, tenths(load)));
-        let now: BTreeMap<u32, u16> = loads.filter(|(_, tenths)| *tenths > 0).collect();
-        let gone = self.0.keys().filter(|endpoint| !now.contains_key(endpoint));
-        let gone = gone.map(|endpoint| (*endpoint, 0));
-        let there = now.iter().map(|(endpoint, tenths)| (*endpoint, *tenths));
-        let told = there.chain(gone).map(Load::from).collect();
-        self.0 = now;
-        told
+        let current: BTreeMap<u32, u16> = loads.filter(|(_, tenths)| *tenths > 0).collect();
+        let zeroed = self
+            .0
+            .keys()
+            .filter(|endpoint| !current.contains_key(endpoint));
+        let zeroed = zeroed.map(|endpoint| (*endpoint, 0));
+        let nonzero = current
+            .iter()
+            .map(|(endpoint, tenths)| (*endpoint, *tenths));
+        let report = nonzero.chain(zeroed).map(Load::from).collect();
+        self.0 = current;
+        report
     }
 
     fn requests(&self, endpoint: u32) -> f64 {
@@ -109,22 +114,26 @@
     }
 
     /// Records a report of a node's loads.
-    pub fn take(&mut self, now: Duration, from: SocketAddr, loads: &[Load]) {
+    pub fn record_report(&mut self, now: Duration, from: SocketAddr, loads: &[Load]) {
         let (at, known) = self.nodes.entry(from).or_default();
         *at = now;
-        known.take(now, self.scheme.fresh(), loads);
+        known.record(now, self.scheme.validity(), loads);
     }
 
     /// Returns the number of nodes with recent reports, the sums of their loads and their
     /// addresses. Drops the other nodes.
     pub fn sum(&mut self, now: Duration) -> (usize, Vec<Load>, Vec<SocketAddr>) {
-        let fresh = self.scheme.fresh();
-        self.nodes.retain(|_, (at, _)| now < *at + fresh);
+        let validity = self.scheme.validity();
+        self.nodes.retain(|_, (at, _)| now < *at + validity);
         let mut sums: BTreeMap<u32, f64> = BTreeMap::new();
-        for (endpoint, load) in self.nodes.values().flat_map(|(_, k)| k.fresh(now, fresh)) {
+        for (endpoint, load) in self
+            .nodes
+            .values()
+            .flat_map(|(_, k)| k.recent(now, validity))
+        {
             *sums.entry(endpoint).or_default() += load;
         }
-        let loads = self.reported.next(sums.into_iter());
+        let loads = self.reported.next_report(sums.into_iter());
         let nodes = self.nodes.keys().copied().collect();
         (self.nodes.len(), loads, nodes)
     }
@@ -142,49 +151,54 @@
     }
 
     /// Returns the next report of this node's loads.
-    pub fn report(&mut self, own: impl Iterator<Item = (u32, f64)>) -> Vec<Load> {
-        self.own.next(own)
+    pub fn own_report(&mut self, own: impl Iterator<Item = (u32, f64)>) -> Vec<Load> {
+        self.own.next_report(own)
     }
 
     /// Records sums over `nodes` nodes, including this one.
-    pub fn take(&mut self, now: Duration, nodes: usize, sums: &[Load]) {
-        let last = self.last.filter(|(at, _)| now < *at + self.scheme.fresh());
-        if last.is_some_and(|(_, least)| (nodes as f64) < least as f64 * LEAST_PART) {
+    pub fn record_sums(&mut self, now: Duration, nodes: usize, sums: &[Load]) {
+        let last = self
+            .last_sum
+            .filter(|(at, _)| now < *at + self.scheme.validity());
+        if last.is_some_and(|(_, last_nodes)| (nodes as f64) < last_nodes as f64 * MIN_COVERAGE) {
             return;
         }
-        self.last = Some((now, nodes));
-        self.sums.take(now, self.scheme.fresh(), sums);
+        self.last_sum = Some((now, nodes));
+        self.sums.record(now, self.scheme.validity(), sums);
     }
 
     /// Returns the load of the other nodes at an endpoint, in requests; 0 if no recent sum has it.
-    pub fn others(&self, now: Duration, endpoint: u32) -> f64 {
-        let sum = self.sums.get(now, self.scheme.fresh(), endpoint);
+    pub fn other_nodes_load(&self, now: Duration, endpoint: u32) -> f64 {
+        let sum = self.sums.get(now, self.scheme.validity(), endpoint);
         (sum - self.own.requests(endpoint)).max(0.0)
     }
 
     /// Returns when sums were last accepted, if recently.
-    pub fn last_report(&self, now: Duration) -> Option<Duration> {
-        let (at, _) = self.last?;
-        (now < at + self.scheme.fresh()).then_some(at)
+    pub fn last_sum_at(&self, now: Duration) -> Option<Duration> {
+        let (at, _) = self.last_sum?;
+        (now < at + self.scheme.validity()).then_some(at)
     }
 }
 
-impl Known {
-    fn take(&mut self, now: Duration, fresh: Duration, loads: &[Load]) {
-        let told = loads
+impl TimedLoads {
+    fn record(&mut self, now: Duration, validity: Duration, loads: &[Load]) {
+        let received = loads
             .iter()
             .map(|l| (l.endpoint, (now, f64::from(l.tenths) / 10.0)));
-        self.0.extend(told);
-        self.0.retain(|_, (at, _)| now < *at + fresh);
+        self.0.extend(received);
+        self.0.retain(|_, (at, _)| now < *at + validity);
     }
 
-    fn get(&self, now: Duration, fresh: Duration, endpoint: u32) -> f64 {
-        let known = self.0.get(&endpoint).filter(|(at, _)| now < *at + fresh);
+    fn get(&self, now: Duration, validity: Duration, endpoint: u32) -> f64 {
+        let known = self.0.get(&endpoint).filter(|(at, _)| now < *at + validity);
         known.map_or(0.0, |(_, load)| *load)
     }
 
-    fn fresh(&self, now: Duration, fresh: Duration) -> impl Iterator<Item = (u32, f64)> {
-        let known = self.0.iter().filter(move |(_, (at, _))| now < *at + fresh);
+    fn recent(&self, now: Duration, validity: Duration) -> impl Iterator<Item = (u32, f64)> {
+        let known = self
+            .0
+            .iter()
+            .filter(move |(_, (at, _))| now < *at + validity);
         known.map(|(endpoint, (_, load))| (*endpoint, *load))
     }
 }
--- a/crates/oatdale-relay/src/loads/scheme.rs
+++ b/crates/oatdale-relay/src/loads/scheme.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 /// How long a report is valid, as a multiple of the report interval: some reports may be lost.
-const FRESH: u32 = 4;
+const VALIDITY_INTERVALS: u32 = 4;
 
 /// Shortest report interval: an engine of a busy site gets about two requests in it.
-const EVERY: Duration = Duration::from_millis(250);
+const MIN_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Nodes times endpoints per group. An aggregator of that size sends 150 kB/s, about a tenth of a
 /// 10 Mbit/s link.
@@ -15,7 +15,7 @@
 /// Number of groups up to which reports are sent every quarter of a second. Per group, a node sends
 /// and receives eight datagrams a second, so 128 each way for 16 groups: fewer than the
 /// announcements of long prompts at such a size.
-const MOST_GROUPS: usize = 16;
+const MAX_FAST_GROUPS: usize = 16;
 
 /// Aggregation scheme for a site of a given size.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -24,7 +24,7 @@
     /// of nodes and endpoints differ slightly mostly agree.
     pub groups: u32,
     /// Report interval.
-    pub every: Duration,
+    pub interval: Duration,
 }
 
 impl Scheme {
@@ -32,10 +32,10 @@
     pub fn new(nodes: usize, endpoints: usize) -> Self {
         let groups = (nodes * endpoints / GROUP_SIZE).max(1).ilog2();
         let groups = 1_usize << groups;
-        let slower = (groups / MOST_GROUPS).max(1);
+        let interval_factor = (groups / MAX_FAST_GROUPS).max(1);
         Scheme {
             groups: u32::try_from(groups).unwrap_or(u32::MAX),
-            every: EVERY * u32::try_from(slower).unwrap_or(u32::MAX),
+            interval: MIN_INTERVAL * u32::try_from(interval_factor).unwrap_or(u32::MAX),
         }
     }
 
@@ -45,8 +45,8 @@
     }
 
     /// Returns how long a report is valid.
-    pub(crate) fn fresh(&self) -> Duration {
-        self.every * FRESH
+    pub(crate) fn validity(&self) -> Duration {
+        self.interval * VALIDITY_INTERVALS
     }
 }
 
--- a/crates/oatdale-relay/src/nodes.rs
+++ b/crates/oatdale-relay/src/nodes.rs
@@ -6,21 +6,21 @@
 
 /// Grace period after the key-value service recovers in which a node may still be missing because
 /// its lease expired meanwhile: it writes its record again with its next renewal.
-const RETURN_GRACE: Duration = Duration::from_millis(3_000);
+const RECOVERY_GRACE: Duration = Duration::from_millis(3_000);
 
 /// All known nodes.
 #[derive(Debug, Default)]
 pub(crate) struct Nodes {
-    nodes: BTreeMap<String, Known>,
+    nodes: BTreeMap<String, KnownNode>,
     /// Until when missing nodes are kept; `None` unless there was an outage.
     grace: Option<Duration>,
     /// Nodes that announced their leaving, and until when that applies: the next process on the
     /// host has the same name.
-    left: BTreeMap<String, Duration>,
+    leaving: BTreeMap<String, Duration>,
 }
 
 #[derive(Debug)]
-struct Known {
+struct KnownNode {
     node: Node,
     until: Option<Duration>,
 }
@@ -36,7 +36,7 @@
             known.until = known.until.or(Some(grace.unwrap_or(now)));
         }
         for node in all {
-            let known = Known {
+            let known = KnownNode {
                 node: node.clone(),
                 until: None,
             };
@@ -50,16 +50,16 @@
     ///
     /// While the key-value service is unavailable, a stopping node can't delete its record. Callers
     /// would be given its address until it is gone, and their late requests would be refused.
-    pub(crate) fn leave(&mut self, until: Duration, host: &str) {
-        self.left.insert(host.to_owned(), until);
+    pub(crate) fn mark_node_leaving(&mut self, until: Duration, host: &str) {
+        self.leaving.insert(host.to_owned(), until);
     }
 
-    pub(crate) fn store_lost(&mut self) {
+    pub(crate) fn mark_store_unavailable(&mut self) {
         self.grace = Some(Duration::MAX);
     }
 
-    pub(crate) fn store_back(&mut self, now: Duration) {
-        self.grace = self.grace.map(|_| now + RETURN_GRACE);
+    pub(crate) fn mark_store_available(&mut self, now: Duration) {
+        self.grace = self.grace.map(|_| now + RECOVERY_GRACE);
     }
 
     /// Replaces all nodes by those of a peer that the key-value service answers.
@@ -67,7 +67,7 @@
     /// Nodes missing there are gone, although this node can't verify that itself. Otherwise, while
     /// cut off, it would keep giving callers the addresses of hosts that lost power, and they would
     /// try these in vain.
-    pub(crate) fn replace_as_told(&mut self, now: Duration, all: Vec<Node>) {
+    pub(crate) fn replace_from_peer(&mut self, now: Duration, all: Vec<Node>) {
         let grace = self.grace.take();
         self.replace(now, all);
         self.grace = grace;
@@ -75,11 +75,11 @@
 
     /// Returns the nodes that run or may run, by name.
     pub(crate) fn iter(&self, now: Duration) -> impl Iterator<Item = &Node> {
-        let left = move |host: &str| self.left.get(host).is_some_and(|until| *until > now);
+        let is_leaving = move |host: &str| self.leaving.get(host).is_some_and(|until| *until > now);
         self.nodes
             .values()
             .filter(move |k| k.until.is_none_or(|until| until > now))
             .map(|k| &k.node)
-            .filter(move |node| !left(&node.host))
+            .filter(move |node| !is_leaving(&node.host))
     }
 }
--- a/crates/oatdale-relay/src/peers.rs
+++ b/crates/oatdale-relay/src/peers.rs
@@ -29,30 +29,30 @@
 
 /// Polling interval. Endpoints that leave must get no new requests two seconds later, and the
 /// polled node learns of their leaving within one.
-const ASK_EVERY: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How long the key-value service may be silent before peers are polled: after most failed calls it
 /// answers again at once.
-const PATIENCE: Duration = Duration::from_millis(700);
+const STORE_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Timeout for the head of a response and for each pause in its body: nodes are a few milliseconds
 /// apart.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Maximum size of a response, in bytes: several times the largest value in the key-value service.
-const MAX_ANSWER: usize = 8 << 20;
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-const PATH: &str = "/v1/state";
+const STATE_PATH: &str = "/v1/state";
 
 /// Serves this node's state to other nodes.
 pub(crate) async fn serve<W: Wire>(cx: Arc<Cx<W>>, records: Arc<Replica>, listener: TcpListener) {
     serve_with(listener, move |req| {
-        answer(cx.clone(), records.clone(), req)
+        handle(cx.clone(), records.clone(), req)
     })
     .await;
 }
 
-async fn answer<W: Wire>(
+async fn handle<W: Wire>(
     cx: Arc<Cx<W>>,
     records: Arc<Replica>,
     req: Request<Incoming>,
@@ -66,7 +66,7 @@
     let after = req.uri().query().and_then(|q| q.strip_prefix("after="));
     let after = after.and_then(|version| version.parse().ok());
     let res = match (req.uri().path(), after) {
-        (PATH, Some(after)) => match snapshot(&cx, after).encode() {
+        (STATE_PATH, Some(after)) => match snapshot(&cx, after).encode() {
             Ok(body) => plain(StatusCode::OK, body),
             Err(err) => {
                 log::warn!(target: "peers", "event=encode_failed err={err}");
@@ -85,7 +85,7 @@
     let host = &cx.settings.host;
     let site = state.site.as_deref().filter(|site| site.version > after);
     Snapshot {
-        is_current: state.store_lost.is_none(),
+        is_current: state.store_unavailable_since.is_none(),
         site: site.map(Into::into),
         endpoints: state.directory.iter(now).cloned().collect(),
         evacuated: state.directory.evacuated().cloned(),
@@ -105,26 +105,26 @@
 /// Polls other nodes while the key-value service does not answer this one.
 pub(crate) async fn follow<W: Wire>(cx: Arc<Cx<W>>) {
     loop {
-        sleep(ASK_EVERY).await;
-        let lost = cx.state().store_lost;
-        if lost.is_none_or(|since| cx.now() < since + PATIENCE) {
+        sleep(POLL_INTERVAL).await;
+        let unavailable_since = cx.state().store_unavailable_since;
+        if unavailable_since.is_none_or(|since| cx.now() < since + STORE_TIMEOUT) {
             continue;
         }
-        let Some(peer) = pick(&cx) else {
+        let Some(peer) = pick_peer(&cx) else {
             continue;
         };
-        match ask(&cx, peer).await {
-            Ok(snapshot) => take(&cx, peer, snapshot),
+        match fetch_snapshot(&cx, peer).await {
+            Ok(snapshot) => apply_snapshot(&cx, peer, snapshot),
             Err(reason) => {
                 log::info!(target: "peers", "event=peer_failed peer={peer} reason={reason:?}");
-                cx.state().directory.store_lost();
+                cx.state().directory.mark_store_unavailable();
             }
         }
     }
 }
 
 /// Picks a known node or a seed at random.
-fn pick<W: Wire>(cx: &Cx<W>) -> Option<SocketAddr> {
+fn pick_peer<W: Wire>(cx: &Cx<W>) -> Option<SocketAddr> {
     let now = cx.now();
     let own = cx.settings.listen.state;
     let state = cx.state();
@@ -133,15 +133,16 @@
     all.filter(|addr| *addr != own).choose(&mut rand::rng())
 }
 
-async fn ask<W: Wire>(cx: &Cx<W>, peer: SocketAddr) -> Result<Snapshot, String> {
+async fn fetch_snapshot<W: Wire>(cx: &Cx<W>, peer: SocketAddr) -> Result<Snapshot, String> {
     let version = cx.site().map_or(0, |site| site.version);
-    let uri = Uri::try_from(format!("{PATH}?after={version}")).map_err(|err| err.to_string())?;
+    let uri =
+        Uri::try_from(format!("{STATE_PATH}?after={version}")).map_err(|err| err.to_string())?;
     let mut req = Request::new(Full::default());
     *req.uri_mut() = uri;
-    let deadline = Instant::now() + ANSWER_TIMEOUT;
+    let deadline = Instant::now() + RESPONSE_TIMEOUT;
     let sent = cx.pool.send(peer, req, Reuse::Allowed, deadline).await;
     let res = sent.map_err(|err| err.to_string())?;
-    let body = read_body(res.into_body(), MAX_ANSWER, ANSWER_TIMEOUT).await;
+    let body = read_body(res.into_body(), MAX_RESPONSE_BYTES, RESPONSE_TIMEOUT).await;
     let body = body.map_err(|err| err.to_string())?;
     Snapshot::decode(&body).map_err(|err| err.to_string())
 }
@@ -151,12 +152,12 @@
 /// If the key-value service answers the peer, endpoints missing from the snapshot have left.
 /// Otherwise their entries may have expired with the service, and the endpoints are used only by a
 /// node that knows none.
-fn take<W: Wire>(cx: &Cx<W>, peer: SocketAddr, snapshot: Snapshot) {
+fn apply_snapshot<W: Wire>(cx: &Cx<W>, peer: SocketAddr, snapshot: Snapshot) {
     let now = cx.now();
     let mut guard = cx.state();
     let state = &mut *guard;
     // The service's own updates take precedence: it may have recovered during the request.
-    if state.store_lost.is_none() {
+    if state.store_unavailable_since.is_none() {
         return;
     }
     log::info!(
@@ -166,8 +167,8 @@
         snapshot.endpoints.len(), snapshot.nodes.len()
     );
     match snapshot.is_current {
-        true => state.directory.store_back(now),
-        false => state.directory.store_lost(),
+        true => state.directory.mark_store_available(now),
+        false => state.directory.mark_store_unavailable(),
     }
     for request in snapshot.quarantined {
         crashes::take(cx, state, Fingerprint(request), true);
@@ -180,15 +181,15 @@
     // Applied before the configuration: a node that gets its first one serves at once.
     match snapshot.evacuated {
         Some(domains) if snapshot.is_current || state.directory.evacuated().is_none() => {
-            cx.take_evacuated(state, domains);
+            cx.apply_evacuated(state, domains);
         }
         _ => {}
     }
     if snapshot.is_current || state.nodes.iter(now).next().is_none() {
-        state.nodes.replace_as_told(now, snapshot.nodes);
+        state.nodes.replace_from_peer(now, snapshot.nodes);
     }
     if let Some(site) = snapshot.site {
-        cx.take_site(state, Arc::new(site.into()));
+        cx.apply_site(state, Arc::new(site.into()));
     }
     for roll_out in snapshot.ended {
         state.roll_outs.update(now, roll_out);
--- a/crates/oatdale-relay/src/state.rs
+++ b/crates/oatdale-relay/src/state.rs
@@ -15,23 +15,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
-use warm_up::has_room;
+use warm_up::has_capacity;
 
 /// Part of the site's retry budget that nodes plan to use. The rest covers that nodes count
 /// independently, and that restarted nodes do not know of their earlier retries.
-const REPEAT_SHARE: f64 = 0.85;
+const PLANNED_RETRY_SHARE: f64 = 0.85;
 
 /// Minimum number of nodes that share the budget beyond the ratio: a starting node does not know
 /// the others yet.
-const LEAST_NODES: usize = 4;
+const MIN_BUDGET_NODES: usize = 4;
 
 /// Minimum number of endpoints of a new version that a trial uses: only the others tell whether one
 /// slow or failing endpoint is at fault by itself or the version is.
-const LEAST_TRIED: usize = 3;
+const MIN_TRIAL_ENDPOINTS: usize = 3;
 
 /// Number of responses over which the wait at the largest models is averaged: a few seconds of one
 /// node's traffic.
-const WAIT_MEMORY: f64 = 12.0;
+const WAIT_MEAN_RESPONSES: f64 = 12.0;
 
 /// State of the relay, as learned from the platform and from responses.
 pub(crate) struct State {
@@ -47,26 +47,26 @@
     pub(crate) roll_outs: RollOuts,
     pub(crate) nodes: Nodes,
     /// Sums up the loads reported by other nodes.
-    pub(crate) adder: Adder,
+    pub(crate) load_aggregator: Adder,
     /// Load of all nodes together at each endpoint.
-    pub(crate) shared: Shared,
-    repeats: HashMap<String, Repeats>,
+    pub(crate) load_sums: Shared,
+    retry_counts: HashMap<String, Repeats>,
     /// Mean wait at the largest models, as a fraction of their target latency, by service.
-    waits: HashMap<String, Mean>,
+    largest_model_waits: HashMap<String, Mean>,
     /// Mean generation size by route.
-    sizes: HashMap<String, Mean>,
+    generation_sizes: HashMap<String, Mean>,
     /// When this node was told to stop, if it was.
     pub(crate) stopping: Option<Instant>,
     /// Whether this node reads the platform's records only for itself.
     pub(crate) reads_alone: bool,
     /// Since when the key-value service has not answered this node, if it does not.
-    pub(crate) store_lost: Option<Duration>,
+    pub(crate) store_unavailable_since: Option<Duration>,
     /// Since when the other nodes have known this one.
-    known_since: Duration,
+    listed_since: Duration,
 }
 
 /// Number of requests over which a route's mean generation size is averaged.
-const SIZE_MEMORY: f64 = 200.0;
+const SIZE_MEAN_REQUESTS: f64 = 200.0;
 
 /// Inputs for placing a request.
 #[derive(Clone, Copy, Debug)]
@@ -93,61 +93,65 @@
             unrecorded: Unrecorded::default(),
             roll_outs: RollOuts::default(),
             nodes: Nodes::default(),
-            adder: Adder::default(),
-            shared: Shared::default(),
-            repeats: HashMap::new(),
-            waits: HashMap::new(),
-            sizes: HashMap::new(),
+            load_aggregator: Adder::default(),
+            load_sums: Shared::default(),
+            retry_counts: HashMap::new(),
+            largest_model_waits: HashMap::new(),
+            generation_sizes: HashMap::new(),
             stopping: None,
             reads_alone: true,
             // The service counts as unavailable until it has answered once.
-            store_lost: Some(Duration::ZERO),
-            known_since: Duration::ZERO,
+            store_unavailable_since: Some(Duration::ZERO),
+            listed_since: Duration::ZERO,
         }
     }
 
     /// Returns this node's part of the site's retry budget.
-    pub(crate) fn allowance(&self, now: Duration) -> Allowance {
-        let nodes = self.nodes.iter(now).count().max(LEAST_NODES);
+    pub(crate) fn retry_budget(&self, now: Duration) -> Allowance {
+        let nodes = self.nodes.iter(now).count().max(MIN_BUDGET_NODES);
         Allowance {
             window: self.bounds.repeat_window(),
-            ratio: self.bounds.repeat_ratio * REPEAT_SHARE,
-            slack: (self.bounds.repeat_slack * REPEAT_SHARE / nodes as f64).max(1.0),
+            ratio: self.bounds.repeat_ratio * PLANNED_RETRY_SHARE,
+            slack: (self.bounds.repeat_slack * PLANNED_RETRY_SHARE / nodes as f64).max(1.0),
         }
     }
 
     /// Returns the counts of requests and retries of a service at this node.
-    pub(crate) fn repeats(&mut self, service: &str) -> &mut Repeats {
-        self.repeats.entry(service.to_owned()).or_default()
+    pub(crate) fn retry_counts(&mut self, service: &str) -> &mut Repeats {
+        self.retry_counts.entry(service.to_owned()).or_default()
     }
 
     /// Records how long a largest model let a request wait, as a fraction of its target latency.
-    pub(crate) fn note_wait(&mut self, service: &str, part: f64) {
-        let mean = self.waits.entry(service.to_owned());
-        mean.or_insert_with(|| Mean::new(WAIT_MEMORY)).add(part);
+    pub(crate) fn note_wait(&mut self, service: &str, fraction: f64) {
+        let mean = self.largest_model_waits.entry(service.to_owned());
+        mean.or_insert_with(|| Mean::new(WAIT_MEAN_RESPONSES))
+            .add(fraction);
     }
 
     /// Drops statistics of routes that the configuration no longer has.
-    pub(crate) fn keep_routes(&mut self, site: &Site) {
+    pub(crate) fn retain_routes(&mut self, site: &Site) {
         let names: HashSet<_> = site.routes.iter().map(|r| r.name.as_str()).collect();
-        self.sizes.retain(|name, _| names.contains(name.as_str()));
+        self.generation_sizes
+            .retain(|name, _| names.contains(name.as_str()));
     }
 
     /// Records the size of a generation and returns it as a multiple of its route's mean.
     pub(crate) fn relative_size(&mut self, route: &str, size: f64) -> f64 {
-        let mean = self.sizes.entry(route.to_owned());
-        let mean = mean.or_insert_with(|| Mean::new(SIZE_MEMORY));
+        let mean = self.generation_sizes.entry(route.to_owned());
+        let mean = mean.or_insert_with(|| Mean::new(SIZE_MEAN_REQUESTS));
         mean.add(size);
         size / mean.get_or(size).max(1.0)
     }
 
     /// Returns the recent mean wait at the largest models, as a fraction of their target latency.
     pub(crate) fn wait(&self, service: &str) -> f64 {
-        self.waits.get(service).map_or(0.0, |mean| mean.get_or(0.0))
+        self.largest_model_waits
+            .get(service)
+            .map_or(0.0, |mean| mean.get_or(0.0))
     }
 
     /// Picks the endpoint for a request; also returns the number of candidates.
-    pub(crate) fn pick(
+    pub(crate) fn pick_endpoint(
         &self,
         now: Duration,
         wanted: &Wanted<'_>,
@@ -157,11 +161,15 @@
         let all: Vec<_> = usable
             .filter(|(key, _)| !wanted.tried.contains(key))
             .collect();
-        let listed = self.with_room(now, wanted, &all);
+        let eligible = self.filter_by_capacity(now, wanted, &all);
         // Ejected endpoints are used only when there is no other.
-        let awake = kept(&listed, |e| !e.health.is_ejected(now));
-        let listed = if awake.is_empty() { listed } else { awake };
-        let candidates: Vec<Candidate> = listed
+        let healthy = filter_entries(&eligible, |e| !e.health.is_ejected(now));
+        let eligible = if healthy.is_empty() {
+            eligible
+        } else {
+            healthy
+        };
+        let candidates: Vec<Candidate> = eligible
             .iter()
             .map(|(_, e)| Candidate {
                 in_flight: (self.load(now, wanted, e) + 0.1) * e.health.load_factor(),
@@ -175,29 +183,29 @@
             None => Placement::Load,
         };
         let at = choose(&candidates, placement, rand::random())?;
-        Some((listed[at].0, candidates.len()))
+        Some((eligible[at].0, candidates.len()))
     }
 }
 
 impl State {
     /// Returns the endpoints whose version the request may use, without cold ones for which this
     /// node's share is used up.
-    fn with_room<'a>(
+    fn filter_by_capacity<'a>(
         &self,
         now: Duration,
         wanted: &Wanted<'_>,
-        all: &[Listed<'a>],
-    ) -> Vec<Listed<'a>> {
-        let listed = of_version(now, wanted.allowed, all);
+        all: &[KeyedEntry<'a>],
+    ) -> Vec<KeyedEntry<'a>> {
+        let eligible = filter_by_version(now, wanted.allowed, all);
         let Some(time) = self.cold_time(wanted.service) else {
-            return listed;
+            return eligible;
         };
-        let room = kept(&listed, |e| has_room(now, e, time));
+        let available = filter_entries(&eligible, |e| has_capacity(now, e, time));
         match wanted.allowed {
-            Allowed::Trial { version, .. } if room.is_empty() => kept(all, |e| {
-                e.endpoint.version != *version && has_room(now, e, time)
+            Allowed::Trial { version, .. } if available.is_empty() => filter_entries(all, |e| {
+                e.endpoint.version != *version && has_capacity(now, e, time)
             }),
-            _ => room,
+            _ => available,
         }
     }
 
@@ -208,10 +216,11 @@
     /// next sums arrive. Prompts stay with the engine that has their prefix cached, and use the
     /// sums to move to another one when it is overloaded.
     fn load(&self, now: Duration, wanted: &Wanted<'_>, entry: &Entry) -> f64 {
-        match (wanted.prefix, self.shared.last_report(now)) {
-            (Some(_), Some(heard)) => {
-                let summed = heard.saturating_sub(2 * self.shared.scheme().every);
-                entry.known_load(now, Some(summed)) + self.shared.others(now, entry.number)
+        match (wanted.prefix, self.load_sums.last_sum_at(now)) {
+            (Some(_), Some(last_sum)) => {
+                let summed_until = last_sum.saturating_sub(2 * self.load_sums.scheme().interval);
+                entry.known_load(now, Some(summed_until))
+                    + self.load_sums.other_nodes_load(now, entry.number)
             }
             _ => entry.known_load(now, None),
         }
@@ -219,15 +228,19 @@
 }
 
 /// Endpoint considered for a request.
-type Listed<'a> = (EndpointKey, &'a Entry);
+type KeyedEntry<'a> = (EndpointKey, &'a Entry);
 
 /// Returns the endpoints whose version the request may use.
-fn of_version<'a>(now: Duration, allowed: &Allowed, all: &[Listed<'a>]) -> Vec<Listed<'a>> {
-    let is = |version: &str, e: &Entry| e.endpoint.version == version;
+fn filter_by_version<'a>(
+    now: Duration,
+    allowed: &Allowed,
+    all: &[KeyedEntry<'a>],
+) -> Vec<KeyedEntry<'a>> {
+    let is_version = |version: &str, e: &Entry| e.endpoint.version == version;
     match allowed {
         Allowed::All => all.to_vec(),
-        Allowed::Not(version) => kept(all, |e| !is(version, e)),
-        Allowed::Prefer(version) => match kept(all, |e| is(version, e)) {
+        Allowed::Not(version) => filter_entries(all, |e| !is_version(version, e)),
+        Allowed::Prefer(version) => match filter_entries(all, |e| is_version(version, e)) {
             preferred if preferred.is_empty() => all.to_vec(),
             preferred => preferred,
         },
@@ -236,20 +249,24 @@
             seed,
             share,
         } => {
-            let mut new = kept(all, |e| is(version, e) && !e.health.is_ejected(now));
-            new.sort_by_key(|(_, e)| hash(&(seed, &e.endpoint.id)));
-            let part = (share * new.len() as f64).ceil() as usize;
-            new.truncate(part.max(LEAST_TRIED));
-            match new.is_empty() {
-                true => kept(all, |e| !is(version, e)),
-                false => new,
+            let mut trial_endpoints =
+                filter_entries(all, |e| is_version(version, e) && !e.health.is_ejected(now));
+            trial_endpoints.sort_by_key(|(_, e)| hash(&(seed, &e.endpoint.id)));
+            let sample_size = (share * trial_endpoints.len() as f64).ceil() as usize;
+            trial_endpoints.truncate(sample_size.max(MIN_TRIAL_ENDPOINTS));
+            match trial_endpoints.is_empty() {
+                true => filter_entries(all, |e| !is_version(version, e)),
+                false => trial_endpoints,
             }
         }
     }
 }
 
-fn kept<'a>(all: &[Listed<'a>], keep: impl Fn(&Entry) -> bool) -> Vec<Listed<'a>> {
-    all.iter().filter(|(_, e)| keep(e)).copied().collect()
+fn filter_entries<'a>(
+    all: &[KeyedEntry<'a>],
+    predicate: impl Fn(&Entry) -> bool,
+) -> Vec<KeyedEntry<'a>> {
+    all.iter().filter(|(_, e)| predicate(e)).copied().collect()
 }
 
 /// Returns a hash that is the same on every node.
--- a/crates/oatdale-relay/tests/directory.rs
+++ b/crates/oatdale-relay/tests/directory.rs
@@ -18,7 +18,7 @@
     }
 }
 
-fn started(id: &str, born: u64) -> Endpoint {
+fn started_at(id: &str, born: u64) -> Endpoint {
     Endpoint {
         born: Some(born),
         ..endpoint(id)
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_missing_entry_in_steady_times_is_a_leaving_endpoint() {
+fn missing_entry_without_an_outage_removes_the_endpoint() {
     let mut directory = Directory::default();
     directory.replace(ms(0), vec![endpoint("x"), endpoint("y")]);
     directory.remove(ms(100), "x");
@@ -47,11 +47,11 @@
 // All entries expire during an outage of the key-value service. If they were removed on its
 // recovery, every request would be refused until they are rewritten.
 #[test]
-fn entries_that_lapsed_in_an_outage_may_come_back() {
+fn entries_that_expired_in_an_outage_stay_usable_in_the_grace_period() {
     let mut directory = Directory::default();
     directory.replace(ms(0), vec![endpoint("x"), endpoint("y")]);
-    directory.store_lost();
-    directory.store_back(ms(5_000));
+    directory.mark_store_unavailable();
+    directory.mark_store_available(ms(5_000));
     directory.replace(ms(5_000), Vec::new());
     assert_eq!(usable(&directory, ms(5_100)), ["x", "y"]);
     directory.upsert(ms(6_000), endpoint("y"));
@@ -65,7 +65,7 @@
 // Guards against new requests to a leaving endpoint: a node reads an older record after it learned
 // of the leaving.
 #[test]
-fn an_endpoint_that_leaves_never_comes_back_under_its_id() {
+fn leaving_endpoint_stays_unusable_after_an_older_record() {
     let mut directory = Directory::default();
     directory.upsert(ms(0), endpoint("x"));
     let leaving = Endpoint {
@@ -79,7 +79,7 @@
 
 // Guards against unbounded growth of the directory: endpoints are replaced all day.
 #[test]
-fn endpoints_that_are_long_gone_are_forgotten() {
+fn long_removed_endpoints_are_evicted() {
     let mut directory = Directory::default();
     for n in 0..1_000_u64 {
         let id = format!("e{n}");
@@ -88,21 +88,21 @@
     }
     assert_eq!(directory.len(), 0);
     assert!(
-        directory.known() < 100,
+        directory.tracked_len() < 100,
         "{} endpoints in memory, less than 100 expected",
-        directory.known()
+        directory.tracked_len()
     );
 }
 
 // A long prompt that another node sent blocks the endpoint for about a second. This node must count
 // it as load exactly until it is read.
 #[test]
-fn long_prompts_of_other_nodes_count_until_they_are_read() {
+fn long_prompts_of_other_nodes_count_as_load_until_read() {
     let mut directory = Directory::default();
     directory.upsert(ms(0), endpoint("x"));
     let entry = directory.by_id_mut("x").unwrap();
-    entry.add_others(ms(100), ms(1_000), 5.0);
-    entry.add_others(ms(200), ms(400), 2.0);
+    entry.add_remote_prompt(ms(100), ms(1_000), 5.0);
+    entry.add_remote_prompt(ms(200), ms(400), 2.0);
     let loads = [150, 300, 700, 1_200].map(|now| entry.known_load(ms(now), None));
     assert_eq!(loads, [7.0, 7.0, 5.0, 0.0]);
     // Load sums computed after the first prompt was announced already include it.
@@ -113,18 +113,18 @@
 // An endpoint announces its leaving, crashes, and restarts under its id. It must get requests
 // again, without the failures and load recorded for its earlier start.
 #[test]
-fn an_endpoint_that_starts_again_begins_anew() {
+fn restarted_endpoint_inherits_nothing_from_its_earlier_start() {
     let mut directory = Directory::default();
-    directory.upsert(ms(0), started("x", 1_000));
+    directory.upsert(ms(0), started_at("x", 1_000));
     let entry = directory.by_id_mut("x").unwrap();
     entry.load = 7.0;
     entry.health.silent(ms(0));
     let leaving = Endpoint {
         leaving: true,
-        ..started("x", 1_000)
+        ..started_at("x", 1_000)
     };
     assert_eq!(directory.upsert(ms(10), leaving), News::Leaves);
-    let again = directory.upsert(ms(20), started("x", 2_000));
+    let again = directory.upsert(ms(20), started_at("x", 2_000));
     assert_eq!(again, News::StartedAgain("10.0.0.1:80".parse().unwrap()));
     assert_eq!(usable(&directory, ms(20)), ["x"]);
     assert_eq!(directory.len(), 1);
@@ -136,20 +136,20 @@
 // A record of an earlier start arrives, directly or from another node, after the endpoint has
 // restarted. It must not end the new start or bring back the earlier one.
 #[test]
-fn what_comes_late_of_an_earlier_start_changes_nothing() {
+fn late_records_of_an_earlier_start_are_ignored() {
     let mut directory = Directory::default();
-    directory.upsert(ms(0), started("x", 2_000));
+    directory.upsert(ms(0), started_at("x", 2_000));
     let leaving = Endpoint {
         leaving: true,
         version: "v0".to_owned(),
-        ..started("x", 1_000)
+        ..started_at("x", 1_000)
     };
     assert_eq!(directory.upsert(ms(10), leaving.clone()), News::None);
-    assert!(!directory.leaves("x", leaving.born));
-    assert!(!directory.remove_start(ms(20), "x", leaving.born));
-    assert!(!directory.remove_start(ms(20), "x", None));
+    assert!(!directory.mark_leaving("x", leaving.born));
+    assert!(!directory.remove_incarnation(ms(20), "x", leaving.born));
+    assert!(!directory.remove_incarnation(ms(20), "x", None));
     assert_eq!(usable(&directory, ms(20)), ["x"]);
-    assert!(directory.leaves("x", Some(2_000)));
+    assert!(directory.mark_leaving("x", Some(2_000)));
     assert!(usable(&directory, ms(30)).is_empty());
     // A record without a start time is not of a later start either.
     directory.upsert(ms(40), endpoint("x"));
@@ -159,9 +159,9 @@
 // Guards against a back-off that applies to a new start of its endpoint, or that a shorter one cuts
 // off.
 #[test]
-fn a_pause_holds_for_one_start_of_an_endpoint() {
+fn back_off_applies_to_one_start_of_an_endpoint() {
     let mut directory = Directory::default();
-    directory.replace(ms(0), vec![started("x", 1)]);
+    directory.replace(ms(0), vec![started_at("x", 1)]);
     assert_eq!(directory.pause_left(ms(0), "pool"), None);
     directory.by_id_mut("x").unwrap().pause(ms(0), ms(500));
     directory.by_id_mut("x").unwrap().pause(ms(100), ms(100));
@@ -169,29 +169,29 @@
     assert_eq!(directory.pause_left(ms(200), "pool"), Some(ms(300)));
     assert_eq!(usable(&directory, ms(500)), ["x"]);
     directory.by_id_mut("x").unwrap().pause(ms(500), ms(500));
-    directory.upsert(ms(600), started("x", 2));
+    directory.upsert(ms(600), started_at("x", 2));
     assert_eq!(usable(&directory, ms(600)), ["x"]);
 }
 
 // Guards against sending callers away for the back-off of one endpoint while another one takes
 // requests, or for that of a leaving endpoint.
 #[test]
-fn the_first_endpoint_that_takes_requests_counts() {
+fn pause_left_is_that_of_the_first_available_endpoint() {
     let mut directory = Directory::default();
     directory.replace(ms(0), vec![endpoint("x"), endpoint("y"), endpoint("z")]);
     directory.by_id_mut("x").unwrap().pause(ms(0), ms(500));
     directory.by_id_mut("y").unwrap().pause(ms(0), ms(900));
     assert_eq!(directory.pause_left(ms(0), "pool"), None);
-    directory.leaves("z", None);
+    directory.mark_leaving("z", None);
     assert_eq!(directory.pause_left(ms(0), "pool"), Some(ms(500)));
-    directory.leaves("x", None);
+    directory.mark_leaving("x", None);
     assert_eq!(directory.pause_left(ms(0), "pool"), Some(ms(900)));
     assert_eq!(directory.pause_left(ms(0), "desk"), None);
 }
 
 // Guards against a panic on overflow: records of endpoints also come unchecked from other nodes.
 #[test]
-fn an_endpoint_may_be_cold_for_any_time() {
+fn longest_cold_time_does_not_overflow() {
     let mut directory = Directory::default();
     let cold = Endpoint {
         cold_left: Some(Duration::MAX),
@@ -206,7 +206,7 @@
 // Guards against requests to a domain that operators evacuated, and against treating its endpoints
 // as removed.
 #[test]
-fn an_evacuated_domain_is_left_out_until_it_is_taken_back() {
+fn evacuated_domain_gets_no_requests_until_the_evacuation_is_lifted() {
     let mut directory = Directory::default();
     let far = Endpoint {
         domain: "b".to_owned(),
--- a/crates/oatdale-relay/tests/placement_spec.rs
+++ b/crates/oatdale-relay/tests/placement_spec.rs
@@ -21,20 +21,20 @@
 
 /// Fault injected into a model.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Break {
-    Nothing,
+enum Fault {
+    Absent,
     /// A node serves before it has read whether a domain is evacuated.
-    ServesUnread,
+    ServesBeforeReading,
     /// A node that reconnects does not read the changes it missed.
-    MissesChanges,
+    SkipsMissedChanges,
     /// The directory is not consulted.
     IgnoresOrders,
     /// Each node uses an endpoint's whole request rate as its share.
-    NoShares,
+    NoSharing,
     /// A node that has just started has a share.
-    NoSettling,
+    NoSettleTime,
     /// A node that is cut off keeps its share.
-    SendsWhileLost,
+    SendsWhileCutOff,
 }
 
 /// Node that follows the evacuation orders of one domain.
@@ -43,26 +43,26 @@
     /// The order that it has read; `None` if none yet.
     known: Option<bool>,
     /// For how many ticks it has been connected; `None` while it is cut off.
-    connected: Option<u8>,
+    connected_ticks: Option<u8>,
     /// For how many of these ticks it has missed the last change.
-    late: u8,
+    late_ticks: u8,
     /// Whether it reads missed changes.
-    reads: bool,
+    reads_missed: bool,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Default)]
-struct Orders {
+struct EvacuationState {
     tick: u8,
     is_evacuated: bool,
     /// For how many ticks the order has not changed.
-    unchanged: u8,
+    unchanged_ticks: u8,
     changes: u8,
     faults: u8,
     nodes: [Follower; 2],
-    wrong: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
-struct Evacuation(Break);
+struct Evacuation(Fault);
 
 /// Ticks after an order in which requests may still reach the domain, and after which a reconnected
 /// node is checked.
@@ -77,9 +77,9 @@
     /// the node knows.
     fn sends(&self, node: &Follower) -> bool {
         let known = match (node.known, self.0) {
-            (None, Break::ServesUnread) => false,
+            (None, Fault::ServesBeforeReading) => false,
             (None, _) => return false,
-            (Some(_), Break::IgnoresOrders) => false,
+            (Some(_), Fault::IgnoresOrders) => false,
             (Some(known), _) => known,
         };
         let mut directory = Directory::default();
@@ -89,100 +89,105 @@
         directory.usable(Duration::ZERO, "pool").count() > 0
     }
 
-    fn tick(world: &Orders) -> Orders {
-        let mut next = world.clone();
+    fn tick(state: &EvacuationState) -> EvacuationState {
+        let mut next = state.clone();
         next.tick += 1;
-        next.unchanged = next.unchanged.saturating_add(1).min(BOUND_TICKS + 1);
+        next.unchanged_ticks = next.unchanged_ticks.saturating_add(1).min(BOUND_TICKS + 1);
         for node in &mut next.nodes {
-            let Some(connected) = &mut node.connected else {
+            let Some(connected_ticks) = &mut node.connected_ticks else {
                 continue;
             };
-            *connected = (*connected + 1).min(BOUND_TICKS + 1);
-            let is_late = node.reads && node.known != Some(next.is_evacuated);
-            node.late = if is_late { node.late + 1 } else { 0 };
-            if node.late >= LEARN_TICKS {
+            *connected_ticks = (*connected_ticks + 1).min(BOUND_TICKS + 1);
+            let is_late = node.reads_missed && node.known != Some(next.is_evacuated);
+            node.late_ticks = if is_late { node.late_ticks + 1 } else { 0 };
+            if node.late_ticks >= LEARN_TICKS {
                 node.known = Some(next.is_evacuated);
-                node.late = 0;
+                node.late_ticks = 0;
             }
         }
         next
     }
 
-    fn change(world: &Orders) -> Orders {
-        let mut next = world.clone();
+    fn change(state: &EvacuationState) -> EvacuationState {
+        let mut next = state.clone();
         next.is_evacuated = !next.is_evacuated;
         next.changes += 1;
-        next.unchanged = 0;
+        next.unchanged_ticks = 0;
         for node in &mut next.nodes {
             // A change that is made while the node is connected reaches it.
-            node.reads |= node.connected.is_some();
+            node.reads_missed |= node.connected_ticks.is_some();
         }
         next
     }
 
-    fn of_node(&self, world: &Orders, at: usize) -> Vec<(String, Orders)> {
+    fn node_steps(&self, state: &EvacuationState, index: usize) -> Vec<(String, EvacuationState)> {
         let mut steps = Vec::new();
-        let node = &world.nodes[at];
-        let mut step = |what: &str, node: Follower, is_fault: bool| {
-            let mut next = world.clone();
-            next.nodes[at] = node;
+        let node = &state.nodes[index];
+        let mut step = |label: &str, node: Follower, is_fault: bool| {
+            let mut next = state.clone();
+            next.nodes[index] = node;
             next.faults += u8::from(is_fault);
-            steps.push((format!("node {at} {what}"), next));
+            steps.push((format!("node {index} {label}"), next));
         };
-        if node.connected.is_some() && node.reads && node.known != Some(world.is_evacuated) {
-            let known = Some(world.is_evacuated);
+        if node.connected_ticks.is_some()
+            && node.reads_missed
+            && node.known != Some(state.is_evacuated)
+        {
+            let known = Some(state.is_evacuated);
             step(
                 "reads the order",
                 Follower {
                     known,
-                    late: 0,
+                    late_ticks: 0,
                     ..node.clone()
                 },
                 false,
             );
         }
-        if world.faults < MAX_FAULTS {
-            let reads = self.0 != Break::MissesChanges;
-            match node.connected {
+        if state.faults < MAX_FAULTS {
+            let reads_missed = self.0 != Fault::SkipsMissedChanges;
+            match node.connected_ticks {
                 Some(_) => {
                     step(
                         "is cut off",
                         Follower {
-                            connected: None,
-                            late: 0,
+                            connected_ticks: None,
+                            late_ticks: 0,
                             ..node.clone()
                         },
                         true,
                     );
                 }
                 None => {
-                    let back = Follower {
-                        connected: Some(0),
-                        reads,
+                    let reconnected = Follower {
+                        connected_ticks: Some(0),
+                        reads_missed,
                         ..node.clone()
                     };
-                    step("reconnects", back, false);
+                    step("reconnects", reconnected, false);
                 }
             }
-            let connected = node.connected.map(|_| 0);
-            let started = Follower {
-                connected,
-                reads: true,
+            let connected_ticks = node.connected_ticks.map(|_| 0);
+            let restarted = Follower {
+                connected_ticks,
+                reads_missed: true,
                 ..Follower::default()
             };
-            step("restarts", started, true);
+            step("restarts", restarted, true);
         }
         if self.sends(node) {
-            let counts = node.connected.is_some_and(|ticks| ticks > BOUND_TICKS);
-            if world.is_evacuated && world.unchanged > BOUND_TICKS && counts {
-                let mut next = world.clone();
-                next.wrong = Some("a connected node sends to an evacuated domain");
-                steps.push((format!("node {at} sends"), next));
+            let must_comply = node
+                .connected_ticks
+                .is_some_and(|ticks| ticks > BOUND_TICKS);
+            if state.is_evacuated && state.unchanged_ticks > BOUND_TICKS && must_comply {
+                let mut next = state.clone();
+                next.violation = Some("a connected node sends to an evacuated domain");
+                steps.push((format!("node {index} sends"), next));
             }
             if node.known.is_none() {
-                let mut next = world.clone();
-                next.wrong = Some("a node sends before it has read the orders");
-                steps.push((format!("node {at} sends"), next));
+                let mut next = state.clone();
+                next.violation = Some("a node sends before it has read the orders");
+                steps.push((format!("node {index} sends"), next));
             }
         }
         steps
@@ -190,177 +195,183 @@
 }
 
 impl Spec for Evacuation {
-    type State = Orders;
+    type State = EvacuationState;
 
-    fn initial(&self) -> Vec<Orders> {
+    fn initial(&self) -> Vec<EvacuationState> {
         let node = Follower {
             known: Some(false),
-            connected: Some(BOUND_TICKS + 1),
-            late: 0,
-            reads: true,
+            connected_ticks: Some(BOUND_TICKS + 1),
+            late_ticks: 0,
+            reads_missed: true,
         };
-        vec![Orders {
+        vec![EvacuationState {
             nodes: [node.clone(), node],
-            ..Orders::default()
+            ..EvacuationState::default()
         }]
     }
 
-    fn steps(&self, world: &Orders) -> Vec<(String, Orders)> {
+    fn steps(&self, state: &EvacuationState) -> Vec<(String, EvacuationState)> {
         let mut steps = Vec::new();
-        if world.tick < MAX_TICKS {
-            steps.push(("clock tick".to_owned(), Self::tick(world)));
+        if state.tick < MAX_TICKS {
+            steps.push(("clock tick".to_owned(), Self::tick(state)));
         }
-        if world.changes < MAX_CHANGES {
-            steps.push(("operators change the order".to_owned(), Self::change(world)));
+        if state.changes < MAX_CHANGES {
+            steps.push(("operators change the order".to_owned(), Self::change(state)));
         }
-        let nodes = 0..world.nodes.len();
-        steps.extend(nodes.flat_map(|at| self.of_node(world, at)));
+        let nodes = 0..state.nodes.len();
+        steps.extend(nodes.flat_map(|index| self.node_steps(state, index)));
         steps
     }
 
-    fn invariant(&self, world: &Orders) -> Result<(), String> {
-        world.wrong.map_or(Ok(()), |wrong| Err(wrong.to_owned()))
+    fn invariant(&self, state: &EvacuationState) -> Result<(), String> {
+        state
+            .violation
+            .map_or(Ok(()), |violation| Err(violation.to_owned()))
     }
 }
 
 const NODES: usize = 3;
 
 /// Requests per second that the endpoint can take, and the maximum that may reach it.
-const RATE: u32 = 4;
-const BOUND: u32 = RATE * 3 / 2 + 5;
+const RATE_PER_S: u32 = 4;
+const MAX_REQUESTS_PER_S: u32 = RATE_PER_S * 3 / 2 + 5;
 
 /// Requests per second that nodes plan to send: four fifths of the bound.
-const PLANNED: u32 = BOUND * 4 / 5;
+const PLANNED_PER_S: u32 = MAX_REQUESTS_PER_S * 4 / 5;
 
 const MAX_COLD_FAULTS: u8 = 2;
 
 /// Ticks after which a process's uptime no longer matters.
-const OLD: u8 = 7;
+const SETTLED_TICKS: u8 = 7;
 
 /// Ticks after which a node has noticed that it is cut off.
-const LOST_TICKS: u8 = 2;
+const CUT_OFF_NOTICE_TICKS: u8 = 2;
 
 /// Ticks after which a node that is down or cut off has no record any more.
 const LEASE_TICKS: u8 = 4;
 
 /// Ticks after which a sent request no longer matters.
-const FORGOTTEN: u8 = 3;
+const SENT_HISTORY_TICKS: u8 = 3;
 
 /// Node that sends to a cold endpoint.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct Sender {
     /// For how many ticks its process has run; `None` while it is down.
-    up: Option<u8>,
+    uptime_ticks: Option<u8>,
     /// The nodes that it knows, including itself; empty until it has read the list.
     known: BTreeSet<usize>,
     /// For how many ticks it has been down or cut off; 0 if it is neither.
-    gone_for: u8,
+    gone_ticks: u8,
     /// Recent requests: how many ticks ago, and how many.
     sent: Vec<(u8, u32)>,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
-struct Cold {
+struct ColdState {
     faults: u8,
     nodes: Vec<Sender>,
     /// Requests that arrived in this tick and in the one before.
     arrived: [u32; 2],
 }
 
-struct Shares(Break);
+struct Shares(Fault);
 
 impl Shares {
     /// Returns how many requests a node may send now.
-    fn allowed(&self, world: &Cold, at: usize) -> u32 {
-        let node = &world.nodes[at];
-        let Some(up) = node.up.filter(|_| !node.known.is_empty()) else {
+    fn allowed(&self, state: &ColdState, index: usize) -> u32 {
+        let node = &state.nodes[index];
+        let Some(uptime_ticks) = node.uptime_ticks.filter(|_| !node.known.is_empty()) else {
             return 0;
         };
-        let up = match self.0 {
-            Break::NoSettling => Duration::from_secs(60),
-            _ => TICK * u32::from(up),
+        let uptime = match self.0 {
+            Fault::NoSettleTime => Duration::from_secs(60),
+            _ => TICK * u32::from(uptime_ticks),
         };
-        let rank = node.known.iter().filter(|other| **other < at).count();
+        let rank = node.known.iter().filter(|other| **other < index).count();
         let share = match self.0 {
-            Break::NoShares => PLANNED,
+            Fault::NoSharing => PLANNED_PER_S,
             // Its adapter has noticed by then that it is cut off.
-            _ if node.gone_for > LOST_TICKS && self.0 != Break::SendsWhileLost => 0,
-            _ => warm_up_share(up, f64::from(PLANNED), node.known.len(), rank),
+            _ if node.gone_ticks > CUT_OFF_NOTICE_TICKS && self.0 != Fault::SendsWhileCutOff => 0,
+            _ => warm_up_share(uptime, f64::from(PLANNED_PER_S), node.known.len(), rank),
         };
         let mut sent = WarmUp::default();
-        let now = TICK * u32::from(FORGOTTEN);
+        let now = TICK * u32::from(SENT_HISTORY_TICKS);
         for (ago, count) in &node.sent {
             (0..*count).for_each(|_| sent.note(now - TICK * u32::from(*ago)));
         }
-        let mut may = 0;
-        while sent.next(share).is_some_and(|next| next <= now) && may < PLANNED {
+        let mut sendable = 0;
+        while sent.next(share).is_some_and(|next| next <= now) && sendable < PLANNED_PER_S {
             sent.note(now);
-            may += 1;
+            sendable += 1;
         }
-        may
+        sendable
     }
 
-    fn tick(world: &Cold) -> Cold {
-        let mut next = world.clone();
-        next.arrived = [0, world.arrived[0]];
-        let registered = registered(world);
+    fn tick(state: &ColdState) -> ColdState {
+        let mut next = state.clone();
+        next.arrived = [0, state.arrived[0]];
+        let registered = registered(state);
         for node in &mut next.nodes {
             node.sent.iter_mut().for_each(|(ago, _)| *ago += 1);
-            node.sent.retain(|(ago, _)| *ago < FORGOTTEN);
-            node.up = node.up.map(|up| (up + 1).min(OLD));
+            node.sent.retain(|(ago, _)| *ago < SENT_HISTORY_TICKS);
+            node.uptime_ticks = node
+                .uptime_ticks
+                .map(|uptime_ticks| (uptime_ticks + 1).min(SETTLED_TICKS));
             // By now it has read the list of running nodes.
-            let is_old = node.up.is_some_and(|up| up >= LEARN_TICKS);
-            node.gone_for += u8::from((1..=LEASE_TICKS).contains(&node.gone_for));
-            if is_old && node.gone_for == 0 {
+            let has_read_list = node
+                .uptime_ticks
+                .is_some_and(|uptime_ticks| uptime_ticks >= LEARN_TICKS);
+            node.gone_ticks += u8::from((1..=LEASE_TICKS).contains(&node.gone_ticks));
+            if has_read_list && node.gone_ticks == 0 {
                 node.known.clone_from(&registered);
             }
         }
         next
     }
 
-    fn of_node(&self, world: &Cold, at: usize) -> Vec<(String, Cold)> {
+    fn node_steps(&self, state: &ColdState, index: usize) -> Vec<(String, ColdState)> {
         let mut steps = Vec::new();
-        let node = &world.nodes[at];
-        let mut step = |what: &str, is_fault: bool, change: &dyn Fn(&mut Cold)| {
-            let mut next = world.clone();
+        let node = &state.nodes[index];
+        let mut step = |label: &str, is_fault: bool, change: &dyn Fn(&mut ColdState)| {
+            let mut next = state.clone();
             next.faults += u8::from(is_fault);
             change(&mut next);
-            steps.push((format!("node {at} {what}"), next));
+            steps.push((format!("node {index} {label}"), next));
         };
-        let may = self.allowed(world, at);
-        if may > 0 {
+        let sendable = self.allowed(state, index);
+        if sendable > 0 {
             step("sends all that it may", false, &|next| {
-                next.nodes[at].sent.push((0, may));
-                next.arrived[0] += may;
+                next.nodes[index].sent.push((0, sendable));
+                next.arrived[0] += sendable;
             });
         }
-        if node.up.is_some() && node.gone_for == 0 && node.known != registered(world) {
+        if node.uptime_ticks.is_some() && node.gone_ticks == 0 && node.known != registered(state) {
             step("reads the node list", false, &|next| {
-                next.nodes[at].known = registered(world);
+                next.nodes[index].known = registered(state);
             });
         }
-        if world.faults >= MAX_COLD_FAULTS {
+        if state.faults >= MAX_COLD_FAULTS {
             return steps;
         }
-        match (node.up, node.gone_for > 0) {
+        match (node.uptime_ticks, node.gone_ticks > 0) {
             (None, _) => step("starts", false, &|next| {
-                next.nodes[at] = Sender::starting();
+                next.nodes[index] = Sender::starting();
             }),
             (Some(_), true) => step("reconnects", false, &|next| {
-                let node = &mut next.nodes[at];
-                let is_forgotten = node.gone_for > LEASE_TICKS;
-                node.gone_for = 0;
-                if is_forgotten && self.0 != Break::NoSettling {
-                    node.up = Some(0);
+                let node = &mut next.nodes[index];
+                let is_forgotten = node.gone_ticks > LEASE_TICKS;
+                node.gone_ticks = 0;
+                if is_forgotten && self.0 != Fault::NoSettleTime {
+                    node.uptime_ticks = Some(0);
                 }
-                next.nodes[at].known = registered(next);
+                next.nodes[index].known = registered(next);
             }),
             (Some(_), false) => {
-                step("is cut off", true, &|next| next.nodes[at].gone_for = 1);
+                step("is cut off", true, &|next| next.nodes[index].gone_ticks = 1);
                 step("is killed", true, &|next| {
-                    next.nodes[at].up = None;
-                    next.nodes[at].gone_for = 1;
-                    next.nodes[at].known.clear();
+                    next.nodes[index].uptime_ticks = None;
+                    next.nodes[index].gone_ticks = 1;
+                    next.nodes[index].known.clear();
                 });
             }
         }
@@ -371,9 +382,9 @@
 impl Sender {
     fn starting() -> Self {
         Sender {
-            up: Some(0),
+            uptime_ticks: Some(0),
             known: BTreeSet::new(),
-            gone_for: 0,
+            gone_ticks: 0,
             sent: Vec::new(),
         }
     }
@@ -381,42 +392,42 @@
 
 /// Returns the nodes that have a record: the lease of a killed or cut-off node expires only after
 /// such a node has noticed the cut.
-fn registered(world: &Cold) -> BTreeSet<usize> {
-    let nodes = world.nodes.iter().enumerate();
-    let registered = nodes.filter(|(_, n)| n.gone_for <= LEASE_TICKS);
-    registered.map(|(at, _)| at).collect()
+fn registered(state: &ColdState) -> BTreeSet<usize> {
+    let nodes = state.nodes.iter().enumerate();
+    let registered = nodes.filter(|(_, n)| n.gone_ticks <= LEASE_TICKS);
+    registered.map(|(index, _)| index).collect()
 }
 
 impl Spec for Shares {
-    type State = Cold;
+    type State = ColdState;
 
-    fn initial(&self) -> Vec<Cold> {
+    fn initial(&self) -> Vec<ColdState> {
         let down = Sender {
-            up: None,
-            gone_for: LEASE_TICKS + 1,
+            uptime_ticks: None,
+            gone_ticks: LEASE_TICKS + 1,
             ..Sender::starting()
         };
-        let all = |node| Cold {
+        let with_node = |node| ColdState {
             faults: 0,
             nodes: vec![node; NODES],
             arrived: [0; 2],
         };
-        vec![all(Sender::starting()), all(down)]
+        vec![with_node(Sender::starting()), with_node(down)]
     }
 
-    fn steps(&self, world: &Cold) -> Vec<(String, Cold)> {
-        let mut steps = vec![("clock tick".to_owned(), Self::tick(world))];
-        let nodes = 0..world.nodes.len();
-        steps.extend(nodes.flat_map(|at| self.of_node(world, at)));
+    fn steps(&self, state: &ColdState) -> Vec<(String, ColdState)> {
+        let mut steps = vec![("clock tick".to_owned(), Self::tick(state))];
+        let nodes = 0..state.nodes.len();
+        steps.extend(nodes.flat_map(|index| self.node_steps(state, index)));
         steps
     }
 
-    fn invariant(&self, world: &Cold) -> Result<(), String> {
-        let arrived: u32 = world.arrived.iter().sum();
-        match arrived <= BOUND {
+    fn invariant(&self, state: &ColdState) -> Result<(), String> {
+        let arrived: u32 = state.arrived.iter().sum();
+        match arrived <= MAX_REQUESTS_PER_S {
             true => Ok(()),
             false => Err(format!(
-                "{arrived} requests in a second, at most {BOUND} allowed"
+                "{arrived} requests in a second, at most {MAX_REQUESTS_PER_S} allowed"
             )),
         }
     }
@@ -448,37 +459,41 @@
 }
 
 /// Explores a specification with an injected fault, which must break this promise.
-fn assert_found(spec: &impl Spec, broken: Break, promise: &str) {
+fn assert_fault_found(spec: &impl Spec, fault: Fault, promise: &str) {
     let found = explore(spec, MAX_STATES).expect_err("the injected fault must be found");
-    println!("{broken:?}: {found}");
-    assert!(found.broken.contains(promise), "{broken:?}: {found}");
+    println!("{fault:?}: {found}");
+    assert!(found.broken.contains(promise), "{fault:?}: {found}");
 }
 
 #[test]
-fn nothing_reaches_an_evacuated_domain_from_nodes_that_could_know() {
-    assert_holds(&Evacuation(Break::Nothing));
+fn connected_nodes_send_nothing_to_an_evacuated_domain() {
+    assert_holds(&Evacuation(Fault::Absent));
 }
 
 #[test]
-fn deliberate_breaks_of_evacuations_are_found() {
+fn injected_evacuation_faults_are_found() {
     let cases = [
-        (Break::ServesUnread, "before it has read the orders"),
-        (Break::MissesChanges, "to an evacuated domain"),
-        (Break::IgnoresOrders, "to an evacuated domain"),
+        (Fault::ServesBeforeReading, "before it has read the orders"),
+        (Fault::SkipsMissedChanges, "to an evacuated domain"),
+        (Fault::IgnoresOrders, "to an evacuated domain"),
     ];
-    for (broken, promise) in cases {
-        assert_found(&Evacuation(broken), broken, promise);
+    for (fault, promise) in cases {
+        assert_fault_found(&Evacuation(fault), fault, promise);
     }
 }
 
 #[test]
-fn nodes_with_different_lists_send_no_more_than_a_cold_endpoint_may_get() {
-    assert_holds(&Shares(Break::Nothing));
+fn nodes_with_different_lists_respect_the_cold_rate_bound() {
+    assert_holds(&Shares(Fault::Absent));
 }
 
 #[test]
-fn deliberate_breaks_of_shares_are_found() {
-    for broken in [Break::NoShares, Break::NoSettling, Break::SendsWhileLost] {
-        assert_found(&Shares(broken), broken, "requests in a second");
+fn injected_share_faults_are_found() {
+    for fault in [
+        Fault::NoSharing,
+        Fault::NoSettleTime,
+        Fault::SendsWhileCutOff,
+    ] {
+        assert_fault_found(&Shares(fault), fault, "requests in a second");
     }
 }
