--- a/crates/oatdale-relay/src/cx.rs
+++ b/crates/oatdale-relay/src/cx.rs
@@ -1,4 +1,4 @@
-//! What all of a relay's requests share.
+//! State shared by all requests of a relay.
 
 use crate::body::BodyMemory;
 use crate::crashes;
@@ -20,24 +20,23 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// How long a connection to an endpoint may take to open. Endpoints are a few milliseconds away;
-/// one that takes longer is better replaced by another within the time that callers wait.
+/// Connect timeout to an endpoint. Endpoints are a few milliseconds away; a slower one is better
+/// replaced by another within the time that callers wait.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long an unused connection to an endpoint is kept, where the endpoint announces no time.
+/// How long an idle connection to an endpoint is kept, unless the endpoint announces a time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Unused connections kept for one endpoint.
-const MAX_IDLE: usize = 16;
+/// Maximum number of idle connections kept per endpoint.
+const MAX_IDLE_PER_ENDPOINT: usize = 16;
 
-/// The part of the repeats that larger models leave: a stream that breaks off is lost
-/// without a repeat, an answer of a small model is only worse. When an endpoint with several
-/// streams of one node dies, all of them need one at once.
-const KEPT_FOR_BROKEN: f64 = 0.2;
+/// Fraction of the retry budget that escalations to larger models leave for retries of broken
+/// streams: a broken stream is lost without a retry, while an answer of a small model is only
+/// worse. When an endpoint with several streams of one node dies, all of them need a retry at once.
+const STREAM_RETRY_RESERVE: f64 = 0.2;
 
-/// The part of the time for a stop in which new streams are taken: most of them end within the
-/// rest of it.
-const STREAMS_WHILE_STOPPING: f64 = 0.3;
+/// Fraction of the stop time in which new streams are accepted: most of them end within the rest.
+const STREAM_ACCEPT_FRACTION: f64 = 0.3;
 
 /// Shared state of one relay.
 pub(crate) struct Cx<W> {
@@ -46,9 +45,9 @@
     pub(crate) pool: Pool,
     pub(crate) metrics: Metrics,
     pub(crate) body_memory: BodyMemory,
-    /// For datagrams of and to other nodes.
+    /// Socket for datagrams between nodes.
     pub(crate) socket: UdpSocket,
-    /// Changes when a request is quarantined, for its copies that are under way.
+    /// Notified when a request is quarantined, for its copies in flight.
     pub(crate) held: watch::Sender<()>,
     started: Instant,
     state: Mutex<State>,
@@ -65,7 +64,7 @@
         let pool = Pool::new(PoolConfig {
             connect_timeout: CONNECT_TIMEOUT,
             idle_timeout: IDLE_TIMEOUT,
-            max_idle: MAX_IDLE,
+            max_idle: MAX_IDLE_PER_ENDPOINT,
         });
         Cx {
             wire,
@@ -80,12 +79,12 @@
         }
     }
 
-    /// Time since the process began.
+    /// Returns the time since the process started.
     pub(crate) fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// The moment at which so much time has passed since the process began.
+    /// Returns the instant at this time after the process started.
     pub(crate) fn at(&self, time: Duration) -> Instant {
         self.started + time
     }
@@ -98,11 +97,13 @@
         self.state().stopping.is_some()
     }
 
-    /// Whether a stream that begins now would end before this node does.
+    /// Whether a stream that begins now is likely to end before this node stops.
     pub(crate) fn has_time_for_stream(&self) -> bool {
         let state = self.state();
-        let takes = state.bounds.stop().mul_f64(STREAMS_WHILE_STOPPING);
-        state.stopping.is_none_or(|since| since.elapsed() < takes)
+        let accept_time = state.bounds.stop().mul_f64(STREAM_ACCEPT_FRACTION);
+        state
+            .stopping
+            .is_none_or(|since| since.elapsed() < accept_time)
     }
 
     /// Whether callers should use this node.
@@ -111,12 +112,12 @@
         state.site.is_some() && !state.directory.is_empty() && state.stopping.is_none()
     }
 
-    /// Takes in news from the platform.
+    /// Applies an update from the platform.
     pub(crate) fn update(&self, update: Update) {
         let now = self.now();
         let mut state = self.state();
         match update {
-            Update::Site(site) => self.take_site(&mut state, site),
+            Update::Site(site) => self.apply_site(&mut state, site),
             Update::Endpoints(all) => {
                 for addr in state.directory.replace(now, all) {
                     self.pool.forget(addr);
@@ -129,7 +130,7 @@
                     endpoint.id, endpoint.born, endpoint.service, endpoint.addr, endpoint.version,
                     endpoint.leaving, endpoint.cold_left
                 );
-                self.take_endpoint(&mut state, now, endpoint);
+                self.apply_endpoint(&mut state, now, endpoint);
             }
             Update::EndpointGone(id) => {
                 log::info!(target: "directory", "event=endpoint_gone id={id}");
@@ -138,7 +139,7 @@
                     gossip::broadcast(self, &state, &Message::EndpointGone { id, born });
                 }
             }
-            Update::Evacuated(domains) => self.take_evacuated(&mut state, domains),
+            Update::Evacuated(domains) => self.apply_evacuated(&mut state, domains),
             Update::RollOut(roll_out) => state.roll_outs.update(now, roll_out),
             Update::Quarantine { request, is_held } => {
                 crashes::take_record(self, &mut state, request, is_held);
@@ -153,43 +154,47 @@
             Update::ReadsAlone(alone) => state.reads_alone = alone,
             Update::StoreLost => {
                 self.metrics.store.set(0);
-                state.store_lost = Some(now);
-                state.directory.store_lost();
-                state.nodes.store_lost();
+                state.store_unavailable_since = Some(now);
+                state.directory.mark_store_unavailable();
+                state.nodes.mark_store_unavailable();
             }
             Update::StoreBack => {
                 self.metrics.store.set(1);
-                state.store_back(now);
-                state.directory.store_back(now);
-                state.nodes.store_back(now);
+                state.mark_store_available(now);
+                state.directory.mark_store_available(now);
+                state.nodes.mark_store_available(now);
             }
         }
         self.metrics.endpoints.set(state.directory.len() as i64);
     }
 
-    fn take_endpoint(&self, state: &mut State, now: Duration, endpoint: Endpoint) {
+    fn apply_endpoint(&self, state: &mut State, now: Duration, endpoint: Endpoint) {
         let (id, born) = (endpoint.id.clone(), endpoint.born);
         match state.directory.upsert(now, endpoint) {
             News::Leaves if state.reads_alone => {
                 gossip::broadcast(self, state, &Message::EndpointLeaves { id, born });
             }
-            News::StartedAgain(before) => {
-                log::info!(target: "directory", "event=started_again id={id} born={born:?}");
-                self.pool.forget(before);
+            News::StartedAgain(previous_addr) => {
+                log::info!(target: "directory", "event=endpoint_restarted id={id} born={born:?}");
+                self.pool.forget(previous_addr);
             }
             News::None | News::Leaves => {}
         }
     }
 
-    pub(crate) fn take_evacuated(&self, state: &mut State, domains: BTreeSet<String>) {
+    pub(crate) fn apply_evacuated(&self, state: &mut State, domains: BTreeSet<String>) {
         self.metrics.evacuated.set(domains.len() as i64);
         state.directory.set_evacuated(self.now(), domains);
     }
 
-    pub(crate) fn take_site(&self, state: &mut State, site: Arc<Site>) {
+    pub(crate) fn apply_site(&self, state: &mut State, site: Arc<Site>) {
         let old = state.site.as_ref().map(|s| s.version);
         if old.is_some_and(|old| site.version <= old) {
-            log::debug!(target: "config", "event=not_newer version={} old={old:?}", site.version);
+            log::debug!(
+                target: "config",
+                "event=config_not_newer version={} old={old:?}",
+                site.version
+            );
             return;
         }
         log::info!(
@@ -198,42 +203,43 @@
             site.version, site.routes.len()
         );
         self.metrics.version.set(site.version as i64);
-        state.keep_routes(&site);
+        state.retain_routes(&site);
         state.site = Some(site);
     }
 
-    /// Notes that the requests that are held have changed.
+    /// Updates the metric of quarantined requests and notifies requests in flight.
     pub(crate) fn note_held(&self, state: &State) {
         let held = state.quarantine.held(self.now()).count();
         self.metrics.quarantined.set(held as i64);
         self.held.send_replace(());
     }
 
-    /// Which software versions a request may use now. `own` is the request's hash.
+    /// Returns the software versions that a request may use now. `own` is the request's hash.
     pub(crate) fn allowed(&self, service: &str, session: Option<u64>, own: u64) -> Allowed {
         let now = self.now();
         let state = self.state();
         state.roll_outs.allowed(now, service, session, own)
     }
 
-    /// Whether an endpoint may take a request.
+    /// Whether an endpoint can take a request.
     pub(crate) fn has_place(&self, wanted: &Wanted<'_>) -> bool {
         let now = self.now();
         let mut state = self.state();
-        state.share_cold(now, wanted.service, &self.settings.host);
-        let picked = state.pick(now, wanted, &self.settings.failure_domain);
+        state.update_warm_up_shares(now, wanted.service, &self.settings.host);
+        let picked = state.pick_endpoint(now, wanted, &self.settings.failure_domain);
         picked.is_some()
     }
 
-    /// Places a request and counts it, or tells why no endpoint may take it.
+    /// Places a request and counts it, or returns why no endpoint can take it.
     pub(crate) fn place(self: &Arc<Self>, wanted: &Wanted<'_>) -> Result<Running<W>, Shortage> {
         let now = self.now();
         let mut state = self.state();
-        state.share_cold(now, wanted.service, &self.settings.host);
-        let Some((key, choices)) = state.pick(now, wanted, &self.settings.failure_domain) else {
+        state.update_warm_up_shares(now, wanted.service, &self.settings.host);
+        let Some((key, choices)) = state.pick_endpoint(now, wanted, &self.settings.failure_domain)
+        else {
             return Err(state.shortage(now, wanted));
         };
-        state.note_warm_up(now, key);
+        state.count_warm_up_request(now, key);
         let Some(entry) = state.directory.get_mut(key) else {
             return Err(state.shortage(now, wanted));
         };
@@ -246,33 +252,37 @@
         ))
     }
 
-    /// Notes a request for a service, which pays for repeats.
+    /// Counts a request for a service; requests earn its retry budget.
     pub(crate) fn count_request(&self, service: &str) {
         let now = self.now();
         self.state().roll_outs.count_request(now, service);
         let mut state = self.state();
-        let allowed = state.allowance(now);
-        state.repeats(service).request(now, &allowed);
+        let budget = state.retry_budget(now);
+        state.retry_counts(service).request(now, &budget);
     }
 
-    /// Whether a request for a service may be sent once more.
+    /// Whether a request for a service may be retried; if so, spends from its retry budget.
     pub(crate) fn may_repeat(&self, service: &str) -> bool {
-        self.repeat(service, 0.0)
+        self.spend_retry(service, 0.0)
     }
 
-    /// Whether a request for a service may be sent once more only to get a better answer.
+    /// Whether a request may be escalated to a larger model for a better answer; if so, spends from
+    /// the retry budget.
     pub(crate) fn may_escalate(&self, service: &str) -> bool {
-        self.repeat(service, KEPT_FOR_BROKEN)
+        self.spend_retry(service, STREAM_RETRY_RESERVE)
     }
 
-    fn repeat(&self, service: &str, kept: f64) -> bool {
+    fn spend_retry(&self, service: &str, reserve: f64) -> bool {
         let now = self.now();
         let mut state = self.state();
-        let allowed = state.allowance(now);
-        let may = state.repeats(service).repeat(now, &allowed, kept);
-        if !may {
-            log::info!(target: "attempt", "event=no_repeat service={service} kept={kept}");
+        let budget = state.retry_budget(now);
+        let is_granted = state.retry_counts(service).repeat(now, &budget, reserve);
+        if !is_granted {
+            log::info!(
+                target: "attempt",
+                "event=retry_budget_exhausted service={service} reserved={reserve}"
+            );
         }
-        may
+        is_granted
     }
 }
--- a/crates/oatdale-relay/src/directory.rs
+++ b/crates/oatdale-relay/src/directory.rs
@@ -1,4 +1,4 @@
-//! The endpoints that a node knows of, what it has under way there, and how they did.
+//! Registry of the endpoints known to a node, with the load this node puts on each and its health.
 
 use crate::asking::Report;
 use crate::state::hash;
@@ -10,127 +10,132 @@
 use std::time::Duration;
 use tokio_util::sync::CancellationToken;
 
-/// How long after the key-value service came back an entry may still be missing because it lapsed
-/// while its endpoint could not renew it. Endpoints write anew within about two seconds.
-const RETURN_GRACE: Duration = Duration::from_millis(1_900);
+/// Grace period after the key-value service recovers in which an entry may still be missing because
+/// its lease expired while its endpoint could not renew it. Endpoints rewrite their entries within
+/// about two seconds.
+const RECOVERY_GRACE: Duration = Duration::from_millis(1_900);
 
-/// How long after an endpoint has started its record may still say nothing of it.
-const RECORD_DELAY: Duration = Duration::from_millis(2_500);
+/// How long after an endpoint's restart its record may not show the restart yet.
+const RESTART_RECORD_DELAY: Duration = Duration::from_millis(2_500);
 
-/// Time between two notes that an endpoint is unreachable.
-const NEWS_INTERVAL: Duration = Duration::from_secs(1);
+/// Minimum time between two reports that an endpoint is unreachable.
+const UNREACHABLE_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long an endpoint that is gone stays known, so that its last answers find their place.
-const KEEP_GONE: Duration = Duration::from_secs(60);
+/// How long a removed endpoint stays in the directory, so that its last responses can still be
+/// attributed to it.
+const REMOVED_RETENTION: Duration = Duration::from_secs(60);
 
-/// The place of one start of an endpoint in the directory; never used again for another one.
+/// Key of one start of an endpoint in the directory; never reused.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct EndpointKey(u32);
 
-/// All endpoints.
+/// Directory of all known endpoints.
 #[derive(Debug, Default)]
 pub struct Directory {
     entries: BTreeMap<EndpointKey, Entry>,
     by_id: BTreeMap<String, EndpointKey>,
     next: u32,
     store: Store,
-    /// Failure domains that operators have evacuated; unset until an order, or that there is none, was read.
+    /// Failure domains evacuated by operators; `None` until the evacuation orders, or their
+    /// absence, have been read.
     evacuated: Option<BTreeSet<String>>,
 }
 
-/// What is known of one endpoint.
+/// State of one endpoint.
 #[derive(Debug)]
 pub struct Entry {
-    /// What the endpoint says of itself.
+    /// The endpoint's own record.
     pub endpoint: Endpoint,
-    /// What its answers tell.
+    /// Health as observed from its responses.
     pub health: Health,
-    /// Requests under way from this node.
+    /// In-flight requests from this node.
     pub running: u32,
-    /// The same, weighted by their size.
+    /// In-flight requests from this node, weighted by their size.
     pub load: f64,
-    /// Its number in what nodes tell each other of loads.
+    /// Number that identifies the endpoint in load reports between nodes.
     pub(crate) number: u32,
-    /// Long prompts that other nodes sent there.
-    others: Vec<Heavy>,
-    /// When it last sent anything to this node.
+    /// Long prompts sent to it by other nodes.
+    remote_prompts: Vec<LongPrompt>,
+    /// When this node last received bytes from it.
     pub last_progress: Duration,
-    /// When it was last asked whether it is alive.
+    /// When its liveness was last probed.
     pub probed: Duration,
-    /// What it last said of its work.
+    /// Last report of its work.
     pub(crate) report: Option<Report>,
-    /// Until when it is cold, as it said last.
-    warm_at: Duration,
-    /// The latest moment at which it may have become cold without its record saying so yet.
-    unnoticed: Option<Duration>,
-    /// What this node sent there while it was cold.
+    /// When it stops being cold, by its last announcement.
+    cold_until: Duration,
+    /// The latest time at which it may have become cold without its record saying so.
+    maybe_cold_since: Option<Duration>,
+    /// Requests sent to it by this node while it was cold.
     pub(crate) warm_up: WarmUp,
-    /// This node's share of what it bears while it is cold, and when that was found out.
+    /// When this node's share of the cold endpoint's request rate was last computed, and the share
+    /// in requests per second.
     pub(crate) warm_up_share: Option<(Duration, u32)>,
-    /// Until when it wants no requests from this node.
+    /// End of the back-off that it asked this node for.
     pub(crate) paused_until: Duration,
-    /// Cancelled when the endpoint has started again: what it was sent before is lost.
+    /// Cancelled when the endpoint restarts: requests sent to the earlier start are lost.
     pub(crate) life: CancellationToken,
-    gone: Gone,
+    registration: Registration,
 }
 
-/// A long prompt that another node sent.
+/// Long prompt sent by another node.
 #[derive(Clone, Copy, PartialEq, Debug)]
-struct Heavy {
-    told: Duration,
-    /// When it is read.
-    until: Duration,
+struct LongPrompt {
+    announced: Duration,
+    /// When the engine has finished reading it.
+    read_at: Duration,
     weight: f64,
 }
 
-/// What a record has told that others, or requests under way, have to know.
+/// Change in a record that other nodes or in-flight requests must be notified of.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum News {
-    /// Nothing.
+    /// No relevant change.
     None,
-    /// The endpoint leaves.
+    /// The endpoint announced that it is leaving.
     Leaves,
-    /// The endpoint has started again under its id; its earlier start was at this address.
+    /// The endpoint restarted under the same id; holds the address of its earlier start.
     StartedAgain(SocketAddr),
 }
 
-/// How many endpoints of a service do not get a request, by reason.
+/// Number of endpoints of a service that cannot take a request, by reason.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub(crate) struct Shortage {
-    /// They had it.
+    /// Already tried for this request.
     tried: usize,
-    /// They leave or are gone.
+    /// Leaving or removed.
     leaving: usize,
-    /// Their failure domain is evacuated.
+    /// In an evacuated failure domain.
     evacuated: usize,
-    /// They want a pause.
+    /// In a back-off that they asked for.
     paused: usize,
-    /// They are cold, and get no more from this node now.
+    /// Cold, and this node's share of their request rate is used up.
     cold: usize,
-    /// They run a version that the request may not use.
-    other: usize,
+    /// Running a version that the request must not use.
+    other_version: usize,
 }
 
-/// Whether an endpoint's entry is there.
+/// Whether an endpoint's entry is registered.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Gone {
-    No,
-    /// Its entry is missing, which may be for an outage of the key-value service alone: it is used
-    /// until then.
-    At(Duration),
+enum Registration {
+    Present,
+    /// The entry is missing, possibly only because of an outage of the key-value service; the
+    /// endpoint is used until this time.
+    ExpiresAt(Duration),
 }
 
-/// Whether the key-value service answers.
+/// Availability of the key-value service.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 enum Store {
     #[default]
-    Steady,
-    Lost,
-    BackSince(Duration),
+    Up,
+    Down,
+    /// Recovered at this time; missing entries are still in their grace period.
+    UpSince(Duration),
 }
 
 impl Directory {
-    /// Takes over all endpoints there are, and returns where those were that have started again.
+    /// Replaces all endpoints and returns the previous addresses of those that have restarted.
     pub fn replace(&mut self, now: Duration, all: Vec<Endpoint>) -> Vec<SocketAddr> {
         let is_first = self.entries.is_empty();
         let missing: Vec<String> = self
@@ -142,40 +147,42 @@
         for id in missing {
             self.remove(now, &id);
         }
-        let mut before = Vec::new();
+        let mut previous_addrs = Vec::new();
         for endpoint in all {
             if let News::StartedAgain(addr) = self.upsert(now, endpoint) {
-                before.push(addr);
+                previous_addrs.push(addr);
             }
         }
         if is_first {
-            // They may have run for long.
-            self.entries.values_mut().for_each(|e| e.unnoticed = None);
+            // On the first read, endpoints that report no cold time may have been running for long.
+            self.entries
+                .values_mut()
+                .for_each(|e| e.maybe_cold_since = None);
         }
-        before
+        previous_addrs
     }
 
-    /// Takes in an endpoint that is new or changed.
+    /// Inserts or updates an endpoint.
     ///
-    /// A record of an earlier start than the known one was overtaken on its way and changes nothing. A
-    /// later start takes the place of the known one with nothing of it: not its leaving, its failures,
-    /// its load, nor the requests that it was sent.
+    /// A record of an earlier start than the known one is stale and is ignored. A later start
+    /// replaces the known one and inherits nothing from it: not its leaving state, its failures,
+    /// its load or its in-flight requests.
     pub fn upsert(&mut self, now: Duration, endpoint: Endpoint) -> News {
         let known = self.by_id.get(&endpoint.id).copied();
         match known.and_then(|key| self.entries.get_mut(&key)) {
             Some(entry) if endpoint.born < entry.endpoint.born => {
                 log::info!(
                     target: "directory",
-                    "event=overtaken id={} born={:?} known={:?}",
+                    "event=stale_record id={} born={:?} known={:?}",
                     endpoint.id, endpoint.born, entry.endpoint.born
                 );
                 News::None
             }
             Some(entry) if endpoint.born > entry.endpoint.born => {
-                entry.end_life(now);
-                let before = entry.endpoint.addr;
+                entry.retire(now);
+                let previous_addr = entry.endpoint.addr;
                 self.insert(now, endpoint);
-                News::StartedAgain(before)
+                News::StartedAgain(previous_addr)
             }
             Some(entry) => entry.update(now, endpoint),
             None => {
@@ -190,12 +197,12 @@
         self.next += 1;
         self.by_id.insert(endpoint.id.clone(), key);
         self.entries.insert(key, Entry::new(now, endpoint));
-        self.forget(now);
+        self.evict_removed(now);
     }
 
-    /// Notes that an endpoint that started at `born` announced that it leaves, as another node has read
-    /// it, and says whether that is news.
-    pub fn leaves(&mut self, id: &str, born: Option<u64>) -> bool {
+    /// Marks an endpoint that started at `born` as leaving, as read by another node, and returns
+    /// whether it was not marked before.
+    pub fn mark_leaving(&mut self, id: &str, born: Option<u64>) -> bool {
         match self.by_id_mut(id) {
             Some(entry) if entry.endpoint.born <= born => {
                 !std::mem::replace(&mut entry.endpoint.leaving, true)
@@ -204,77 +211,80 @@
         }
     }
 
-    /// Notes that the entry of an endpoint that started at `born` is missing, as another node has read it.
-    pub fn remove_start(&mut self, now: Duration, id: &str, born: Option<u64>) -> bool {
+    /// Removes an endpoint that started at `born` and whose entry another node found missing.
+    pub fn remove_incarnation(&mut self, now: Duration, id: &str, born: Option<u64>) -> bool {
         let is_known = |e: &mut Entry| e.endpoint.born <= born;
         self.by_id_mut(id).is_some_and(is_known) && self.remove(now, id)
     }
 
-    /// Notes that an endpoint's entry is missing, and says whether that is news and no outage explains it.
+    /// Removes an endpoint whose entry is missing, and returns whether that is new and not
+    /// explained by an outage.
     ///
-    /// While the key-value service is away, and a little longer, entries go missing because their
-    /// endpoints could not renew them; all endpoints would seem to be gone at once, and every
-    /// request would be refused. In steady times a missing entry is a leaving endpoint.
+    /// While the key-value service is unavailable, and shortly after, entries expire because their
+    /// endpoints cannot renew them; removing all of them at once would refuse every request. While
+    /// the service is available, a missing entry means that the endpoint is leaving.
     pub fn remove(&mut self, now: Duration, id: &str) -> bool {
         let at = match self.store {
-            Store::Steady => now,
-            Store::Lost => now + RETURN_GRACE,
-            Store::BackSince(since) => now.max(since + RETURN_GRACE),
+            Store::Up => now,
+            Store::Down => now + RECOVERY_GRACE,
+            Store::UpSince(since) => now.max(since + RECOVERY_GRACE),
         };
         let entry = self
             .by_id
             .get(id)
             .and_then(|key| self.entries.get_mut(key))
-            .filter(|entry| entry.gone == Gone::No);
+            .filter(|entry| entry.registration == Registration::Present);
         match entry {
             Some(entry) => {
-                entry.gone = Gone::At(at);
-                self.store == Store::Steady
+                entry.registration = Registration::ExpiresAt(at);
+                self.store == Store::Up
             }
             None => false,
         }
     }
 
-    /// The key-value service does not answer.
-    pub fn store_lost(&mut self) {
-        self.store = Store::Lost;
+    /// Records that the key-value service does not answer.
+    pub fn mark_store_unavailable(&mut self) {
+        self.store = Store::Down;
     }
 
-    /// The key-value service answers, for the first time or again.
-    pub fn store_back(&mut self, now: Duration) {
-        if self.store == Store::Lost {
-            self.store = Store::BackSince(now);
+    /// Records that the key-value service answers, for the first time or again.
+    pub fn mark_store_available(&mut self, now: Duration) {
+        if self.store == Store::Down {
+            self.store = Store::UpSince(now);
         }
     }
 
-    /// Ends the time in which missing entries may come back.
+    /// Ends the grace period for missing entries once it is over.
     pub fn tick(&mut self, now: Duration) {
         match self.store {
-            Store::BackSince(since) if now >= since + RETURN_GRACE => self.store = Store::Steady,
+            Store::UpSince(since) if now >= since + RECOVERY_GRACE => self.store = Store::Up,
             _ => {}
         }
     }
 
-    /// Takes over which failure domains are evacuated. Their endpoints get nothing new, and go on with what they have.
+    /// Sets the evacuated failure domains. Their endpoints get no new requests and finish those in
+    /// flight.
     pub fn set_evacuated(&mut self, now: Duration, domains: BTreeSet<String>) {
-        let before = self.evacuated.replace(domains).unwrap_or_default();
+        let previous = self.evacuated.replace(domains).unwrap_or_default();
         let domains = self.evacuated.iter().flatten();
-        for domain in domains.filter(|d| !before.contains(*d)) {
+        for domain in domains.filter(|d| !previous.contains(*d)) {
             log::warn!(target: "directory", "event=domain_evacuated domain={domain}");
         }
-        let taken_back = before.into_iter().filter(|d| !self.is_evacuated(d));
-        for domain in taken_back.collect::<Vec<_>>() {
-            log::warn!(target: "directory", "event=domain_taken_back domain={domain}");
-            // They had nothing to do, and their records may tell so later.
+        let lifted = previous.into_iter().filter(|d| !self.is_evacuated(d));
+        for domain in lifted.collect::<Vec<_>>() {
+            log::warn!(target: "directory", "event=domain_evacuation_lifted domain={domain}");
+            // They were idle and may have become cold; their records may say so only later.
             let entries = self.entries.values_mut();
             entries
                 .filter(|e| e.endpoint.domain == domain)
-                .for_each(|e| e.unnoticed = e.unnoticed.max(Some(now)));
+                .for_each(|e| e.maybe_cold_since = e.maybe_cold_since.max(Some(now)));
         }
     }
 
-    /// The endpoints of a service that are there and cold, where one of this service may be for `time` unnoticed.
-    pub(crate) fn cold_mut(
+    /// Returns the available endpoints of a service that may be cold, where `time` is how long one
+    /// that became cold unnoticed stays so.
+    pub(crate) fn cold_endpoints_mut(
         &mut self,
         now: Duration,
         service: &str,
@@ -282,11 +292,11 @@
     ) -> impl Iterator<Item = &mut Entry> {
         let entries = self.entries.values_mut();
         entries.filter(move |e| {
-            e.endpoint.service == service && e.takes_work(now) && e.is_cold(now, time)
+            e.endpoint.service == service && e.accepts_new_requests(now) && e.is_cold(now, time)
         })
     }
 
-    /// The failure domains that are evacuated, if that is known.
+    /// Returns the evacuated failure domains, or `None` if they are not known yet.
     pub fn evacuated(&self) -> Option<&BTreeSet<String>> {
         self.evacuated.as_ref()
     }
@@ -296,13 +306,13 @@
         evacuated.is_some_and(|domains| domains.contains(domain))
     }
 
-    /// The endpoint with this id.
+    /// Returns the endpoint with this id.
     pub fn by_id_mut(&mut self, id: &str) -> Option<&mut Entry> {
         let key = self.by_id.get(id)?;
         self.entries.get_mut(key)
     }
 
-    /// The endpoints of a service that may get new work.
+    /// Returns the endpoints of a service that may get new requests.
     pub fn usable<'a>(
         &'a self,
         now: Duration,
@@ -310,49 +320,50 @@
     ) -> impl Iterator<Item = (EndpointKey, &'a Entry)> {
         self.entries
             .iter()
-            .filter(move |(_, e)| e.endpoint.service == service && self.may_get_work(now, e))
+            .filter(move |(_, e)| e.endpoint.service == service && self.is_eligible(now, e))
             .filter(move |(_, e)| now >= e.paused_until)
             .map(|(key, e)| (*key, e))
     }
 
-    /// How long until the first endpoint of a service wants requests from this node again. `None` if one does now,
-    /// or if there is none.
+    /// Returns the time until the first endpoint of a service ends its back-off towards this node.
+    /// `None` if one accepts requests now, or if there is none.
     pub fn pause_left(&self, now: Duration, service: &str) -> Option<Duration> {
         let entries = self.entries.values();
-        let there = entries.filter(|e| e.endpoint.service == service && self.may_get_work(now, e));
-        let first = there.map(|e| e.paused_until).min()?;
+        let eligible =
+            entries.filter(|e| e.endpoint.service == service && self.is_eligible(now, e));
+        let first = eligible.map(|e| e.paused_until).min()?;
         first.checked_sub(now).filter(|left| !left.is_zero())
     }
 
-    fn may_get_work(&self, now: Duration, entry: &Entry) -> bool {
-        entry.takes_work(now) && !self.is_evacuated(&entry.endpoint.domain)
+    fn is_eligible(&self, now: Duration, entry: &Entry) -> bool {
+        entry.accepts_new_requests(now) && !self.is_evacuated(&entry.endpoint.domain)
     }
 
-    /// Why no endpoint of a service may take a request that was sent to these already.
+    /// Counts why no endpoint of a service can take a request that was already sent to `tried`.
     pub(crate) fn shortage(
         &self,
         now: Duration,
         service: &str,
         tried: &[EndpointKey],
-        has_room: impl Fn(&Entry) -> bool,
+        has_capacity: impl Fn(&Entry) -> bool,
     ) -> Shortage {
         let mut shortage = Shortage::default();
         let of_service = |e: &Entry| e.endpoint.service == service;
         for (key, entry) in self.entries.iter().filter(|(_, e)| of_service(e)) {
             let count = match entry {
                 _ if tried.contains(key) => &mut shortage.tried,
-                e if !e.takes_work(now) => &mut shortage.leaving,
+                e if !e.accepts_new_requests(now) => &mut shortage.leaving,
                 e if self.is_evacuated(&e.endpoint.domain) => &mut shortage.evacuated,
                 e if now < e.paused_until => &mut shortage.paused,
-                e if !has_room(e) => &mut shortage.cold,
-                _ => &mut shortage.other,
+                e if !has_capacity(e) => &mut shortage.cold,
+                _ => &mut shortage.other_version,
             };
             *count += 1;
         }
         shortage
     }
 
-    /// Whether this node has work on another version of a service than `target`.
+    /// Whether this node has in-flight requests on a version of a service other than `target`.
     pub fn has_other_work(&self, service: &str, target: &str) -> bool {
         self.entries
             .values()
@@ -360,67 +371,73 @@
             .any(|e| e.endpoint.version != target)
     }
 
-    /// What this node has under way at each endpoint, by the endpoint's number.
+    /// Returns this node's load at each endpoint, by the endpoint's number.
     pub(crate) fn loads(&self) -> impl Iterator<Item = (u32, f64)> {
         self.entries.values().map(|e| (e.number, e.load))
     }
 
-    /// One endpoint.
+    /// Returns the endpoint with this key.
     pub fn get(&self, key: EndpointKey) -> Option<&Entry> {
         self.entries.get(&key)
     }
 
-    /// Whether an endpoint has started again since it got this place.
+    /// Whether an endpoint has restarted since it got this key.
     pub(crate) fn started_again(&self, key: EndpointKey) -> bool {
         self.entries
             .get(&key)
             .is_some_and(|e| e.life.is_cancelled())
     }
 
-    /// One endpoint, to note what it did.
+    /// Returns the endpoint with this key for an update.
     pub fn get_mut(&mut self, key: EndpointKey) -> Option<&mut Entry> {
         self.entries.get_mut(&key)
     }
 
-    /// All endpoints that are not gone.
+    /// Returns all endpoints that are not removed.
     pub fn iter(&self, now: Duration) -> impl Iterator<Item = &Endpoint> {
-        let there = move |e: &&Entry| match e.gone {
-            Gone::No => true,
-            Gone::At(at) => now < at,
+        let is_present = move |e: &&Entry| match e.registration {
+            Registration::Present => true,
+            Registration::ExpiresAt(at) => now < at,
         };
-        self.entries.values().filter(there).map(|e| &e.endpoint)
+        self.entries
+            .values()
+            .filter(is_present)
+            .map(|e| &e.endpoint)
     }
 
-    /// How many endpoints are known and not gone.
+    /// Returns the number of registered endpoints.
     pub fn len(&self) -> usize {
-        self.entries.values().filter(|e| e.gone == Gone::No).count()
+        self.entries
+            .values()
+            .filter(|e| e.registration == Registration::Present)
+            .count()
     }
 
-    /// How many endpoints are remembered, those that are gone among them.
-    pub fn known(&self) -> usize {
+    /// Returns the number of endpoints held in memory, including removed ones.
+    pub fn tracked_len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no endpoint is known.
+    /// Whether no endpoint is registered.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    fn forget(&mut self, now: Duration) {
-        let old = |e: &Entry| match e.gone {
-            Gone::At(at) => e.running == 0 && now > at + KEEP_GONE,
-            Gone::No => false,
+    fn evict_removed(&mut self, now: Duration) {
+        let is_expired = |e: &Entry| match e.registration {
+            Registration::ExpiresAt(at) => e.running == 0 && now > at + REMOVED_RETENTION,
+            Registration::Present => false,
         };
-        self.entries.retain(|_, e| !old(e));
+        self.entries.retain(|_, e| !is_expired(e));
         let entries = &self.entries;
         self.by_id.retain(|_, key| entries.contains_key(key));
     }
 }
 
 impl Shortage {
-    /// Whether there would be an endpoint if no domain were evacuated.
+    /// Whether evacuations are the reason that no endpoint is available.
     pub(crate) fn is_evacuation(&self) -> bool {
-        self.evacuated > 0 && self.tried + self.paused + self.cold + self.other == 0
+        self.evacuated > 0 && self.tried + self.paused + self.cold + self.other_version == 0
     }
 }
 
@@ -429,7 +446,7 @@
         write!(
             f,
             "tried={} leaving={} evacuated={} paused={} cold={} other={}",
-            self.tried, self.leaving, self.evacuated, self.paused, self.cold, self.other
+            self.tried, self.leaving, self.evacuated, self.paused, self.cold, self.other_version
         )
     }
 }
@@ -438,124 +455,126 @@
     fn new(now: Duration, endpoint: Endpoint) -> Entry {
         Entry {
             number: hash(&(&endpoint.id, endpoint.born)) as u32,
-            warm_at: now.saturating_add(endpoint.cold_left.unwrap_or_default()),
-            // One that does not say how it is has just started.
-            unnoticed: endpoint.cold_left.is_none().then_some(now),
+            cold_until: now.saturating_add(endpoint.cold_left.unwrap_or_default()),
+            // An endpoint that does not report whether it is cold is treated as just started.
+            maybe_cold_since: endpoint.cold_left.is_none().then_some(now),
             warm_up: WarmUp::default(),
             warm_up_share: None,
             endpoint,
             health: Health::default(),
             running: 0,
             load: 0.0,
-            others: Vec::new(),
+            remote_prompts: Vec::new(),
             last_progress: now,
             probed: Duration::ZERO,
             report: None,
             paused_until: Duration::ZERO,
             life: CancellationToken::new(),
-            gone: Gone::No,
+            registration: Registration::Present,
         }
     }
 
-    /// Takes in another record of the same start.
+    /// Applies another record of the same start.
     ///
-    /// One that announced its leaving does not come back without a new start: a record that says
-    /// otherwise is an older one.
+    /// An endpoint that announced its leaving returns only with a new start: a record that says
+    /// otherwise is older.
     fn update(&mut self, now: Duration, endpoint: Endpoint) -> News {
         let known = &self.endpoint;
-        let is_other = (endpoint.serial, endpoint.cold_left) != (known.serial, known.cold_left);
-        match endpoint.cold_left.filter(|_| is_other) {
-            Some(left) if endpoint.serial < known.serial => self.stays_cold(now, left),
-            Some(left) => self.set_cold(now, left),
+        let has_changed = (endpoint.serial, endpoint.cold_left) != (known.serial, known.cold_left);
+        match endpoint.cold_left.filter(|_| has_changed) {
+            Some(remaining) if endpoint.serial < known.serial => self.extend_cold(now, remaining),
+            Some(remaining) => self.set_cold(now, remaining),
             None => {}
         }
-        let left = self.endpoint.leaving;
-        let leaving = left || endpoint.leaving;
+        let was_leaving = self.endpoint.leaving;
+        let leaving = was_leaving || endpoint.leaving;
         self.endpoint = Endpoint {
             leaving,
             ..endpoint
         };
-        self.gone = Gone::No;
-        match leaving && !left {
+        self.registration = Registration::Present;
+        match leaving && !was_leaving {
             true => News::Leaves,
             false => News::None,
         }
     }
 
-    /// The endpoint has started again: this start is over, with all that it was sent.
-    fn end_life(&mut self, now: Duration) {
-        self.gone = Gone::At(now);
+    /// Ends this start after the endpoint has restarted; its in-flight requests are lost.
+    fn retire(&mut self, now: Duration) {
+        self.registration = Registration::ExpiresAt(now);
         self.life.cancel();
     }
 
-    /// Whether it may be cold, if one that started again unnoticed is for `time`.
+    /// Whether it may be cold, where `time` is how long one that restarted unnoticed stays cold.
     pub(crate) fn is_cold(&self, now: Duration, time: Duration) -> bool {
         self.says_cold(now)
             || self
-                .unnoticed
+                .maybe_cold_since
                 .is_some_and(|at| now < at.saturating_add(time))
     }
 
-    /// Whether it said that it is cold.
+    /// Whether it has announced that it is cold.
     pub(crate) fn says_cold(&self, now: Duration) -> bool {
-        now < self.warm_at
+        now < self.cold_until
     }
 
-    /// Notes how much longer it is cold, as it says itself.
-    pub(crate) fn set_cold(&mut self, now: Duration, left: Duration) {
-        self.warm_at = now.saturating_add(left);
+    /// Sets how much longer it is cold, as it announced itself.
+    pub(crate) fn set_cold(&mut self, now: Duration, remaining: Duration) {
+        self.cold_until = now.saturating_add(remaining);
     }
 
-    /// Notes that it is cold for so long at least.
-    pub(crate) fn stays_cold(&mut self, now: Duration, left: Duration) {
-        self.warm_at = self.warm_at.max(now.saturating_add(left));
+    /// Extends the time for which it is cold to at least `remaining` from now.
+    pub(crate) fn extend_cold(&mut self, now: Duration, remaining: Duration) {
+        self.cold_until = self.cold_until.max(now.saturating_add(remaining));
     }
 
-    /// Notes that it could not be reached, so that it may start again soon, and says whether that is news.
+    /// Records that it is unreachable, so that it may restart soon, and returns whether this is to
+    /// be reported again.
     pub(crate) fn unreachable(&mut self, now: Duration) -> bool {
-        let latest = now + RECORD_DELAY;
-        let before = self.unnoticed.replace(latest);
-        before.is_none_or(|before| latest >= before + NEWS_INTERVAL)
+        let latest = now + RESTART_RECORD_DELAY;
+        let last_report = self.maybe_cold_since.replace(latest);
+        last_report.is_none_or(|last_report| latest >= last_report + UNREACHABLE_REPORT_INTERVAL)
     }
 
-    /// Notes a long prompt that another node sent there.
-    pub fn add_others(&mut self, now: Duration, time: Duration, weight: f64) {
-        self.others.retain(|heavy| heavy.until > now);
-        self.others.push(Heavy {
-            told: now,
-            until: now + time,
+    /// Adds a long prompt that another node sent to it.
+    pub fn add_remote_prompt(&mut self, now: Duration, time: Duration, weight: f64) {
+        self.remote_prompts.retain(|prompt| prompt.read_at > now);
+        self.remote_prompts.push(LongPrompt {
+            announced: now,
+            read_at: now + time,
             weight,
         });
     }
 
-    /// What is under way there as far as this node knows: its own requests, and others' long prompts, unless
-    /// they were told of so long ago that the sums hold them.
+    /// Returns its load as known to this node: this node's requests and the long prompts of other
+    /// nodes, except those announced at or before `summed`, which the load sums already include.
     pub fn known_load(&self, now: Duration, summed: Option<Duration>) -> f64 {
-        let counts = |h: &&Heavy| h.until > now && summed.is_none_or(|summed| h.told > summed);
-        let others = self.others.iter().filter(counts);
-        self.load + others.map(|h| h.weight).sum::<f64>()
+        let counts = |p: &&LongPrompt| p.read_at > now && summed.is_none_or(|t| p.announced > t);
+        let remote_prompts = self.remote_prompts.iter().filter(counts);
+        self.load + remote_prompts.map(|p| p.weight).sum::<f64>()
     }
 
-    /// Whether it was to end: it announced that it leaves or its record is gone, and it has not started again.
+    /// Whether its end was planned: it announced its leaving or its record is gone, and it has not
+    /// restarted.
     pub(crate) fn left_by_plan(&self, now: Duration) -> bool {
-        !self.takes_work(now) && !self.life.is_cancelled()
+        !self.accepts_new_requests(now) && !self.life.is_cancelled()
     }
 
-    /// Whether it may get new work.
-    pub fn takes_work(&self, now: Duration) -> bool {
-        let there = match self.gone {
-            Gone::No => true,
-            Gone::At(at) => now < at,
+    /// Whether it may get new requests.
+    pub fn accepts_new_requests(&self, now: Duration) -> bool {
+        let is_registered = match self.registration {
+            Registration::Present => true,
+            Registration::ExpiresAt(at) => now < at,
         };
-        there && !self.endpoint.leaving
+        is_registered && !self.endpoint.leaving
     }
 
-    /// Notes that it wants no requests from this node for a while.
+    /// Starts or extends its back-off towards this node.
     pub fn pause(&mut self, now: Duration, time: Duration) {
         self.paused_until = self.paused_until.max(now + time);
     }
 
-    /// Another endpoint answered at its address: this one is gone, whatever its entry says.
+    /// Marks it as gone, whatever its entry says: another endpoint answered at its address.
     pub fn replaced(&mut self) {
         self.endpoint.leaving = true;
     }
