--- a/crates/oatdale-relay/src/replica.rs
+++ b/crates/oatdale-relay/src/replica.rs
@@ -1,8 +1,11 @@
-//! The platform's records in memory, for other nodes that read them here instead of at the key-value service.
+//! An in-memory replica of the platform's records that serves other nodes in place of the key-value
+//! service.
 //!
-//! Records are keys and bytes; what they mean is the adapter's business. Each follower goes on from the
-//! service's revision up to which it has read, at whichever node it asks: the revisions of one service are the
-//! same at all of them. By its questions it is also known to run, so that it needs no record of its own.
+//! Records are opaque keys and bytes; the platform adapter interprets them. A node that serves its
+//! replica is a reader, a node that fetches from it is a follower. A follower continues from the
+//! last service revision that it has read, at whichever reader it asks, because all readers use the
+//! revisions of the same service. Its requests also show that it is running, so that it needs no
+//! record of its own.
 
 mod ask;
 mod members;
@@ -26,29 +29,30 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// Changes that are remembered; who has read none of the later ones gets everything.
+/// Number of changes kept per topic. A follower that is behind all of them gets a snapshot.
 const MOST_CHANGES: usize = 4_096;
 
-/// How long a question is held that comes before this node reads for others. It reads everything within some
-/// hundredths of a second; what a node that starts asks next is the service.
+/// How long a request is held that arrives before this node has loaded the records. Loading takes
+/// some tens of milliseconds, and a starting node that gets no answer reads from the service next.
 const FIRST_READ: Duration = Duration::from_millis(80);
 
-/// How long a node that starts in a later era waits for this one to read everything in it.
+/// How long a node that starts in a later era waits for this node to read all records in that era.
 const KNOWN_WAIT: Duration = Duration::from_millis(200);
 
-/// Times of reading anew that are remembered; who is behind all of them gets everything.
+/// Number of full re-reads that are remembered. A follower that is behind all of them gets a
+/// snapshot.
 const MOST_GAPS: usize = 64;
 
-/// Records that are followed together.
+/// A group of records that are followed together.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Serialize, Deserialize)]
 pub enum Topic {
-    /// What operators write, up to a megabyte at once.
+    /// Records written by operators, up to a megabyte each.
     Operators,
-    /// What endpoints and nodes write: short, and urgent when an endpoint leaves.
+    /// Records written by endpoints and nodes: short, and urgent when an endpoint leaves.
     Endpoints,
 }
 
-/// A record as the key-value service has it.
+/// A record as stored in the key-value service.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct Record {
     /// The key.
@@ -59,87 +63,87 @@
     pub revision: Revision,
 }
 
-/// What one node tells another of a topic.
+/// The response to a [`FetchRequest`]: a snapshot of a topic or its changes.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct ReplicaUpdate {
-    /// The service's revision up to which this is all.
+    /// The service's revision up to which the update is complete.
     pub revision: Revision,
-    /// Whether these are all records, and not only those that changed.
+    /// Whether the update holds all records of the topic, not only the changed ones.
     pub is_snapshot: bool,
-    /// The records, in the order of their revisions unless they are all.
+    /// The records; in the order of their revisions unless this is a snapshot.
     pub records: Vec<RecordUpdate>,
-    /// How long ago the service came back to the node that tells this, if it was away.
+    /// Time since the responding node reached the service again, if it had lost it.
     pub back: Option<Duration>,
 }
 
-/// A record that one node tells another.
+/// The state of one record in a [`ReplicaUpdate`].
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct RecordUpdate {
     /// The key.
     pub key: String,
     /// The service's revision of its last change.
     pub revision: Revision,
-    /// What became of it.
+    /// The record's content.
     pub content: Content,
 }
 
-/// What a record holds.
+/// The content of a record.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum Content {
-    /// This value.
+    /// The record's value.
     Value(Bytes),
-    /// Nothing: the key was deleted.
+    /// The key was deleted.
     Deleted,
-    /// A value too long to be passed on: it has to be read at the service.
+    /// The value is too long to be passed on and has to be read from the service.
     TooLong,
 }
 
-/// The records of both topics as a reader has them.
+/// A reader's copy of the records of both topics.
 #[derive(Debug)]
 pub struct Replica {
     began: Instant,
     state: Mutex<State>,
-    /// Rises with each change, for those who wait.
+    /// Counter that increases with each change, to wake waiting requests.
     changed: watch::Sender<u64>,
-    /// Someone asked though nothing was read for others yet.
+    /// Notified when a request arrives before the records are loaded.
     wanted: Notify,
     members: Mutex<Members>,
-    /// What is known of overtaken versions, by topic, and in which era.
+    /// The known superseded versions by topic, with the era in which they were determined.
     versions: watch::Sender<BTreeMap<Topic, (u64, Vec<KnownVersions>)>>,
-    /// The latest era that a starting node reported.
+    /// The latest era reported by a starting node.
     reported_era: watch::Sender<u64>,
 }
 
-/// A question that waits for its answer.
+/// An in-flight fetch of a member; ends the member's request when dropped.
 struct PendingFetch<'a> {
     replica: &'a Replica,
     host: String,
 }
 
-/// What becomes of a question.
+/// The outcome of a fetch at the current state.
 enum Answer {
     ReplicaUpdate(ReplicaUpdate),
-    /// Nothing is read for others yet.
+    /// The records are not loaded yet.
     NotYet,
-    /// The service does not answer this node.
+    /// The service does not answer this node; the follower has to ask elsewhere.
     Elsewhere,
 }
 
 #[derive(Debug, Default)]
 struct State {
     service: Service,
-    /// When the service came back, if it was away.
+    /// When the service became reachable again, if it was unreachable.
     back: Option<Instant>,
-    /// Bytes of the longest value that is passed on.
+    /// Length of the longest value that is passed on, in bytes.
     longest: usize,
     operators: Option<Records>,
     endpoints: Option<Records>,
 }
 
-/// Whether the key-value service answers this node, so that what it says is of now.
+/// Whether the key-value service answers this node, that is, whether the replica is current.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 enum Service {
-    /// It has not been read yet.
+    /// Nothing has been read from the service yet.
     #[default]
     Unread,
     Answers,
@@ -150,19 +154,19 @@
 #[derive(Clone, Debug)]
 struct Records {
     all: BTreeMap<String, (Revision, Bytes)>,
-    /// The last changes, oldest first: revision and key.
+    /// The most recent changes as revision and key, oldest first.
     changes: VecDeque<(Revision, String)>,
-    /// All changes after this revision are among them.
+    /// `changes` holds all changes after this revision.
     since: Revision,
-    /// The revision up to which all is known.
+    /// The revision up to which the records are complete.
     revision: Revision,
-    /// After the first and up to the second of these revisions this node read everything anew, and knows nothing of
-    /// records that were written and deleted again meanwhile.
+    /// Revision ranges (start exclusive, end inclusive) that were covered by a full re-read.
+    /// Records that were written and deleted again within a range are unknown to this node.
     gaps: VecDeque<(Revision, Revision)>,
 }
 
 impl Replica {
-    /// Takes in all records of a topic.
+    /// Replaces the records of a topic by a complete set.
     pub fn replace(&self, topic: Topic, revision: Revision, all: &[Record]) {
         let mut state = self.lock();
         match state.topic(topic) {
@@ -173,7 +177,8 @@
         self.wake(state);
     }
 
-    /// Takes in the changes of a topic up to a revision; without all records before them they are worth nothing.
+    /// Applies the changes of a topic up to a revision. Ignored unless the topic is loaded, as
+    /// changes alone are not a complete set.
     pub fn change(&self, topic: Topic, revision: Revision, changes: &[Record]) {
         let mut state = self.lock();
         if let Some(records) = state.topic(topic) {
@@ -183,7 +188,7 @@
         self.wake(state);
     }
 
-    /// The key-value service does not answer any more: followers are sent elsewhere at once.
+    /// Marks the key-value service as unreachable, so that followers are sent elsewhere at once.
     pub fn suspend(&self) {
         let mut state = self.lock();
         if state.service == Service::Answers {
@@ -192,7 +197,7 @@
         self.wake(state);
     }
 
-    /// This node reads for nobody any more.
+    /// Drops all records because this node no longer reads for others.
     pub fn clear(&self) {
         let longest = self.lock().longest;
         *self.lock() = State {
@@ -202,18 +207,19 @@
         self.wake(self.lock());
     }
 
-    /// Sets the length from which on values are not passed on, in bytes.
+    /// Sets the length of the longest value that is passed on, in bytes.
     pub fn set_longest(&self, longest: usize) {
         self.lock().longest = longest;
     }
 
-    /// Whether all records of a topic are there.
+    /// Whether the records of a topic are loaded.
     pub fn has(&self, topic: Topic) -> bool {
         self.lock().topic(topic).is_some()
     }
 
-    /// What is new of a topic after a revision, or everything if the revision is unset or too long ago; waits for
-    /// it. `None` if this node does not read for others, or the service does not answer it.
+    /// Returns the changes of a topic after a revision, or a snapshot if the revision is unset or
+    /// too old. Waits for changes if there are none. `None` if this node does not read for others
+    /// or the service does not answer it.
     pub async fn tell(&self, question: FetchRequest) -> Option<ReplicaUpdate> {
         let began = Instant::now();
         let end = began + question.wait();
@@ -234,20 +240,20 @@
                 Answer::ReplicaUpdate(told) if now >= end || told.is_news() => return Some(told),
                 Answer::ReplicaUpdate(_) => end,
             };
-            // Either way what is there then is told.
+            // Change or timeout: either way the next iteration evaluates the current state.
             let _ = timeout_at(until, changed.changed()).await;
         }
     }
 
-    /// Sets what this node knows in an era of a topic's versions.
+    /// Sets the known versions of a topic in an era.
     pub fn set_known(&self, topic: Topic, era: u64, versions: Vec<KnownVersions>) {
         self.versions.send_modify(|all| {
             all.insert(topic, (era, versions));
         });
     }
 
-    /// Those of both topics, for a node that starts in this era. `None` if this node has not read them in it, and does
-    /// not within [`KNOWN_WAIT`].
+    /// Returns the known versions of both topics, for a node that starts in this era. `None` if
+    /// this node does not read the records in that era within [`KNOWN_WAIT`].
     pub(crate) async fn versions(&self, era: u64) -> Option<Vec<KnownVersions>> {
         self.reported_era.send_if_modified(|told| {
             let is_later = era > *told;
@@ -271,12 +277,12 @@
         let later = told.wait_for(|told| *told > era).await.map(|told| *told);
         match later {
             Ok(later) => later,
-            // The sender lives as long as this.
+            // Unreachable: the sender lives as long as `self`.
             Err(_) => std::future::pending().await,
         }
     }
 
-    /// Forgets an era that the service did not confirm.
+    /// Discards a reported era that the service did not confirm.
     pub fn reject_era(&self, era: u64) {
         self.reported_era.send_if_modified(|told| {
             let is_it = *told == era;
@@ -287,12 +293,12 @@
         });
     }
 
-    /// Ends when someone asked though nothing was read for others yet.
+    /// Resolves when a request arrives before the records are loaded.
     pub async fn wanted(&self) {
         self.wanted.notified().await;
     }
 
-    /// The nodes that read at this one, by name.
+    /// Returns the running nodes that fetch from this one, sorted by host name.
     pub fn members(&self) -> Vec<Node> {
         let now = self.began.elapsed();
         self.lock_members().running(now)
@@ -357,7 +363,8 @@
         }
     }
 
-    /// The service answered. Only the watch of the endpoints shows within a bound when it does not.
+    /// Records that the service answered. Only the endpoints topic counts: its watch alone detects
+    /// an outage within a bounded time.
     fn note_answer(&mut self, topic: Topic) {
         if topic == Topic::Operators {
             return;
@@ -403,7 +410,7 @@
         records
     }
 
-    /// Takes in all records as changes, so that followers need not read all of them again.
+    /// Applies a complete set of records as changes, so that followers need not fetch a snapshot.
     fn replace(&mut self, revision: Revision, all: &[Record]) {
         let there: BTreeSet<&str> = all.iter().map(|r| r.key.as_str()).collect();
         let gone = self.all.keys().filter(|key| !there.contains(key.as_str()));
@@ -423,8 +430,9 @@
         self.change(revision, &changes);
     }
 
-    /// Whether the changes tell a follower at this revision all that it lacks. One that was ahead of this node in a
-    /// gap may hold a record of which this node has never heard.
+    /// Whether the kept changes are sufficient for a follower at this revision. A follower whose
+    /// revision lies inside a gap may hold a record that this node never read, and so could not
+    /// report as deleted.
     fn covers(&self, after: Revision) -> bool {
         let in_gap = |(from, upto): &(Revision, Revision)| *from < after && after < *upto;
         after >= self.since && !self.gaps.iter().any(in_gap)
@@ -433,7 +441,7 @@
     fn change(&mut self, revision: Revision, changes: &[Record]) {
         for record in changes {
             self.put(record);
-            // Pages that were read after the first one may hold later changes.
+            // Pages of a snapshot that were read after the first one may hold later changes.
             let at = record.revision.max(self.revision.next());
             self.changes.push_back((at, record.key.clone()));
         }
@@ -445,7 +453,7 @@
         self.revision = self.revision.max(revision);
     }
 
-    /// Takes in a record, unless a later one was read before it.
+    /// Applies a record unless a later version of it is already known.
     fn put(&mut self, record: &Record) {
         let known = self.all.get(&record.key);
         if known.is_some_and(|(revision, _)| *revision > record.revision) {
@@ -469,7 +477,7 @@
             .collect()
     }
 
-    /// What changed after a revision, each key once as it is now.
+    /// Returns the records that changed after a revision, each key once with its current value.
     fn after(&self, after: Revision) -> Vec<Record> {
         let mut last: BTreeMap<&str, Revision> = BTreeMap::new();
         let later = self.changes.iter().filter(|(at, _)| *at > after);
@@ -482,7 +490,8 @@
         changed
     }
 
-    /// A record as it is; one that is gone with the revision at which that was read.
+    /// Returns the current record of a key. A deleted one carries the given revision, at which the
+    /// deletion was read.
     fn get(&self, key: &str, gone: Revision) -> Record {
         let known = self.all.get(key);
         Record {
--- a/crates/oatdale-relay/src/replica/ask.rs
+++ b/crates/oatdale-relay/src/replica/ask.rs
@@ -1,4 +1,4 @@
-//! Asks a reader.
+//! A client that fetches records from readers.
 
 use crate::replica::request::{KNOWN_PATH, PATH};
 use crate::replica::{FetchRequest, ReplicaUpdate};
@@ -14,43 +14,43 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time for a connection, and for each pause in an answer's body.
+/// Timeout for connecting and for each pause in a response body.
 const PAUSE: Duration = Duration::from_millis(500);
 
-/// The longest answer: several times the largest value that the key-value service holds.
+/// Maximum length of a response: several times the largest value that the key-value service holds.
 const MAX_ANSWER: usize = 8 << 20;
 
-/// Why a reader told nothing.
+/// An error when fetching from a reader.
 #[derive(Debug, Snafu)]
 pub enum AskError {
-    /// The question could not be written.
-    #[snafu(display("not written: {source}"))]
+    /// The request could not be encoded.
+    #[snafu(display("cannot encode the request: {source}"))]
     NotWritten {
-        /// What was seen.
+        /// The underlying error.
         source: ciborium::ser::Error<io::Error>,
     },
-    /// It could not be asked, or did not answer in time.
-    #[snafu(display("no answer: {source}"))]
+    /// The request could not be sent, or no response arrived in time.
+    #[snafu(display("no response: {source}"))]
     NoAnswer {
-        /// What was seen.
+        /// The underlying error.
         source: SendError,
     },
-    /// It does not read by itself, or the service does not answer it.
-    #[snafu(display("refused with {status}"))]
+    /// The node does not read for others, or the service does not answer it.
+    #[snafu(display("request refused: expected status 200, got {status}"))]
     Refused {
-        /// The answer's status.
+        /// The response's status.
         status: StatusCode,
     },
-    /// The answer broke off.
-    #[snafu(display("{source}"))]
+    /// The response body could not be read completely.
+    #[snafu(display("cannot read the response body: {source}"))]
     BrokenOff {
-        /// What was seen.
+        /// The underlying error.
         source: BodyError,
     },
-    /// The answer makes no sense.
-    #[snafu(display("can't be read: {source}"))]
+    /// The response is not valid CBOR of the expected type.
+    #[snafu(display("cannot decode the response: {source}"))]
     Unreadable {
-        /// What was seen.
+        /// The underlying error.
         source: ciborium::de::Error<io::Error>,
     },
 }
@@ -72,11 +72,12 @@
 }
 
 impl RecordsClient {
-    /// Asks for what is new of a topic; the answer begins within `patience` beside the time that the question waits.
+    /// Fetches the changes of a topic. The response has to begin within `patience` in addition to
+    /// the request's own wait time.
     ///
     /// # Errors
     ///
-    /// [`AskError`]; in each case another node, or the service, has to be asked.
+    /// [`AskError`]; in each case another node or the service has to be asked.
     pub async fn ask(
         &self,
         reader: SocketAddr,
@@ -87,7 +88,7 @@
         self.exchange(reader, PATH, question, time).await
     }
 
-    /// Fetches the versions that a running node has seen, in an era.
+    /// Fetches the versions that a running node knows in an era.
     ///
     /// # Errors
     ///
@@ -101,7 +102,7 @@
         self.exchange(node, KNOWN_PATH, &era, patience).await
     }
 
-    /// Sends a question; the answer begins within `time`.
+    /// Posts a payload and decodes the response, which has to begin within `time`.
     async fn exchange<T: DeserializeOwned>(
         &self,
         node: SocketAddr,
--- a/crates/oatdale-relay/src/replica/members.rs
+++ b/crates/oatdale-relay/src/replica/members.rs
@@ -1,17 +1,18 @@
-//! Nodes that read at this one, which are known to run by the questions that they ask.
+//! The nodes that fetch from this one; their requests show that they are running.
 
 use crate::update::Node;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long a node that asks nothing counts as running: a follower asks again at once, or after a look at the
-/// service if this node did not answer it.
+/// How long a node without requests counts as running. A follower sends its next request at once,
+/// or after a read from the service if this node did not answer it.
 const LAPSE: Duration = Duration::from_millis(1_800);
 
-/// The most nodes that are listed: a record of them stays well below the longest value that the service takes.
+/// Maximum number of listed nodes, so that a record of them stays well below the longest value that
+/// the service accepts.
 const MOST: usize = 1_024;
 
-/// The nodes that read at this one.
+/// The nodes that fetch from this one, by host name.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
     seen: BTreeMap<String, Seen>,
@@ -20,14 +21,14 @@
 #[derive(Clone, Debug)]
 struct Seen {
     node: Node,
-    /// Questions that wait here for an answer.
+    /// Number of in-flight requests.
     asking: usize,
-    /// When a question last came or was answered.
+    /// When a request last arrived or ended.
     last: Duration,
 }
 
 impl Members {
-    /// Notes that a question of a node came.
+    /// Records that a request of a node arrived.
     pub fn asks(&mut self, now: Duration, node: Node) {
         let known = self.seen.get(&node.host).map(|seen| seen.asking);
         if known.is_none() && self.seen.len() >= MOST {
@@ -44,7 +45,7 @@
         self.seen.insert(host, seen);
     }
 
-    /// Notes that a question of a node was answered, or that its connection broke.
+    /// Records that a request of a node was answered or that its connection broke.
     pub fn answered(&mut self, now: Duration, host: &str) {
         if let Some(seen) = self.seen.get_mut(host) {
             seen.asking = seen.asking.saturating_sub(1);
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Those that run, by name. Forgets the others.
+    /// Returns the running nodes, sorted by host name, and removes the others.
     pub fn running(&mut self, now: Duration) -> Vec<Node> {
         self.seen
             .retain(|_, seen| seen.asking > 0 || now < seen.last + LAPSE);
--- a/crates/oatdale-relay/src/replica/request.rs
+++ b/crates/oatdale-relay/src/replica/request.rs
@@ -1,4 +1,4 @@
-//! What a follower asks, and how it travels.
+//! The request of a follower and its wire format.
 
 use crate::replica::Topic;
 use crate::revision::Revision;
@@ -6,25 +6,25 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Where questions are asked.
+/// The path for fetching records.
 pub(crate) const PATH: &str = "/v1/records";
 
-/// Where a starting node fetches the versions that another one has seen.
+/// The path at which a starting node fetches the versions that another node knows.
 pub(crate) const KNOWN_PATH: &str = "/v1/records/versions";
 
-/// The longest wait that a follower may ask for.
+/// Maximum wait that a follower may request.
 const MOST_WAIT: Duration = Duration::from_secs(10);
 
-/// What a follower asks.
+/// A follower's request for the changes of a topic.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct FetchRequest {
-    /// The records that it follows.
+    /// The topic that the follower reads.
     pub topic: Topic,
-    /// The revision up to which it has read; unset for everything.
+    /// The revision up to which the follower has read; unset for a snapshot.
     pub after: Option<Revision>,
-    /// How long it waits for something new, in milliseconds.
+    /// How long to wait for changes, in milliseconds.
     pub wait_ms: u64,
-    /// Itself, if callers and other nodes are to know of it by this.
+    /// The follower itself, if this request is to announce it to callers and other nodes.
     pub node: Option<Node>,
 }
 
--- a/crates/oatdale-relay/src/replica/serve.rs
+++ b/crates/oatdale-relay/src/replica/serve.rs
@@ -1,4 +1,4 @@
-//! Answers followers.
+//! HTTP handlers that serve the replica to followers.
 
 use crate::replica::Replica;
 use crate::reply::{Body, plain};
@@ -10,13 +10,13 @@
 use serde::de::DeserializeOwned;
 use std::time::Duration;
 
-/// The longest question, in bytes: a few numbers, names and addresses.
+/// Maximum length of a request body: a few numbers, names and addresses.
 const MAX_REQUEST: usize = 4 << 10;
 
-/// How long each pause in a question may be: it is one packet.
+/// Timeout for each pause in a request body. Short, since a request fits in one packet.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The answer to a follower; 503 if it should ask elsewhere.
+/// Responds to a follower's fetch; 503 if it has to ask elsewhere.
 pub(crate) async fn answer(replica: &Replica, body: Incoming) -> Response<Body> {
     let question = match read_request(body).await {
         Ok(question) => question,
@@ -34,7 +34,8 @@
     ciborium::from_reader(body.as_ref()).map_err(|err| err.to_string())
 }
 
-/// The answer to a node that starts; 503 if this one knows nothing of the era.
+/// Responds to a starting node with the known versions; 503 if this node has not read the records
+/// in that era.
 pub(crate) async fn answer_known(replica: &Replica, body: Incoming) -> Response<Body> {
     let era = match read_request(body).await {
         Ok(era) => era,
--- a/crates/oatdale-relay/src/update.rs
+++ b/crates/oatdale-relay/src/update.rs
@@ -1,4 +1,4 @@
-//! What a platform adapter and the relay tell each other.
+//! Messages between a platform adapter and the relay.
 
 use crate::replica::Replica;
 use crate::revision::Revision;
@@ -16,126 +16,127 @@
 /// A relay's connection to a platform's adapter.
 #[derive(Debug)]
 pub struct Link {
-    /// What the platform tells.
+    /// Updates from the platform.
     pub updates: mpsc::Receiver<Update>,
-    /// What the relay asks for.
+    /// Commands to the adapter.
     pub commands: mpsc::Sender<Command>,
-    /// The records that the adapter reads, for other nodes that ask this one.
+    /// The records that the adapter reads, to be served to other nodes.
     pub records: Arc<Replica>,
 }
 
-/// News from the platform.
+/// An update from the platform.
 #[derive(Clone, Debug)]
 pub enum Update {
-    /// A configuration; older ones than the one in force are ignored.
+    /// A configuration; one that is older than the one in force is ignored.
     Site(Arc<Site>),
-    /// All endpoints there are; those that are missing are gone.
+    /// All endpoints; any other known endpoint is gone.
     Endpoints(Vec<Endpoint>),
     /// An endpoint is new or has changed.
     Endpoint(Endpoint),
     /// The endpoint with this id is gone.
     EndpointGone(String),
-    /// The failure domains whose endpoints are to get nothing new.
+    /// The failure domains whose endpoints are to get no new requests.
     Evacuated(BTreeSet<String>),
-    /// A roll-out as it stands.
+    /// The current state of a roll-out.
     RollOut(RollOut),
-    /// The record of how this service's roll-out ended is lost.
+    /// The record of how this service's roll-out ended was lost.
     RollOutEndLost(String),
-    /// The key-value service came back from an older copy of itself.
+    /// The key-value service was restored from an older backup.
     Restored {
-        /// Records that the node keeps against the copy.
+        /// Number of records that the node keeps although the restored service differs.
         kept: usize,
     },
-    /// All other nodes there are.
+    /// All other nodes.
     Nodes(Vec<Node>),
-    /// What a node recorded of a request that crashes endpoints.
+    /// A node's quarantine record for a request that crashes endpoints.
     Quarantine {
         /// The request.
         request: Fingerprint,
-        /// Whether it is to be refused.
+        /// Whether the request is to be refused.
         is_held: bool,
     },
-    /// Whether this node reads the records for itself only: then it tells all others what it reads. Others are
-    /// told by readers, or would all tell the same at once.
+    /// Whether this node reads the records for itself only, and so sends what it reads to all other
+    /// nodes. Nodes that have a reader do not, since all of them would send the same at once.
     ReadsAlone(bool),
     /// The platform's key-value service does not answer this node.
     StoreLost,
-    /// It answers again, and all that was read since is news of after its return.
+    /// The key-value service answers again, and all records read since then were read after its
+    /// return.
     StoreBack,
 }
 
-/// What the relay asks of the adapter.
+/// A command from the relay to the adapter.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Write how a roll-out ended, unless it has another state by now.
+    /// Writes how a roll-out ended, unless its state has changed since.
     EndRollOut {
         /// The service.
         service: String,
         /// The version that was rolled out.
         target: String,
-        /// How it ended.
+        /// How the roll-out ended.
         end: RollOutEnd,
     },
-    /// Record for all nodes whether a request is to be refused since it crashes endpoints.
+    /// Records for all nodes whether a request is to be refused because it crashes endpoints.
     RecordQuarantine {
         /// The request.
         request: Fingerprint,
-        /// Whether it is.
+        /// Whether the request is to be refused.
         is_held: bool,
     },
-    /// Take this node off the list that callers are told.
+    /// Removes this node from the list of nodes that callers get.
     Leave,
 }
 
 /// One start of one endpoint.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct Endpoint {
-    /// Its id; one that starts again may have the id that it had.
+    /// The id; a restarted endpoint may keep its id.
     pub id: String,
-    /// When it started, in Unix milliseconds by its own clock, if it says so: a later start under the
-    /// same id has a later one.
+    /// Start time in Unix milliseconds by the endpoint's own clock, if it reports one. A later
+    /// start under the same id has a later start time.
     #[serde(default)]
     pub born: Option<u64>,
-    /// The service it serves.
+    /// The service that the endpoint belongs to.
     pub service: String,
-    /// Where it takes requests.
+    /// The address at which the endpoint accepts requests.
     pub addr: SocketAddr,
-    /// Its failure domain.
+    /// The failure domain.
     pub domain: String,
-    /// The version of its software.
+    /// The software version.
     pub version: String,
-    /// Requests it runs at once.
+    /// Number of requests that the endpoint runs concurrently.
     pub slots: u32,
-    /// Whether it announced that it leaves: it gets no new work.
+    /// Whether the endpoint announced that it is leaving and so gets no new requests.
     pub leaving: bool,
-    /// How much longer it was cold when it wrote its record, if it says so.
+    /// Remaining cold time when the endpoint wrote its record, if it reports one.
     #[serde(default)]
     pub cold_left: Option<Duration>,
-    /// Counts the records that it wrote.
+    /// Sequence number of the endpoint's record.
     #[serde(default)]
     pub serial: u64,
 }
 
-/// An order to move a service's traffic to a software version, and what became of it.
+/// An order to move a service's traffic to a software version, and its outcome.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct RollOut {
     /// The service.
     pub service: String,
-    /// The version to move to.
+    /// The version to which traffic moves.
     pub target: String,
-    /// Time that the order gives.
+    /// Duration of the roll-out as ordered.
     pub duration: Duration,
-    /// Rises with each order.
+    /// Revision of the order; increases with each order.
     pub order: Revision,
-    /// How it ended.
+    /// How the roll-out ended, if it has.
     pub end: Option<RollOutEnd>,
 }
 
 impl RollOut {
-    /// Whether both are records of one order.
+    /// Whether both are records of the same order.
     ///
-    /// A copy of the key-value service shows an order in a later era under its number, and an order that the copy lacks
-    /// is written again under another one.
+    /// A restored key-value service shows an order in a later era under the same number, and an
+    /// order that the backup lacks is written again under another number.
     pub(crate) fn is_same_order(&self, other: &RollOut) -> bool {
         let (own, other_order) = (self.order, other.order);
         let is_again = own.number == other_order.number || own.era != other_order.era;
@@ -143,10 +144,10 @@
         own == other_order || is_again && is_like
     }
 
-    /// Whether another node's order is a later one.
+    /// Whether another node's order is later than this one.
     ///
-    /// One of a later era may stem from an older copy, which that node cannot tell if it has just started. Then the
-    /// records decide.
+    /// An order of a later era may come from an older backup, which that node cannot detect if it
+    /// has just started. In that case the records decide.
     pub(crate) fn is_overtaken_by(&self, other: &RollOut) -> bool {
         self.order < other.order && self.order.era == other.order.era
     }
@@ -155,27 +156,28 @@
 /// How a roll-out ended.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum RollOutEnd {
-    /// All traffic is on the new version; the old one stops.
+    /// All traffic is on the new version; the old version stops.
     Completed,
-    /// The new version is not to be used.
+    /// The new version must not be used.
     RolledBack,
 }
 
 /// Another node.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct Node {
-    /// Its host's name.
+    /// The host name.
     pub host: String,
-    /// Where it takes callers' requests.
+    /// The address for callers' requests.
     pub callers: SocketAddr,
-    /// Where it takes other nodes' datagrams.
+    /// The address for other nodes' datagrams.
     pub nodes: SocketAddr,
-    /// Where it tells other nodes what it knows of the site; nodes of an earlier version do not.
+    /// The address at which other nodes fetch its site state and records; unset for nodes of an
+    /// earlier version.
     pub state: Option<SocketAddr>,
-    /// Its failure domain; nodes of an earlier version do not tell it.
+    /// The failure domain; unset for nodes of an earlier version.
     #[serde(default)]
     pub domain: Option<String>,
-    /// The speed of its link in Mbit/s; 0 if it does not tell it.
+    /// The link speed in Mbit/s; 0 if unknown.
     #[serde(default)]
     pub link_mbps: u32,
 }
--- a/crates/oatdale-relay/src/versions.rs
+++ b/crates/oatdale-relay/src/versions.rs
@@ -1,8 +1,10 @@
-//! Versions of records that a node has read, to tell what an older copy brings back from what is news.
+//! The record versions that a node has read, to distinguish stale records of a restored service
+//! from new writes.
 //!
-//! A key-value service that comes back from an older copy of itself shows records as they were, and lacks some. Whoever
-//! wrote them writes again after a while. Until then what the node has read counts: endpoints that ended or leave stay
-//! so, keys that were taken away are not let in, and an order that was overtaken is not followed again.
+//! A key-value service that is restored from an older backup shows records in an earlier state and
+//! lacks some. Their owners write them again after a while. Until then the versions that the node
+//! has read take precedence: endpoints that ended or are leaving stay so, revoked keys are not
+//! accepted, and a superseded order is not followed again.
 
 use crate::replica::Record;
 use crate::revision::Revision;
@@ -12,27 +14,29 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// How long a record under a lease is kept that the copy lacks: who runs has written it again by then.
+/// How long a leased record is kept that the restored service lacks. A running owner has written it
+/// again by then.
 const MISSING_TIME: Duration = Duration::from_millis(1_900);
 
-/// How long a record under a lease is left out that the copy brings back. One that is still there then is believed: its
-/// lease is renewed.
+/// How long a superseded leased record is ignored that the restored service shows again. A record
+/// that is still there afterwards is accepted, since its lease is being renewed.
 const OVERTAKEN_TIME: Duration = Duration::from_secs(10);
 
-/// How long an older version is remembered. Copies are some seconds old.
+/// How long a superseded version is remembered. Backups are some seconds old when they are
+/// restored.
 const VERSION_TIME: Duration = Duration::from_secs(60);
 
-/// Versions of one key that are remembered.
+/// Maximum number of superseded versions remembered per key.
 const MAX_VERSIONS: usize = 64;
 
-/// For how long what was read of a key goes before what an older copy says.
+/// How long the version of a key that was read takes precedence over that of a restored service.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Keep {
-    /// Not at all: nodes write it again themselves.
+    /// Not at all: the nodes write the record again themselves.
     Never,
-    /// For as long as its lease may take to end, and its owner to write it again.
+    /// For as long as its lease may take to expire and its owner to write the record again.
     WhileLeased,
-    /// Until it is written again.
+    /// Until the record is written again.
     UntilWritten,
 }
 
@@ -41,10 +45,10 @@
 pub struct Versions {
     keep: fn(&str) -> Keep,
     era: Option<u64>,
-    /// When the last restore was noticed.
+    /// When the last restore was detected.
     restored: Option<Duration>,
     keys: BTreeMap<String, KeyVersions>,
-    /// Overtaken versions of keys that were not read yet, as another node knows them.
+    /// Superseded versions of keys that were not read yet, as reported by another node.
     learned: BTreeMap<String, VecDeque<(Version, Duration)>>,
 }
 
@@ -52,9 +56,9 @@
 #[derive(Debug)]
 struct KeyVersions {
     newest: Record,
-    /// When the newest one was read.
+    /// When the newest version was read.
     read: Duration,
-    /// Those before it, the oldest first, and when each was overtaken.
+    /// The superseded versions, oldest first, each with the time when it was superseded.
     older: VecDeque<(Version, Duration)>,
     kept: Option<Kept>,
 }
@@ -66,37 +70,37 @@
     hash: u64,
 }
 
-/// Why a record is kept though the service says otherwise.
+/// Why a record is kept that differs from the service's.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Kept {
-    /// The service lacks it.
+    /// The service lacks the record.
     Missing,
-    /// The service has this older version of it.
+    /// The service shows this superseded version of the record.
     Overtaken(Version),
 }
 
-/// The versions of a key that a node has seen, for a starting node.
+/// The versions of a key that a node knows, for a starting node.
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Serialize, Deserialize)]
 pub struct KnownVersions {
     /// The key.
     pub key: String,
-    /// Where its last versions were written that are overtaken, and their hashes.
+    /// The revisions and hashes of the most recent superseded versions.
     pub overtaken: Vec<(Revision, u64)>,
-    /// The version that counts, if the service says otherwise.
+    /// The version that takes precedence, if it differs from the service's.
     pub kept: Option<KeptVersion>,
 }
 
-/// A version that counts though the service says otherwise.
+/// A version that takes precedence over the one that the service shows.
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Serialize, Deserialize)]
 pub struct KeptVersion {
     /// The value; `None` if the key was deleted.
     pub value: Option<Bytes>,
-    /// Where it was written.
+    /// The revision at which it was written.
     pub revision: Revision,
 }
 
 impl Versions {
-    /// No record was read yet.
+    /// Creates an empty set of versions, where `keep` gives the policy for a key.
     pub fn new(keep: fn(&str) -> Keep) -> Self {
         Versions {
             keep,
@@ -107,7 +111,7 @@
         }
     }
 
-    /// Takes in all records as they were read at a revision, and returns those that count.
+    /// Applies all records as read at a revision, and returns those that are valid.
     pub fn take_all(&mut self, now: Duration, revision: Revision, all: Vec<Record>) -> Vec<Record> {
         self.note_era(now, revision.era);
         let there: BTreeSet<String> = all.iter().map(|r| r.key.clone()).collect();
@@ -117,7 +121,8 @@
         count
     }
 
-    /// Takes in changes up to a revision. All of them count: they were written after the copy.
+    /// Applies changes up to a revision. All of them are valid, since they were written after the
+    /// backup was made.
     pub fn take_changes(&mut self, now: Duration, revision: Revision, changes: &[Record]) {
         self.note_era(now, revision.era);
         for record in changes {
@@ -129,7 +134,7 @@
         }
     }
 
-    /// Takes in what another node knows, before anything is read.
+    /// Applies the versions that another node knows, before anything is read.
     pub fn learn(&mut self, now: Duration, known: Vec<KnownVersions>) {
         for known in known {
             let older = known.overtaken.into_iter();
@@ -149,7 +154,8 @@
         }
     }
 
-    /// What is known of keys that were overtaken lately, or that are kept though the service says otherwise.
+    /// Returns the versions of keys that were superseded recently or whose kept record differs from
+    /// the service's.
     pub fn known(&self, now: Duration) -> Vec<KnownVersions> {
         let known = self.keys.iter().map(|(key, versions)| {
             let keeps = |kept: &Kept| self.keeps(now, key, kept.time());
@@ -168,7 +174,7 @@
         known.collect()
     }
 
-    /// When everything has to be read again, since records that are kept are not any more from then on.
+    /// Returns when all records have to be read again because the retention of a kept record ends.
     pub fn recheck_at(&self) -> Option<Duration> {
         let restored = self.restored?;
         let kept = self.keys.iter().filter_map(|(key, v)| Some((key, v.kept?)));
@@ -184,7 +190,8 @@
         self.era = self.era.max(Some(era));
     }
 
-    /// Whether a key's record goes before what the service says, where that holds for `time` after a restore.
+    /// Whether a key's known record takes precedence over the service's, which for a leased key
+    /// holds for `time` after a restore.
     fn keeps(&self, now: Duration, key: &str, time: Duration) -> bool {
         match ((self.keep)(key), self.restored) {
             (Keep::Never, _) | (_, None) => false,
@@ -193,7 +200,7 @@
         }
     }
 
-    /// The record that counts for one that was read; `None` if its key was deleted.
+    /// Returns the record that is valid for one that was read; `None` if its key was deleted.
     fn admit(&mut self, now: Duration, record: Record) -> Option<Record> {
         let keeps = self.keeps(now, &record.key, OVERTAKEN_TIME);
         let Some(key) = self.keys.get_mut(&record.key) else {
@@ -208,7 +215,7 @@
                 key.kept = None;
                 Some(key.newest.clone())
             }
-            // It comes from a reader that had read less.
+            // It comes from a reader that had read less than this node.
             _ if record.revision < key.newest.revision => {
                 key.newest.value.is_some().then(|| key.newest.clone())
             }
@@ -223,7 +230,7 @@
         }
     }
 
-    /// The records that are not there but count.
+    /// Returns the records that the service lacks but that are still valid.
     fn keep_missing(
         &mut self,
         now: Duration,
@@ -302,7 +309,7 @@
 }
 
 impl Kept {
-    /// How long it is kept under a lease.
+    /// How long a leased record is kept for this reason.
     fn time(self) -> Duration {
         match self {
             Kept::Missing => MISSING_TIME,
@@ -319,7 +326,8 @@
         }
     }
 
-    /// Whether both are the same write, which a copy shows in a later era under the same number.
+    /// Whether both are the same write, which a restored service shows in a later era under the
+    /// same number.
     fn is_same_write(self, other: Version) -> bool {
         self.revision.number == other.revision.number && self.hash == other.hash
     }
--- a/crates/oatdale-relay/tests/replica_spec.rs
+++ b/crates/oatdale-relay/tests/replica_spec.rs
@@ -1,8 +1,9 @@
-//! Readers and a follower, explored: the service's records change, readers read late, in batches or everything anew,
-//! are cut off, die and come back, and the follower goes from one to the other and to the service.
+//! Exhaustive exploration of a model of two readers and a follower. The service's records change;
+//! readers read with delay, in batches or as a snapshot, lose the service, die and restart; the
+//! follower switches between the readers and the service.
 //!
-//! What a reader tells is the product's own `Replica`, given what the model's reader has read. The service is a list
-//! of changes, of which each has the next revision.
+//! A reader's responses come from the production `Replica`, fed with the reads of the model's
+//! reader. The service is a list of changes, each of which has the next revision.
 
 use bytes::Bytes;
 use futures::FutureExt;
@@ -12,54 +13,55 @@
 
 const READERS: usize = 2;
 
-/// Keys that are written and deleted.
+/// Keys that the model writes and deletes.
 const KEYS: [&str; 2] = ["a", "b"];
 
-/// Changes that are made at the most.
+/// Maximum number of changes.
 const CHANGES: usize = 3;
 
-/// Times that a reader reads at the most in one life.
+/// Maximum number of reads of a reader between restarts.
 const READS: usize = 2;
 
 const MOST_STATES: usize = 3_000_000;
 
-/// What is wrong on purpose.
+/// A fault that is injected on purpose.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Break {
     Nothing,
-    /// A reader says that it has read up to the service's revision, though its watch told of less.
+    /// A reader reports the service's revision as its own although its watch delivered less.
     TooFar,
-    /// A reader that the service answers again goes on without what it missed.
+    /// A reader that reaches the service again continues without the changes that it missed.
     SkipsWhatItMissed,
-    /// A follower that is told everything keeps what is not there any more.
+    /// A follower that gets a snapshot keeps records that are not in it.
     KeepsWhatIsGone,
-    /// A reader goes on telling what it has while the service does not answer it.
+    /// A reader keeps serving its records while the service does not answer it.
     TellsWhileAway,
 }
 
-/// One change: a key, and whether it was written or deleted. Its revision is its place, from one.
+/// One change: a key, and whether it was written (or else deleted). Its revision is its position,
+/// from one.
 type Change = (usize, bool);
 
-/// What a reader has read, in order.
+/// One read of a reader.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 enum Read {
-    /// Everything, at this revision.
+    /// A snapshot at this revision.
     All(usize),
-    /// The changes after the first and up to the second revision.
+    /// The changes after the first revision, up to and including the second.
     Changes(usize, usize),
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Default)]
 struct Reader {
     read: Vec<Read>,
-    /// Since which revision the service does not answer it, if it does not.
+    /// The revision at which the reader lost the service, if it has.
     away: Option<usize>,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Default)]
 struct Follower {
     after: Option<usize>,
-    /// The revisions at which the keys were written that it holds.
+    /// For each key that the follower holds, the revision at which it was written.
     holds: [Option<usize>; KEYS.len()],
 }
 
@@ -75,12 +77,13 @@
     broken: Break,
 }
 
-/// The place of a change in the service's history.
+/// The service's revision with this number.
 fn at(number: usize) -> Revision {
     Revision::new(1, number as u64)
 }
 
-/// What a key holds after the first `revision` changes.
+/// The revision at which a key was written, as of the first `revision` changes; `None` if it does
+/// not exist.
 fn held(changes: &[Change], revision: usize, key: usize) -> Option<usize> {
     let last = (0..revision).rev().find(|&i| changes[i].0 == key)?;
     changes[last].1.then_some(last + 1)
@@ -118,7 +121,7 @@
 }
 
 impl Spread {
-    /// What the product's replica tells a follower after a reader has read this.
+    /// Returns the response of the production replica to a follower of this reader.
     fn told(&self, world: &World, reader: &Reader, after: Option<usize>) -> Option<ReplicaUpdate> {
         let replica = Replica::default();
         replica.set_longest(100);
@@ -146,20 +149,20 @@
             wait_ms: 0,
             node: None,
         };
-        // A question that is held for records that are not read yet tells nothing in the end.
+        // A request that is held because the records are not loaded yet ends without a response.
         replica.tell(question).now_or_never().flatten()
     }
 
-    /// The follower asks a reader.
+    /// The follower fetches from a reader.
     fn ask(&self, world: &World, at: usize) -> Option<(String, World)> {
         let reader = &world.readers[at];
         let told = self.told(world, reader, world.follower.after)?;
         let mut next = world.clone();
         if reader.away.is_some_and(|since| since < world.changes.len()) && told.records.is_empty() {
-            next.wrong = Some("a reader that is away says that nothing is new");
+            next.wrong = Some("a reader without the service reports no changes");
         }
         self.take(&mut next, &told);
-        Some((format!("the follower asks reader {at}"), next))
+        Some((format!("the follower fetches from reader {at}"), next))
     }
 
     fn take(&self, world: &mut World, told: &ReplicaUpdate) {
@@ -169,7 +172,7 @@
         }
         for record in &told.records {
             let key = KEYS.iter().position(|k| *k == record.key);
-            let key = key.expect("it is one of them");
+            let key = key.expect("the key is one of KEYS");
             follower.holds[key] = match &record.content {
                 Content::Value(_) => Some(record.revision.number as usize),
                 Content::Deleted | Content::TooLong => None,
@@ -177,12 +180,12 @@
         }
         let revision = told.revision.number as usize;
         if follower.after.is_some_and(|after| revision < after) {
-            world.wrong = Some("a follower went back");
+            world.wrong = Some("the follower's revision went back");
         }
         follower.after = Some(revision);
     }
 
-    /// The follower reads at the service.
+    /// The follower reads from the service.
     fn look(world: &World) -> (String, World) {
         let mut next = world.clone();
         let now = world.changes.len();
@@ -190,7 +193,7 @@
             after: Some(now),
             holds: std::array::from_fn(|key| held(&world.changes, now, key)),
         };
-        ("the follower reads at the service".to_owned(), next)
+        ("the follower reads from the service".to_owned(), next)
     }
 
     fn of_reader(&self, world: &World, at: usize) -> Vec<(String, World)> {
@@ -208,16 +211,16 @@
                 away: Some(now),
                 ..reader.clone()
             };
-            step("is cut off from the service", away);
+            step("loses the service", away);
         }
         if reader.read.len() < READS {
             let and = |read| Reader {
                 read: reader.read.iter().cloned().chain([read]).collect(),
                 away: None,
             };
-            step("reads everything", and(Read::All(now)));
+            step("reads a snapshot", and(Read::All(now)));
             if self.broken == Break::SkipsWhatItMissed && reader.away.is_some() {
-                step("is answered again", and(Read::Changes(now, now)));
+                step("reaches the service again", and(Read::Changes(now, now)));
             }
             let known = reader.revision().filter(|_| reader.away.is_none());
             for upto in known.map_or(0..0, |known| known + 1..now + 1) {
@@ -261,25 +264,25 @@
         let Some(after) = world.follower.after else {
             return Ok(());
         };
-        // Each key is as it was at the follower's revision or later.
+        // Each key must have its value as of the follower's revision or a later one.
         let is_known = |key: usize| {
             let mut later = after..=world.changes.len();
             later.any(|revision| held(&world.changes, revision, key) == world.follower.holds[key])
         };
         match (0..KEYS.len()).all(is_known) {
             true => Ok(()),
-            false => Err("a follower missed a change".to_owned()),
+            false => Err("the follower missed a change".to_owned()),
         }
     }
 }
 
-/// Explores with a clock for the product's waits, which stands still.
+/// Explores the model with a paused clock, on which the production code's timeouts run.
 fn explored(broken: Break) -> Result<usize, Counterexample> {
     let runtime = Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build()
-        .expect("a runtime starts");
+        .expect("the runtime starts");
     let _clock = runtime.enter();
     explore(&Spread { broken }, MOST_STATES)
 }
@@ -287,25 +290,25 @@
 #[test]
 fn a_follower_misses_nothing_and_never_goes_back() {
     let states = explored(Break::Nothing).unwrap_or_else(|found| panic!("{found}"));
-    println!("{states} states of readers and a follower");
+    println!("{states} states of readers and a follower explored");
     assert!(states > 10_000, "{states}");
 }
 
-// Each mistake is one that somebody could make in a reader or a follower. Users would see requests at endpoints that
-// have left, or routes that are never served.
+// Each fault is a plausible mistake in a reader or a follower. Its effect would be requests sent to
+// endpoints that have left, or routes that are never served.
 #[test]
 fn each_deliberate_break_is_found() {
     let cases = [
-        (Break::TooFar, "a follower missed a change"),
-        (Break::SkipsWhatItMissed, "a follower missed a change"),
-        (Break::KeepsWhatIsGone, "a follower missed a change"),
+        (Break::TooFar, "the follower missed a change"),
+        (Break::SkipsWhatItMissed, "the follower missed a change"),
+        (Break::KeepsWhatIsGone, "the follower missed a change"),
         (
             Break::TellsWhileAway,
-            "a reader that is away says that nothing is new",
+            "a reader without the service reports no changes",
         ),
     ];
     for (broken, promise) in cases {
-        let found = explored(broken).expect_err("the break is found");
+        let found = explored(broken).expect_err("the fault is detected");
         println!("{broken:?}: {found}");
         assert_eq!(found.broken, promise, "{broken:?}");
     }
--- a/crates/oatdale-relay/tests/restore_spec.rs
+++ b/crates/oatdale-relay/tests/restore_spec.rs
@@ -1,8 +1,10 @@
-//! A service that comes back from older copies of itself, explored: owners write their values again at any time or not at
-//! all, readers read late, everything or changes, answers arrive late, and a follower goes from one reader to the other.
+//! Exhaustive exploration of a model of a service that is restored from older backups. Owners write
+//! their values again at any time or not at all; readers read snapshots or changes with delay;
+//! responses arrive late; a follower switches between the readers.
 //!
-//! Which records count at a reader, and what it tells, are the product's own `Versions` and `Replica`, given what the
-//! model's reader has read. The service is a list of writes; a copy is the beginning of it.
+//! Which records are valid at a reader and how it responds is decided by the production `Versions`
+//! and `Replica`, fed with the reads of the model's reader. The service is a list of writes; a
+//! backup is a prefix of it.
 
 use bytes::Bytes;
 use futures::FutureExt;
@@ -17,54 +19,54 @@
 const READERS: usize = 2;
 const KEYS: [&str; 2] = ["a", "b"];
 
-/// Values that the owner of each key comes to want, one after the other.
+/// The highest value that the owner of each key writes, counting up from one.
 const MAX_VALUE: [u8; KEYS.len()] = [2, 1];
 
-/// Writes that are made at the most, those that are made again among them.
+/// Maximum number of writes, including repeated ones.
 const MAX_WRITES: u8 = 3;
 
 const MAX_RESTORES: u64 = 1;
 
-/// Answers that one reader takes in at the most.
+/// Maximum number of responses that a reader applies.
 const MAX_READS: usize = 3;
 
-/// Answers that bring something new to the follower.
+/// Maximum number of responses with changes that the follower applies.
 const MAX_HEARD: usize = 2;
 
 const MAX_STATES: usize = 6_000_000;
 
-/// The model has no clock: what is kept is kept until it is written again.
+/// The model has no clock: a kept record is kept until it is written again.
 const NOW: Duration = Duration::ZERO;
 
-/// What is wrong on purpose.
+/// A fault that is injected on purpose.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Break {
     Nothing,
-    /// A watch goes on from its number, whatever the era of the answer.
+    /// A watch continues from its revision number, whatever the era of the response.
     IgnoresEra,
-    /// What the service shows after a restore is taken as it is.
+    /// The records that the service shows after a restore are accepted as they are.
     TrustsTheCopy,
-    /// A follower takes everything from whichever reader it asks.
+    /// The follower accepts a snapshot from whichever reader it asks.
     FollowsAnyReader,
 }
 
 /// One write: its key and value.
 type Write = (usize, u8);
 
-/// An answer of the service.
+/// A response of the service.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 enum Answer {
-    /// Everything up to this revision.
+    /// A snapshot at this revision.
     All(Revision, Vec<Record>),
-    /// The changes after the first and up to the second revision.
+    /// The changes after the first revision, up to and including the second.
     Changes(Revision, Revision, Vec<Record>),
 }
 
-/// What a reader takes in.
+/// An input that a reader applies.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 enum Read {
     Answer(Answer),
-    /// What the other reader knows, when this one starts.
+    /// The versions that the other reader knows, fetched when this one starts.
     Known(Vec<KnownVersions>),
 }
 
@@ -72,19 +74,19 @@
 struct Reader {
     read: Vec<Read>,
     at: Option<Revision>,
-    /// The latest era that it has seen.
+    /// The latest era that the reader has seen.
     era: u64,
     under_way: Option<Answer>,
-    /// The values that it holds.
+    /// The current value of each key.
     holds: [u8; KEYS.len()],
-    /// The same with the answer that is under way.
+    /// The highest value of each key that was sent to the reader, including the in-flight response.
     best: [u8; KEYS.len()],
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Default)]
 struct Follower {
     at: Option<Revision>,
-    /// What it learned of versions as it started.
+    /// The versions that the follower fetched when it started.
     known: Vec<KnownVersions>,
     heard: Vec<Answer>,
     holds: [u8; KEYS.len()],
@@ -95,7 +97,7 @@
     era: u64,
     writes: Vec<Write>,
     made: u8,
-    /// What the owners want to be written.
+    /// The value of each key that its owner wants to be stored.
     wanted: [u8; KEYS.len()],
     readers: [Reader; READERS],
     follower: Follower,
@@ -112,7 +114,7 @@
 
 fn key_of(record_key: &str) -> usize {
     let key = KEYS.iter().position(|key| *key == record_key);
-    key.expect("it is one of them")
+    key.expect("the key is one of KEYS")
 }
 
 impl Answer {
@@ -151,7 +153,7 @@
         }
     }
 
-    /// The value of a key after so many writes; 0 if it has none.
+    /// The value of a key after this number of writes; 0 if it has none.
     fn value(&self, writes: usize, key: usize) -> u8 {
         let mut before = self.writes[..writes].iter().rev();
         before
@@ -159,8 +161,9 @@
             .map_or(0, |(_, value)| *value)
     }
 
-    /// Whether each reader that has later values has read those that a copy of so many writes would bring back. A version
-    /// that was skipped, as by a read of everything, can't be told from one that is written after the restore.
+    /// Whether each reader that has later values has also read those that a backup of this number
+    /// of writes would restore. A version that a reader skipped, for instance by reading a
+    /// snapshot, cannot be distinguished from one that is written after the restore.
     fn can_be_told(&self, writes: usize) -> bool {
         let was_read = |reader: &Reader, key: usize| {
             let last = (0..writes).rev().find(|at| self.writes[*at].0 == key);
@@ -190,7 +193,7 @@
 }
 
 impl Restores {
-    /// The product's parts after all that a reader has read.
+    /// Returns the production objects after all reads of a reader.
     fn replay(&self, reader: &Reader) -> (Versions, Replica) {
         let mut versions = Versions::new(keep);
         let replica = Replica::default();
@@ -225,7 +228,7 @@
         replica.tell(question).now_or_never().flatten()
     }
 
-    /// A reader takes in the answer that was under way.
+    /// A reader receives the in-flight response.
     fn deliver(&self, world: &World, at: usize) -> Option<World> {
         let mut next = world.clone();
         let reader = &mut next.readers[at];
@@ -270,37 +273,38 @@
             }
             reader.under_way = Some(answer);
             next.readers[at].read.extend(known.map(Read::Known));
-            steps.push((format!("the service answers reader {at} {what}"), next));
+            steps.push((format!("the service responds to reader {at} {what}"), next));
         };
         if reader.under_way.is_none() && reader.read.len() < MAX_READS {
             match reader.at {
-                // What waits at the service ends when the reader knows of a later era.
+                // A pending watch ends when the reader learns of a later era.
                 Some(after) if after.era == reader.era || self.broken == Break::IgnoresEra => {
                     send("with changes", world.changes(after), None);
-                    send("with everything", world.all(), None);
+                    send("with a snapshot", world.all(), None);
                 }
-                Some(_) => send("with everything", world.all(), None),
+                Some(_) => send("with a snapshot", world.all(), None),
                 None => {
                     if let Some(known) = self.known_by_other(world, at) {
-                        send("as it starts", world.all(), Some(known));
+                        send("at its start", world.all(), Some(known));
                     }
                 }
             }
         }
         if let Some(next) = self.deliver(world, at) {
-            steps.push((format!("reader {at} takes in an answer"), next));
+            steps.push((format!("reader {at} receives a response"), next));
         }
-        // An answer to something else, such as a renewal, tells the era.
+        // The response to another request, such as a lease renewal, carries the era.
         if reader.at.is_some() && reader.era < world.era {
             let mut next = world.clone();
             next.readers[at].era = world.era;
-            steps.push((format!("reader {at} learns of the era"), next));
+            steps.push((format!("reader {at} learns the new era"), next));
         }
         steps
     }
 
-    /// What the other reader knows in this era, for one that starts. `None` while that one has yet to read in it, or if
-    /// there is none and something was written: then nobody can tell a copy from what came after it.
+    /// Returns the versions that the other reader knows in this era, for a starting reader. `None`
+    /// while the other one has not read in this era, or if it has read nothing and something was
+    /// written: then nobody can distinguish the backup's records from later ones.
     fn known_by_other(&self, world: &World, at: usize) -> Option<Vec<KnownVersions>> {
         let other = &world.readers[(at + 1) % READERS];
         match other.at {
@@ -310,7 +314,7 @@
         }
     }
 
-    /// The follower asks a reader.
+    /// The follower fetches from a reader.
     fn ask(&self, world: &World, at: usize) -> Option<(String, World)> {
         let after = match self.broken {
             Break::FollowsAnyReader => None,
@@ -336,14 +340,14 @@
         let before = std::mem::replace(&mut follower.holds, holds);
         let went_back = (0..KEYS.len()).any(|key| follower.holds[key] < before[key]);
         if went_back || Some(revision) < follower.at {
-            next.wrong = Some("a follower went back");
+            next.wrong = Some("the follower went back");
         }
         next.follower.at = Some(revision);
-        Some((format!("the follower asks reader {at}"), next))
+        Some((format!("the follower fetches from reader {at}"), next))
     }
 }
 
-/// The values that a follower holds after all that it heard.
+/// Returns the values that the follower holds after all responses that it received.
 fn held(follower: &Follower) -> [u8; KEYS.len()] {
     let mut versions = Versions::new(keep);
     versions.learn(NOW, follower.known.clone());
@@ -419,7 +423,7 @@
                 let mut next = world.clone();
                 next.era += 1;
                 next.writes.truncate(writes);
-                steps.push((format!("the service comes back with {writes} writes"), next));
+                steps.push((format!("the service is restored to {writes} writes"), next));
             }
         }
         for at in 0..READERS {
@@ -433,7 +437,8 @@
         if let Some(wrong) = world.wrong {
             return Err(wrong.to_owned());
         }
-        // Whoever has read up to a place in the service's history as it is holds what was written before, or better.
+        // A node that has read up to a revision of the current era must hold the values written up
+        // to it, or later ones.
         let lacks = |at: Option<Revision>, holds: &[u8; KEYS.len()]| {
             let at = at.filter(|at| at.era == world.era);
             let writes = at.map(|at| at.number as usize);
@@ -443,19 +448,19 @@
             return Err("a reader missed a change".to_owned());
         }
         match lacks(world.follower.at, &world.follower.holds) {
-            true => Err("a follower missed a change".to_owned()),
+            true => Err("the follower missed a change".to_owned()),
             false => Ok(()),
         }
     }
 }
 
-/// Explores with a clock for the product's waits, which stands still.
+/// Explores the model with a paused clock, on which the production code's timeouts run.
 fn explored(broken: Break) -> Result<usize, Counterexample> {
     let runtime = Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build()
-        .expect("a runtime starts");
+        .expect("the runtime starts");
     let _clock = runtime.enter();
     explore(&Restores { broken }, MAX_STATES)
 }
@@ -463,21 +468,21 @@
 #[test]
 fn nobody_goes_back_or_misses_a_change_over_restores() {
     let states = explored(Break::Nothing).unwrap_or_else(|found| panic!("{found}"));
-    println!("{states} states of a service with restores");
+    println!("{states} states of a service with restores explored");
     assert!(states > 10_000, "{states}");
 }
 
-// Each mistake is one that somebody could make in a reader or a follower: a key that was taken away would be let in
-// again, or a configuration never be in force.
+// Each fault is a plausible mistake in a reader or a follower. Its effect would be that a revoked
+// key is accepted again, or that a configuration never comes into force.
 #[test]
 fn each_deliberate_break_is_found() {
     let cases = [
         (Break::IgnoresEra, "missed a change"),
         (Break::TrustsTheCopy, "a reader went back"),
-        (Break::FollowsAnyReader, "a follower went back"),
+        (Break::FollowsAnyReader, "the follower went back"),
     ];
     for (broken, promise) in cases {
-        let found = explored(broken).expect_err("the break shows");
+        let found = explored(broken).expect_err("the fault is detected");
         println!("{broken:?}: {found}");
         assert!(found.to_string().contains(promise), "{broken:?}: {found}");
     }
--- a/crates/oatdale-relay/tests/versions.rs
+++ b/crates/oatdale-relay/tests/versions.rs
@@ -1,4 +1,4 @@
-//! Which records count when the key-value service came back from an older copy.
+//! Which records are valid after the key-value service was restored from an older backup.
 
 use bytes::Bytes;
 use oatdale_relay::{Keep, Record, Revision, Versions};
@@ -35,7 +35,7 @@
     }
 }
 
-/// Versions of which all records were read in the old era, and then some changes.
+/// Versions after a read of all records in the old era, followed by some changes.
 fn read(all: Vec<Record>, changes: &[Record]) -> Versions {
     let mut versions = Versions::new(keep);
     versions.take_all(secs(0), Revision::new(OLD, 10), all);
@@ -43,7 +43,8 @@
     versions
 }
 
-/// The values that count at `now` if the service shows these records at a revision of the new era.
+/// Returns the values that are valid at `now` if the service shows these records at a revision of
+/// the new era.
 fn counting(versions: &mut Versions, now: Duration, all: Vec<Record>) -> Vec<(String, String)> {
     let all = versions.take_all(now, Revision::new(NEW, 12), all);
     all.into_iter()
@@ -60,7 +61,8 @@
     (key.to_owned(), value.to_owned())
 }
 
-// Guards against a value that was overtaken coming back, and against its rewriting being taken for the copy.
+// Guards against a superseded value becoming valid again, and against a new write of the same value
+// being taken for the one from the backup.
 #[test]
 fn an_older_version_does_not_count_until_the_key_is_written_again() {
     let old = written("op", OLD, 5, "old");
@@ -83,7 +85,7 @@
     assert!(known.iter().all(|versions| versions.kept.is_none()));
 }
 
-// Guards against a record that stayed as it was being taken for another one since it is read in a later era.
+// Guards against an unchanged record being taken for a new one because it is read in a later era.
 #[test]
 fn the_newest_version_keeps_its_place() {
     let mut versions = read(vec![written("op", OLD, 5, "same")], &[]);
@@ -92,7 +94,8 @@
     assert_eq!(all, [written("op", OLD, 5, "same")]);
 }
 
-// Guards against endpoints that are refused since the copy lacks them, and against dead ones that stay for good.
+// Guards against running endpoints being dropped because the backup lacks them, and against dead
+// ones staying for ever.
 #[test]
 fn a_missing_record_under_a_lease_counts_for_two_seconds() {
     let mut versions = read(Vec::new(), &[written("leased/a", OLD, 15, "a")]);
@@ -110,7 +113,8 @@
     );
 }
 
-// Guards against an endpoint that ended being used since the copy has it, and against one that is alive being left out.
+// Guards against an ended endpoint being used because the backup has it, and against a running one
+// being left out.
 #[test]
 fn a_record_that_was_deleted_counts_only_if_it_stays() {
     let there = written("leased/a", OLD, 5, "a");
@@ -125,7 +129,7 @@
     );
 }
 
-// Guards against nodes that don't notice that their own record is lost.
+// Guards against nodes that do not notice the loss of their own record.
 #[test]
 fn records_that_nodes_write_again_are_as_the_service_has_them() {
     let old = written("ours/a", OLD, 5, "old");
@@ -143,7 +147,8 @@
     );
 }
 
-// Guards against usual reads being taken for copies: a value may come back, and a read may show what was read before.
+// Guards against ordinary reads being taken for a restore: a value may be written again, and a read
+// may show a state that was read before.
 #[test]
 fn in_one_era_everything_counts_as_it_is_read() {
     let old = written("op", OLD, 5, "a");
@@ -161,7 +166,8 @@
     assert!(all.is_empty());
 }
 
-// Guards against a node that starts after a restore and believes the copy, though another one knows better.
+// Guards against a node that starts after a restore and accepts the backup's records although
+// another node has later ones.
 #[test]
 fn a_node_that_starts_takes_over_what_another_one_keeps() {
     let old = written("op", OLD, 5, "old");
@@ -191,7 +197,8 @@
     );
 }
 
-// Guards against a node that started after the copy was made and takes its records for news: it saw none of the older ones.
+// Guards against a node that started after the backup was made and takes its records for new ones,
+// because it never read the superseded versions.
 #[test]
 fn a_node_that_starts_learns_what_was_overtaken_before() {
     let old = written("op", OLD, 5, "old");
@@ -204,7 +211,7 @@
     assert_eq!(counting(&mut started, secs(5), copy), [pair("op", "new")]);
 }
 
-// Guards against two restores, one right after the other, of which the second is not noticed as one.
+// Guards against the second of two restores in quick succession not being detected.
 #[test]
 fn each_restore_begins_anew() {
     let mut versions = read(Vec::new(), &[written("leased/a", OLD, 15, "a")]);
@@ -217,7 +224,8 @@
     assert!(again.is_empty());
 }
 
-// Guards against a follower that goes back to what a reader kept that had read less before the restore.
+// Guards against a follower that reverts to a record kept by a reader that had read less before the
+// restore.
 #[test]
 fn what_stands_before_the_newest_version_does_not_count() {
     let mut versions = read(Vec::new(), &[written("op", OLD, 15, "new")]);
