--- a/crates/oatdale-relay/src/replica.rs
+++ b/crates/oatdale-relay/src/replica.rs
@@ -30,23 +30,23 @@
 use tokio::time::{Instant, timeout, timeout_at};
 
 /// Number of changes kept per topic. A follower that is behind all of them gets a snapshot.
-const MOST_CHANGES: usize = 4_096;
+const MAX_CHANGES: usize = 4_096;
 
 /// How long a request is held that arrives before this node has loaded the records. Loading takes
 /// some tens of milliseconds, and a starting node that gets no answer reads from the service next.
-const FIRST_READ: Duration = Duration::from_millis(80);
+const LOAD_TIMEOUT: Duration = Duration::from_millis(80);
 
 /// How long a node that starts in a later era waits for this node to read all records in that era.
-const KNOWN_WAIT: Duration = Duration::from_millis(200);
+const ERA_READ_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Number of full re-reads that are remembered. A follower that is behind all of them gets a
 /// snapshot.
-const MOST_GAPS: usize = 64;
+const MAX_GAPS: usize = 64;
 
 /// A group of records that are followed together.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Serialize, Deserialize)]
 pub enum Topic {
-    /// Records written by operators, up to a megabyte each.
+    /// Records written by operators, up to a megabyte per write.
     Operators,
     /// Records written by endpoints and nodes: short, and urgent when an endpoint leaves.
     Endpoints,
@@ -101,12 +101,12 @@
 /// A reader's copy of the records of both topics.
 #[derive(Debug)]
 pub struct Replica {
-    began: Instant,
+    created_at: Instant,
     state: Mutex<State>,
     /// Counter that increases with each change, to wake waiting requests.
     changed: watch::Sender<u64>,
     /// Notified when a request arrives before the records are loaded.
-    wanted: Notify,
+    load_requested: Notify,
     members: Mutex<Members>,
     /// The known superseded versions by topic, with the era in which they were determined.
     versions: watch::Sender<BTreeMap<Topic, (u64, Vec<KnownVersions>)>>,
@@ -121,33 +121,33 @@
 }
 
 /// The outcome of a fetch at the current state.
-enum Answer {
-    ReplicaUpdate(ReplicaUpdate),
+enum Outcome {
+    Ready(ReplicaUpdate),
     /// The records are not loaded yet.
-    NotYet,
+    NotLoaded,
     /// The service does not answer this node; the follower has to ask elsewhere.
-    Elsewhere,
+    Unavailable,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    service: Service,
+    service: ServiceStatus,
     /// When the service became reachable again, if it was unreachable.
-    back: Option<Instant>,
+    reachable_since: Option<Instant>,
     /// Length of the longest value that is passed on, in bytes.
-    longest: usize,
+    max_bytes: usize,
     operators: Option<Records>,
     endpoints: Option<Records>,
 }
 
 /// Whether the key-value service answers this node, that is, whether the replica is current.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-enum Service {
+enum ServiceStatus {
     /// Nothing has been read from the service yet.
     #[default]
     Unread,
-    Answers,
-    Away,
+    Reachable,
+    Unreachable,
 }
 
 /// The records of a topic.
@@ -157,7 +157,7 @@
     /// The most recent changes as revision and key, oldest first.
     changes: VecDeque<(Revision, String)>,
     /// `changes` holds all changes after this revision.
-    since: Revision,
+    changes_since: Revision,
     /// The revision up to which the records are complete.
     revision: Revision,
     /// Revision ranges (start exclusive, end inclusive) that were covered by a full re-read.
@@ -167,81 +167,81 @@
 
 impl Replica {
     /// Replaces the records of a topic by a complete set.
-    pub fn replace(&self, topic: Topic, revision: Revision, all: &[Record]) {
+    pub fn replace(&self, topic: Topic, revision: Revision, snapshot: &[Record]) {
         let mut state = self.lock();
-        match state.topic(topic) {
-            Some(records) => records.replace(revision, all),
-            none => *none = Some(Records::new(revision, all)),
+        match state.records_of(topic) {
+            Some(records) => records.replace(revision, snapshot),
+            slot => *slot = Some(Records::new(revision, snapshot)),
         }
-        state.note_answer(topic);
-        self.wake(state);
+        state.record_service_answer(topic);
+        self.notify_waiting(state);
     }
 
     /// Applies the changes of a topic up to a revision. Ignored unless the topic is loaded, as
     /// changes alone are not a complete set.
     pub fn change(&self, topic: Topic, revision: Revision, changes: &[Record]) {
         let mut state = self.lock();
-        if let Some(records) = state.topic(topic) {
+        if let Some(records) = state.records_of(topic) {
             records.change(revision, changes);
         }
-        state.note_answer(topic);
-        self.wake(state);
+        state.record_service_answer(topic);
+        self.notify_waiting(state);
     }
 
     /// Marks the key-value service as unreachable, so that followers are sent elsewhere at once.
     pub fn suspend(&self) {
         let mut state = self.lock();
-        if state.service == Service::Answers {
-            state.service = Service::Away;
+        if state.service == ServiceStatus::Reachable {
+            state.service = ServiceStatus::Unreachable;
         }
-        self.wake(state);
+        self.notify_waiting(state);
     }
 
     /// Drops all records because this node no longer reads for others.
     pub fn clear(&self) {
-        let longest = self.lock().longest;
+        let max_bytes = self.lock().max_bytes;
         *self.lock() = State {
-            longest,
+            max_bytes,
             ..State::default()
         };
-        self.wake(self.lock());
+        self.notify_waiting(self.lock());
     }
 
     /// Sets the length of the longest value that is passed on, in bytes.
-    pub fn set_longest(&self, longest: usize) {
-        self.lock().longest = longest;
+    pub fn set_longest(&self, max_bytes: usize) {
+        self.lock().max_bytes = max_bytes;
     }
 
     /// Whether the records of a topic are loaded.
     pub fn has(&self, topic: Topic) -> bool {
-        self.lock().topic(topic).is_some()
+        self.lock().records_of(topic).is_some()
     }
 
     /// Returns the changes of a topic after a revision, or a snapshot if the revision is unset or
     /// too old. Waits for changes if there are none. `None` if this node does not read for others
     /// or the service does not answer it.
-    pub async fn tell(&self, question: FetchRequest) -> Option<ReplicaUpdate> {
-        let began = Instant::now();
-        let end = began + question.wait();
-        let read_by = began + FIRST_READ;
-        let _asking = question.node.map(|node| self.asks(node));
+    pub async fn fetch(&self, req: FetchRequest) -> Option<ReplicaUpdate> {
+        let start = Instant::now();
+        let end = start + req.wait();
+        let load_deadline = start + LOAD_TIMEOUT;
+        let _pending = req.node.map(|node| self.begin_fetch(node));
         let mut changed = self.changed.subscribe();
         loop {
             changed.mark_unchanged();
-            let answer = self.lock().answer(question.topic, question.after);
+            let outcome = self.lock().fetch_outcome(req.topic, req.after);
             let now = Instant::now();
-            let until = match answer {
-                Answer::Elsewhere => return None,
-                Answer::NotYet if now >= read_by => return None,
-                Answer::NotYet => {
-                    self.wanted.notify_one();
-                    read_by
+            let wake_at = match outcome {
+                Outcome::Unavailable => return None,
+                Outcome::NotLoaded if now >= load_deadline => return None,
+                Outcome::NotLoaded => {
+                    self.load_requested.notify_one();
+                    load_deadline
                 }
-                Answer::ReplicaUpdate(told) if now >= end || told.is_news() => return Some(told),
-                Answer::ReplicaUpdate(_) => end,
+                Outcome::Ready(found) if now >= end || found.has_changes() => return Some(found),
+                Outcome::Ready(_) => end,
             };
             // Change or timeout: either way the next iteration evaluates the current state.
-            let _ = timeout_at(until, changed.changed()).await;
+            let _ = timeout_at(wake_at, changed.changed()).await;
         }
     }
 
@@ -253,11 +253,11 @@
     }
 
     /// Returns the known versions of both topics, for a node that starts in this era. `None` if
-    /// this node does not read the records in that era within [`KNOWN_WAIT`].
-    pub(crate) async fn versions(&self, era: u64) -> Option<Vec<KnownVersions>> {
-        self.reported_era.send_if_modified(|told| {
-            let is_later = era > *told;
-            *told = era.max(*told);
+    /// this node does not read the records in that era within [`ERA_READ_TIMEOUT`].
+    pub(crate) async fn versions_in_era(&self, era: u64) -> Option<Vec<KnownVersions>> {
+        self.reported_era.send_if_modified(|reported| {
+            let is_later = era > *reported;
+            *reported = era.max(*reported);
             is_later
         });
         let mut versions = self.versions.subscribe();
@@ -267,47 +267,50 @@
                 .iter()
                 .all(|t| all.get(t).is_some_and(|(at, _)| *at >= era))
         });
-        let all = timeout(KNOWN_WAIT, in_era).await.ok()?.ok()?;
+        let all = timeout(ERA_READ_TIMEOUT, in_era).await.ok()?.ok()?;
         Some(all.values().flat_map(|(_, known)| known).cloned().collect())
     }
 
     /// Resolves when a starting node reports an era after this one, with that era.
     pub async fn era_after(&self, era: u64) -> u64 {
-        let mut told = self.reported_era.subscribe();
-        let later = told.wait_for(|told| *told > era).await.map(|told| *told);
+        let mut reported = self.reported_era.subscribe();
+        let later = reported
+            .wait_for(|reported| *reported > era)
+            .await
+            .map(|reported| *reported);
         match later {
             Ok(later) => later,
-            // Unreachable: the sender lives as long as `self`.
+            // Cannot happen: the sender lives as long as `self`.
             Err(_) => std::future::pending().await,
         }
     }
 
     /// Discards a reported era that the service did not confirm.
     pub fn reject_era(&self, era: u64) {
-        self.reported_era.send_if_modified(|told| {
-            let is_it = *told == era;
-            if is_it {
-                *told = 0;
+        self.reported_era.send_if_modified(|reported| {
+            let is_reported = *reported == era;
+            if is_reported {
+                *reported = 0;
             }
-            is_it
+            is_reported
         });
     }
 
     /// Resolves when a request arrives before the records are loaded.
     pub async fn wanted(&self) {
-        self.wanted.notified().await;
+        self.load_requested.notified().await;
     }
 
     /// Returns the running nodes that fetch from this one, sorted by host name.
     pub fn members(&self) -> Vec<Node> {
-        let now = self.began.elapsed();
+        let now = self.created_at.elapsed();
         self.lock_members().running(now)
     }
 
-    fn asks(&self, node: Node) -> PendingFetch<'_> {
+    fn begin_fetch(&self, node: Node) -> PendingFetch<'_> {
         let host = node.host.clone();
-        let now = self.began.elapsed();
-        self.lock_members().asks(now, node);
+        let now = self.created_at.elapsed();
+        self.lock_members().begin_request(now, node);
         PendingFetch {
             replica: self,
             host,
@@ -322,7 +325,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn wake(&self, state: MutexGuard<'_, State>) {
+    fn notify_waiting(&self, state: MutexGuard<'_, State>) {
         drop(state);
         self.changed.send_modify(|n| *n += 1);
     }
@@ -331,10 +334,10 @@
 impl Default for Replica {
     fn default() -> Self {
         Replica {
-            began: Instant::now(),
+            created_at: Instant::now(),
             state: Mutex::default(),
             changed: watch::Sender::default(),
-            wanted: Notify::new(),
+            load_requested: Notify::new(),
             members: Mutex::default(),
             versions: watch::Sender::default(),
             reported_era: watch::Sender::default(),
@@ -344,19 +347,19 @@
 
 impl Drop for PendingFetch<'_> {
     fn drop(&mut self) {
-        let now = self.replica.began.elapsed();
-        self.replica.lock_members().answered(now, &self.host);
+        let now = self.replica.created_at.elapsed();
+        self.replica.lock_members().end_request(now, &self.host);
     }
 }
 
 impl ReplicaUpdate {
-    fn is_news(&self) -> bool {
+    fn has_changes(&self) -> bool {
         self.is_snapshot || !self.records.is_empty()
     }
 }
 
 impl State {
-    fn topic(&mut self, topic: Topic) -> &mut Option<Records> {
+    fn records_of(&mut self, topic: Topic) -> &mut Option<Records> {
         match topic {
             Topic::Operators => &mut self.operators,
             Topic::Endpoints => &mut self.endpoints,
@@ -365,67 +368,75 @@
 
     /// Records that the service answered. Only the endpoints topic counts: its watch alone detects
     /// an outage within a bounded time.
-    fn note_answer(&mut self, topic: Topic) {
+    fn record_service_answer(&mut self, topic: Topic) {
         if topic == Topic::Operators {
             return;
         }
-        if std::mem::replace(&mut self.service, Service::Answers) == Service::Away {
-            self.back = Some(Instant::now());
+        if std::mem::replace(&mut self.service, ServiceStatus::Reachable)
+            == ServiceStatus::Unreachable
+        {
+            self.reachable_since = Some(Instant::now());
         }
     }
 
-    fn answer(&mut self, topic: Topic, after: Option<Revision>) -> Answer {
-        let (longest, back) = (self.longest, self.back.map(|at| at.elapsed()));
+    fn fetch_outcome(&mut self, topic: Topic, after: Option<Revision>) -> Outcome {
+        let (max_bytes, back) = (self.max_bytes, self.reachable_since.map(|at| at.elapsed()));
         let service = self.service;
-        let records = match self.topic(topic) {
-            _ if service == Service::Away => return Answer::Elsewhere,
-            Some(records) if service == Service::Answers => records,
-            _ => return Answer::NotYet,
+        let records = match self.records_of(topic) {
+            _ if service == ServiceStatus::Unreachable => return Outcome::Unavailable,
+            Some(records) if service == ServiceStatus::Reachable => records,
+            _ => return Outcome::NotLoaded,
         };
-        let (is_snapshot, known) = match after {
-            Some(after) if records.covers(after) => (false, records.after(after)),
-            _ => (true, records.whole()),
+        let (is_snapshot, selected) = match after {
+            Some(after) if records.covers(after) => (false, records.changes_after(after)),
+            _ => (true, records.all_records()),
         };
-        Answer::ReplicaUpdate(ReplicaUpdate {
+        Outcome::Ready(ReplicaUpdate {
             revision: records.revision.max(after.unwrap_or_default()),
             is_snapshot,
-            records: known.into_iter().map(|r| r.told(longest)).collect(),
+            records: selected
+                .into_iter()
+                .map(|r| r.into_update(max_bytes))
+                .collect(),
             back,
         })
     }
 }
 
 impl Records {
-    fn new(revision: Revision, all: &[Record]) -> Self {
+    fn new(revision: Revision, snapshot: &[Record]) -> Self {
         let mut records = Records {
             all: BTreeMap::new(),
             changes: VecDeque::new(),
-            since: revision,
+            changes_since: revision,
             revision,
             gaps: VecDeque::new(),
         };
-        for record in all {
+        for record in snapshot {
             records.put(record);
         }
         records
     }
 
     /// Applies a complete set of records as changes, so that followers need not fetch a snapshot.
-    fn replace(&mut self, revision: Revision, all: &[Record]) {
-        let there: BTreeSet<&str> = all.iter().map(|r| r.key.as_str()).collect();
-        let gone = self.all.keys().filter(|key| !there.contains(key.as_str()));
-        let gone: Vec<_> = gone.cloned().collect();
-        let differs = |r: &&Record| self.all.get(&r.key).is_none_or(|(at, _)| *at < r.revision);
-        let mut changes: Vec<_> = all.iter().filter(differs).cloned().collect();
-        changes.extend(gone.into_iter().map(|key| Record {
+    fn replace(&mut self, revision: Revision, snapshot: &[Record]) {
+        let present: BTreeSet<&str> = snapshot.iter().map(|r| r.key.as_str()).collect();
+        let deleted = self
+            .all
+            .keys()
+            .filter(|key| !present.contains(key.as_str()));
+        let deleted: Vec<_> = deleted.cloned().collect();
+        let is_newer = |r: &&Record| self.all.get(&r.key).is_none_or(|(at, _)| *at < r.revision);
+        let mut changes: Vec<_> = snapshot.iter().filter(is_newer).cloned().collect();
+        changes.extend(deleted.into_iter().map(|key| Record {
             key,
             value: None,
             revision,
         }));
         self.gaps.push_back((self.revision, revision));
-        if self.gaps.len() > MOST_GAPS {
+        if self.gaps.len() > MAX_GAPS {
             self.gaps.pop_front();
-            self.since = self.since.max(self.gaps[0].0);
+            self.changes_since = self.changes_since.max(self.gaps[0].0);
         }
         self.change(revision, &changes);
     }
@@ -434,8 +445,8 @@
     /// revision lies inside a gap may hold a record that this node never read, and so could not
     /// report as deleted.
     fn covers(&self, after: Revision) -> bool {
-        let in_gap = |(from, upto): &(Revision, Revision)| *from < after && after < *upto;
-        after >= self.since && !self.gaps.iter().any(in_gap)
+        let in_gap = |(from, to): &(Revision, Revision)| *from < after && after < *to;
+        after >= self.changes_since && !self.gaps.iter().any(in_gap)
     }
 
     fn change(&mut self, revision: Revision, changes: &[Record]) {
@@ -445,9 +456,9 @@
             let at = record.revision.max(self.revision.next());
             self.changes.push_back((at, record.key.clone()));
         }
-        while self.changes.len() > MOST_CHANGES {
+        while self.changes.len() > MAX_CHANGES {
             if let Some((at, _)) = self.changes.pop_front() {
-                self.since = at;
+                self.changes_since = at;
             }
         }
         self.revision = self.revision.max(revision);
@@ -455,8 +466,8 @@
 
     /// Applies a record unless a later version of it is already known.
     fn put(&mut self, record: &Record) {
-        let known = self.all.get(&record.key);
-        if known.is_some_and(|(revision, _)| *revision > record.revision) {
+        let existing = self.all.get(&record.key);
+        if existing.is_some_and(|(revision, _)| *revision > record.revision) {
             return;
         }
         match &record.value {
@@ -470,7 +481,7 @@
         }
     }
 
-    fn whole(&self) -> Vec<Record> {
+    fn all_records(&self) -> Vec<Record> {
         self.all
             .keys()
             .map(|key| self.get(key, Revision::default()))
@@ -478,11 +489,11 @@
     }
 
     /// Returns the records that changed after a revision, each key once with its current value.
-    fn after(&self, after: Revision) -> Vec<Record> {
-        let mut last: BTreeMap<&str, Revision> = BTreeMap::new();
+    fn changes_after(&self, after: Revision) -> Vec<Record> {
+        let mut last_change: BTreeMap<&str, Revision> = BTreeMap::new();
         let later = self.changes.iter().filter(|(at, _)| *at > after);
-        last.extend(later.map(|(at, key)| (key.as_str(), *at)));
-        let mut changed: Vec<_> = last
+        last_change.extend(later.map(|(at, key)| (key.as_str(), *at)));
+        let mut changed: Vec<_> = last_change
             .into_iter()
             .map(|(key, at)| self.get(key, at))
             .collect();
@@ -492,20 +503,20 @@
 
     /// Returns the current record of a key. A deleted one carries the given revision, at which the
     /// deletion was read.
-    fn get(&self, key: &str, gone: Revision) -> Record {
-        let known = self.all.get(key);
+    fn get(&self, key: &str, deleted_at: Revision) -> Record {
+        let current = self.all.get(key);
         Record {
             key: key.to_owned(),
-            value: known.map(|(_, value)| value.clone()),
-            revision: known.map_or(gone, |(revision, _)| *revision),
+            value: current.map(|(_, value)| value.clone()),
+            revision: current.map_or(deleted_at, |(revision, _)| *revision),
         }
     }
 }
 
 impl Record {
-    fn told(self, longest: usize) -> RecordUpdate {
+    fn into_update(self, max_bytes: usize) -> RecordUpdate {
         let content = match self.value {
-            Some(value) if value.len() > longest => Content::TooLong,
+            Some(value) if value.len() > max_bytes => Content::TooLong,
             Some(value) => Content::Value(value),
             None => Content::Deleted,
         };
--- a/crates/oatdale-relay/src/replica/ask.rs
+++ b/crates/oatdale-relay/src/replica/ask.rs
@@ -15,23 +15,23 @@
 use tokio::time::Instant;
 
 /// Timeout for connecting and for each pause in a response body.
-const PAUSE: Duration = Duration::from_millis(500);
+const IO_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Maximum length of a response: several times the largest value that the key-value service holds.
-const MAX_ANSWER: usize = 8 << 20;
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
 /// An error when fetching from a reader.
 #[derive(Debug, Snafu)]
 pub enum AskError {
     /// The request could not be encoded.
     #[snafu(display("cannot encode the request: {source}"))]
-    NotWritten {
+    Encode {
         /// The underlying error.
         source: ciborium::ser::Error<io::Error>,
     },
     /// The request could not be sent, or no response arrived in time.
     #[snafu(display("no response: {source}"))]
-    NoAnswer {
+    Send {
         /// The underlying error.
         source: SendError,
     },
@@ -43,13 +43,13 @@
     },
     /// The response body could not be read completely.
     #[snafu(display("cannot read the response body: {source}"))]
-    BrokenOff {
+    ReadBody {
         /// The underlying error.
         source: BodyError,
     },
     /// The response is not valid CBOR of the expected type.
     #[snafu(display("cannot decode the response: {source}"))]
-    Unreadable {
+    Decode {
         /// The underlying error.
         source: ciborium::de::Error<io::Error>,
     },
@@ -64,7 +64,7 @@
 impl Default for RecordsClient {
     fn default() -> Self {
         let pool = Pool::new(PoolConfig {
-            connect_timeout: PAUSE,
+            connect_timeout: IO_TIMEOUT,
             ..PoolConfig::default()
         });
         RecordsClient { pool }
@@ -72,7 +72,7 @@
 }
 
 impl RecordsClient {
-    /// Fetches the changes of a topic. The response has to begin within `patience` in addition to
+    /// Fetches the changes of a topic. The response has to begin within `timeout` in addition to
     /// the request's own wait time.
     ///
     /// # Errors
@@ -81,11 +81,11 @@
     pub async fn ask(
         &self,
         reader: SocketAddr,
-        question: &FetchRequest,
-        patience: Duration,
+        request: &FetchRequest,
+        timeout: Duration,
     ) -> Result<ReplicaUpdate, AskError> {
-        let time = question.wait() + patience;
-        self.exchange(reader, PATH, question, time).await
+        let response_timeout = request.wait() + timeout;
+        self.post(reader, PATH, request, response_timeout).await
     }
 
     /// Fetches the versions that a running node knows in an era.
@@ -97,33 +97,33 @@
         &self,
         node: SocketAddr,
         era: u64,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<Vec<KnownVersions>, AskError> {
-        self.exchange(node, KNOWN_PATH, &era, patience).await
+        self.post(node, KNOWN_PATH, &era, timeout).await
     }
 
-    /// Posts a payload and decodes the response, which has to begin within `time`.
-    async fn exchange<T: DeserializeOwned>(
+    /// Posts a payload and decodes the response, which has to begin within `response_timeout`.
+    async fn post<T: DeserializeOwned>(
         &self,
         node: SocketAddr,
         path: &'static str,
-        question: &impl Serialize,
-        time: Duration,
+        payload: &impl Serialize,
+        response_timeout: Duration,
     ) -> Result<T, AskError> {
         let mut body = Vec::new();
-        ciborium::into_writer(question, &mut body).context(NotWrittenSnafu)?;
+        ciborium::into_writer(payload, &mut body).context(EncodeSnafu)?;
         let mut req = Request::new(Full::from(body));
         *req.method_mut() = Method::POST;
         *req.uri_mut() = Uri::from_static(path);
-        let deadline = Instant::now() + time;
+        let deadline = Instant::now() + response_timeout;
         let sent = self.pool.send(node, req, Reuse::Allowed, deadline).await;
-        let res = sent.context(NoAnswerSnafu)?;
+        let res = sent.context(SendSnafu)?;
         if res.status() != StatusCode::OK {
             let status = res.status();
             return RefusedSnafu { status }.fail();
         }
-        let body = read_body(res.into_body(), MAX_ANSWER, PAUSE).await;
-        let body = body.context(BrokenOffSnafu)?;
-        ciborium::from_reader(body.as_ref()).context(UnreadableSnafu)
+        let body = read_body(res.into_body(), MAX_RESPONSE_BYTES, IO_TIMEOUT).await;
+        let body = body.context(ReadBodySnafu)?;
+        ciborium::from_reader(body.as_ref()).context(DecodeSnafu)
     }
 }
--- a/crates/oatdale-relay/src/replica/request.rs
+++ b/crates/oatdale-relay/src/replica/request.rs
@@ -13,7 +13,7 @@
 pub(crate) const KNOWN_PATH: &str = "/v1/records/versions";
 
 /// Maximum wait that a follower may request.
-const MOST_WAIT: Duration = Duration::from_secs(10);
+const MAX_WAIT: Duration = Duration::from_secs(10);
 
 /// A follower's request for the changes of a topic.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
@@ -30,6 +30,6 @@
 
 impl FetchRequest {
     pub(crate) fn wait(&self) -> Duration {
-        Duration::from_millis(self.wait_ms).min(MOST_WAIT)
+        Duration::from_millis(self.wait_ms).min(MAX_WAIT)
     }
 }
--- a/crates/oatdale-relay/src/replica/serve.rs
+++ b/crates/oatdale-relay/src/replica/serve.rs
@@ -11,25 +11,25 @@
 use std::time::Duration;
 
 /// Maximum length of a request body: a few numbers, names and addresses.
-const MAX_REQUEST: usize = 4 << 10;
+const MAX_REQUEST_BYTES: usize = 4 << 10;
 
 /// Timeout for each pause in a request body. Short, since a request fits in one packet.
-const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
+const REQUEST_STALL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Responds to a follower's fetch; 503 if it has to ask elsewhere.
 pub(crate) async fn answer(replica: &Replica, body: Incoming) -> Response<Body> {
-    let question = match read_request(body).await {
-        Ok(question) => question,
+    let req = match read_request(body).await {
+        Ok(req) => req,
         Err(reason) => return bad_request(&reason),
     };
-    match replica.tell(question).await {
-        Some(told) => encode(&told),
+    match replica.fetch(req).await {
+        Some(update) => encode(&update),
         None => plain(StatusCode::SERVICE_UNAVAILABLE, Bytes::new()),
     }
 }
 
 async fn read_request<T: DeserializeOwned>(body: Incoming) -> Result<T, String> {
-    let body = read_body(body, MAX_REQUEST, REQUEST_TIMEOUT).await;
+    let body = read_body(body, MAX_REQUEST_BYTES, REQUEST_STALL_TIMEOUT).await;
     let body = body.map_err(|err| err.to_string())?;
     ciborium::from_reader(body.as_ref()).map_err(|err| err.to_string())
 }
@@ -41,7 +41,7 @@
         Ok(era) => era,
         Err(reason) => return bad_request(&reason),
     };
-    match replica.versions(era).await {
+    match replica.versions_in_era(era).await {
         Some(versions) => encode(&versions),
         None => plain(StatusCode::SERVICE_UNAVAILABLE, Bytes::new()),
     }
--- a/crates/oatdale-relay/src/update.rs
+++ b/crates/oatdale-relay/src/update.rs
@@ -138,10 +138,11 @@
     /// A restored key-value service shows an order in a later era under the same number, and an
     /// order that the backup lacks is written again under another number.
     pub(crate) fn is_same_order(&self, other: &RollOut) -> bool {
-        let (own, other_order) = (self.order, other.order);
-        let is_again = own.number == other_order.number || own.era != other_order.era;
-        let is_like = self.target == other.target && self.duration == other.duration;
-        own == other_order || is_again && is_like
+        let (own_order, other_order) = (self.order, other.order);
+        let may_be_rewritten =
+            own_order.number == other_order.number || own_order.era != other_order.era;
+        let has_same_content = self.target == other.target && self.duration == other.duration;
+        own_order == other_order || may_be_rewritten && has_same_content
     }
 
     /// Whether another node's order is later than this one.
--- a/crates/oatdale-relay/src/versions.rs
+++ b/crates/oatdale-relay/src/versions.rs
@@ -16,15 +16,15 @@
 
 /// How long a leased record is kept that the restored service lacks. A running owner has written it
 /// again by then.
-const MISSING_TIME: Duration = Duration::from_millis(1_900);
+const MISSING_RETENTION: Duration = Duration::from_millis(1_900);
 
 /// How long a superseded leased record is ignored that the restored service shows again. A record
 /// that is still there afterwards is accepted, since its lease is being renewed.
-const OVERTAKEN_TIME: Duration = Duration::from_secs(10);
+const SUPERSEDED_RETENTION: Duration = Duration::from_secs(10);
 
 /// How long a superseded version is remembered. Backups are some seconds old when they are
 /// restored.
-const VERSION_TIME: Duration = Duration::from_secs(60);
+const VERSION_RETENTION: Duration = Duration::from_secs(60);
 
 /// Maximum number of superseded versions remembered per key.
 const MAX_VERSIONS: usize = 64;
@@ -43,13 +43,13 @@
 /// The versions of the records of one topic.
 #[derive(Debug)]
 pub struct Versions {
-    keep: fn(&str) -> Keep,
+    policy: fn(&str) -> Keep,
     era: Option<u64>,
     /// When the last restore was detected.
-    restored: Option<Duration>,
+    restored_at: Option<Duration>,
     keys: BTreeMap<String, KeyVersions>,
     /// Superseded versions of keys that were not read yet, as reported by another node.
-    learned: BTreeMap<String, VecDeque<(Version, Duration)>>,
+    peer_versions: BTreeMap<String, VecDeque<(Version, Duration)>>,
 }
 
 /// The versions of one key.
@@ -57,10 +57,10 @@
 struct KeyVersions {
     newest: Record,
     /// When the newest version was read.
-    read: Duration,
+    read_at: Duration,
     /// The superseded versions, oldest first, each with the time when it was superseded.
-    older: VecDeque<(Version, Duration)>,
-    kept: Option<Kept>,
+    superseded: VecDeque<(Version, Duration)>,
+    keep_reason: Option<KeepReason>,
 }
 
 /// One version of a record.
@@ -72,11 +72,11 @@
 
 /// Why a record is kept that differs from the service's.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Kept {
+enum KeepReason {
     /// The service lacks the record.
     Missing,
     /// The service shows this superseded version of the record.
-    Overtaken(Version),
+    Superseded(Version),
 }
 
 /// The versions of a key that a node knows, for a starting node.
@@ -100,35 +100,38 @@
 }
 
 impl Versions {
-    /// Creates an empty set of versions, where `keep` gives the policy for a key.
-    pub fn new(keep: fn(&str) -> Keep) -> Self {
+    /// Creates an empty set of versions, where `policy` gives the retention of a key.
+    pub fn new(policy: fn(&str) -> Keep) -> Self {
         Versions {
-            keep,
+            policy,
             era: None,
-            restored: None,
+            restored_at: None,
             keys: BTreeMap::new(),
-            learned: BTreeMap::new(),
+            peer_versions: BTreeMap::new(),
         }
     }
 
     /// Applies all records as read at a revision, and returns those that are valid.
     pub fn take_all(&mut self, now: Duration, revision: Revision, all: Vec<Record>) -> Vec<Record> {
-        self.note_era(now, revision.era);
-        let there: BTreeSet<String> = all.iter().map(|r| r.key.clone()).collect();
-        let mut count: Vec<Record> = all.into_iter().filter_map(|r| self.admit(now, r)).collect();
-        count.extend(self.keep_missing(now, revision, &there));
-        self.forget(now);
-        count
+        self.observe_era(now, revision.era);
+        let present: BTreeSet<String> = all.iter().map(|r| r.key.clone()).collect();
+        let mut valid: Vec<Record> = all
+            .into_iter()
+            .filter_map(|r| self.resolve(now, r))
+            .collect();
+        valid.extend(self.retain_missing(now, revision, &present));
+        self.evict_expired(now);
+        valid
     }
 
     /// Applies changes up to a revision. All of them are valid, since they were written after the
     /// backup was made.
     pub fn take_changes(&mut self, now: Duration, revision: Revision, changes: &[Record]) {
-        self.note_era(now, revision.era);
+        self.observe_era(now, revision.era);
         for record in changes {
             match self.keys.get_mut(&record.key) {
-                Some(key) if key.newest == *record => key.kept = None,
-                Some(key) => key.push(now, record.clone()),
+                Some(entry) if entry.newest == *record => entry.keep_reason = None,
+                Some(entry) => entry.push(now, record.clone()),
                 None => self.insert(now, record.clone()),
             }
         }
@@ -137,20 +140,20 @@
     /// Applies the versions that another node knows, before anything is read.
     pub fn learn(&mut self, now: Duration, known: Vec<KnownVersions>) {
         for known in known {
-            let older = known.overtaken.into_iter();
-            let older = older.map(|(revision, hash)| (Version { revision, hash }, now));
+            let superseded = known.overtaken.into_iter();
+            let superseded = superseded.map(|(revision, hash)| (Version { revision, hash }, now));
             let Some(kept) = known.kept else {
-                self.learned.insert(known.key, older.collect());
+                self.peer_versions.insert(known.key, superseded.collect());
                 continue;
             };
-            self.restored = Some(now);
+            self.restored_at = Some(now);
             let newest = Record {
                 key: known.key.clone(),
                 value: kept.value,
                 revision: kept.revision,
             };
-            let key = KeyVersions::new(now, newest, older.collect());
-            self.keys.insert(known.key, key);
+            let entry = KeyVersions::new(now, newest, superseded.collect());
+            self.keys.insert(known.key, entry);
         }
     }
 
@@ -158,15 +161,15 @@
     /// the service's.
     pub fn known(&self, now: Duration) -> Vec<KnownVersions> {
         let known = self.keys.iter().map(|(key, versions)| {
-            let keeps = |kept: &Kept| self.keeps(now, key, kept.time());
-            let kept = versions.kept.filter(keeps).map(|_| KeptVersion {
+            let is_kept = |reason: &KeepReason| self.takes_precedence(now, key, reason.retention());
+            let kept = versions.keep_reason.filter(is_kept).map(|_| KeptVersion {
                 value: versions.newest.value.clone(),
                 revision: versions.newest.revision,
             });
-            let older = versions.older.iter();
+            let superseded = versions.superseded.iter();
             KnownVersions {
                 key: key.clone(),
-                overtaken: older.map(|(v, _)| (v.revision, v.hash)).collect(),
+                overtaken: superseded.map(|(v, _)| (v.revision, v.hash)).collect(),
                 kept,
             }
         });
@@ -176,120 +179,128 @@
 
     /// Returns when all records have to be read again because the retention of a kept record ends.
     pub fn recheck_at(&self) -> Option<Duration> {
-        let restored = self.restored?;
-        let kept = self.keys.iter().filter_map(|(key, v)| Some((key, v.kept?)));
-        let leased = kept.filter(|(key, _)| (self.keep)(key) == Keep::WhileLeased);
-        let times = leased.map(|(_, kept)| kept.time());
-        times.min().map(|time| restored + time)
+        let restored_at = self.restored_at?;
+        let kept = self
+            .keys
+            .iter()
+            .filter_map(|(key, v)| Some((key, v.keep_reason?)));
+        let leased = kept.filter(|(key, _)| (self.policy)(key) == Keep::WhileLeased);
+        let times = leased.map(|(_, reason)| reason.retention());
+        times.min().map(|retention| restored_at + retention)
     }
 
-    fn note_era(&mut self, now: Duration, era: u64) {
+    fn observe_era(&mut self, now: Duration, era: u64) {
         if self.era.is_some_and(|known| known < era) {
-            self.restored = Some(now);
+            self.restored_at = Some(now);
         }
         self.era = self.era.max(Some(era));
     }
 
     /// Whether a key's known record takes precedence over the service's, which for a leased key
-    /// holds for `time` after a restore.
-    fn keeps(&self, now: Duration, key: &str, time: Duration) -> bool {
-        match ((self.keep)(key), self.restored) {
+    /// holds for `retention` after a restore.
+    fn takes_precedence(&self, now: Duration, key: &str, retention: Duration) -> bool {
+        match ((self.policy)(key), self.restored_at) {
             (Keep::Never, _) | (_, None) => false,
-            (Keep::WhileLeased, Some(restored)) => now < restored + time,
+            (Keep::WhileLeased, Some(restored_at)) => now < restored_at + retention,
             (Keep::UntilWritten, Some(_)) => true,
         }
     }
 
     /// Returns the record that is valid for one that was read; `None` if its key was deleted.
-    fn admit(&mut self, now: Duration, record: Record) -> Option<Record> {
-        let keeps = self.keeps(now, &record.key, OVERTAKEN_TIME);
-        let Some(key) = self.keys.get_mut(&record.key) else {
+    fn resolve(&mut self, now: Duration, record: Record) -> Option<Record> {
+        let takes_precedence = self.takes_precedence(now, &record.key, SUPERSEDED_RETENTION);
+        let Some(entry) = self.keys.get_mut(&record.key) else {
             self.insert(now, record.clone());
             return Some(record);
         };
         let version = Version::of(&record);
-        let older = key.older.iter().map(|(version, _)| *version);
-        let older = older.rev().find(|v| v.is_same_write(version));
-        match older {
-            _ if key.version().is_same_write(version) => {
-                key.kept = None;
-                Some(key.newest.clone())
+        let superseded = entry.superseded.iter().map(|(version, _)| *version);
+        let superseded = superseded.rev().find(|v| v.is_same_write(version));
+        match superseded {
+            _ if entry.version().is_same_write(version) => {
+                entry.keep_reason = None;
+                Some(entry.newest.clone())
             }
-            // It comes from a reader that had read less than this node.
-            _ if record.revision < key.newest.revision => {
-                key.newest.value.is_some().then(|| key.newest.clone())
+            // The record comes from a reader that had read less than this node.
+            _ if record.revision < entry.newest.revision => {
+                entry.newest.value.is_some().then(|| entry.newest.clone())
             }
-            Some(older) if keeps => {
-                key.kept = Some(Kept::Overtaken(older));
-                key.newest.value.is_some().then(|| key.newest.clone())
+            Some(superseded) if takes_precedence => {
+                entry.keep_reason = Some(KeepReason::Superseded(superseded));
+                entry.newest.value.is_some().then(|| entry.newest.clone())
             }
             _ => {
-                key.push(now, record.clone());
+                entry.push(now, record.clone());
                 Some(record)
             }
         }
     }
 
-    /// Returns the records that the service lacks but that are still valid.
-    fn keep_missing(
+    /// Returns the records that the service lacks but that are still valid, and marks the other
+    /// missing ones as deleted.
+    fn retain_missing(
         &mut self,
         now: Duration,
         revision: Revision,
-        there: &BTreeSet<String>,
+        present: &BTreeSet<String>,
     ) -> Vec<Record> {
         let known = self
             .keys
             .iter()
-            .filter(|(_, key)| key.newest.value.is_some());
-        let missing = known.filter(|(name, _)| !there.contains(*name));
+            .filter(|(_, entry)| entry.newest.value.is_some());
+        let missing = known.filter(|(name, _)| !present.contains(*name));
         let missing: Vec<_> = missing.map(|(name, _)| name.clone()).collect();
-        let mut kept = Vec::new();
+        let mut retained = Vec::new();
         for name in missing {
-            let keeps = self.keeps(now, &name, MISSING_TIME);
-            let Some(key) = self.keys.get_mut(&name) else {
+            let takes_precedence = self.takes_precedence(now, &name, MISSING_RETENTION);
+            let Some(entry) = self.keys.get_mut(&name) else {
                 continue;
             };
-            if keeps {
-                key.kept = Some(Kept::Missing);
-                kept.push(key.newest.clone());
+            if takes_precedence {
+                entry.keep_reason = Some(KeepReason::Missing);
+                retained.push(entry.newest.clone());
                 continue;
             }
-            let gone = Record {
+            let deletion = Record {
                 key: name,
                 value: None,
                 revision,
             };
-            key.push(now, gone);
+            entry.push(now, deletion);
         }
-        kept
+        retained
     }
 
     fn insert(&mut self, now: Duration, record: Record) {
         let key = record.key.clone();
-        let older = self.learned.remove(&key).unwrap_or_default();
-        self.keys.insert(key, KeyVersions::new(now, record, older));
+        let superseded = self.peer_versions.remove(&key).unwrap_or_default();
+        self.keys
+            .insert(key, KeyVersions::new(now, record, superseded));
     }
 
-    fn forget(&mut self, now: Duration) {
-        let is_old = |at: Duration| now > at + VERSION_TIME;
-        let last = |older: &VecDeque<(Version, Duration)>| older.back().map(|(_, at)| *at);
-        self.learned
-            .retain(|_, older| last(older).is_some_and(|at| !is_old(at)));
-        self.keys.retain(|_, key| {
-            let is_kept = key.kept.is_some();
-            key.older.retain(|(_, at)| is_kept || !is_old(*at));
-            key.newest.value.is_some() || is_kept || !is_old(key.read)
+    fn evict_expired(&mut self, now: Duration) {
+        let is_expired = |at: Duration| now > at + VERSION_RETENTION;
+        let last_superseded =
+            |superseded: &VecDeque<(Version, Duration)>| superseded.back().map(|(_, at)| *at);
+        self.peer_versions
+            .retain(|_, superseded| last_superseded(superseded).is_some_and(|at| !is_expired(at)));
+        self.keys.retain(|_, entry| {
+            let has_keep_reason = entry.keep_reason.is_some();
+            entry
+                .superseded
+                .retain(|(_, at)| has_keep_reason || !is_expired(*at));
+            entry.newest.value.is_some() || has_keep_reason || !is_expired(entry.read_at)
         });
     }
 }
 
 impl KeyVersions {
-    fn new(now: Duration, newest: Record, older: VecDeque<(Version, Duration)>) -> Self {
+    fn new(now: Duration, newest: Record, superseded: VecDeque<(Version, Duration)>) -> Self {
         KeyVersions {
             newest,
-            read: now,
-            older,
-            kept: None,
+            read_at: now,
+            superseded,
+            keep_reason: None,
         }
     }
 
@@ -298,22 +309,22 @@
     }
 
     fn push(&mut self, now: Duration, record: Record) {
-        self.older.push_back((self.version(), now));
-        if self.older.len() > MAX_VERSIONS {
-            self.older.pop_front();
+        self.superseded.push_back((self.version(), now));
+        if self.superseded.len() > MAX_VERSIONS {
+            self.superseded.pop_front();
         }
         self.newest = record;
-        self.read = now;
-        self.kept = None;
+        self.read_at = now;
+        self.keep_reason = None;
     }
 }
 
-impl Kept {
+impl KeepReason {
     /// How long a leased record is kept for this reason.
-    fn time(self) -> Duration {
+    fn retention(self) -> Duration {
         match self {
-            Kept::Missing => MISSING_TIME,
-            Kept::Overtaken(_) => OVERTAKEN_TIME,
+            KeepReason::Missing => MISSING_RETENTION,
+            KeepReason::Superseded(_) => SUPERSEDED_RETENTION,
         }
     }
 }
--- a/crates/oatdale-relay/tests/replica.rs
+++ b/crates/oatdale-relay/tests/replica.rs
@@ -13,7 +13,7 @@
 const WAIT: Duration = Duration::from_secs(1);
 
 /// A revision of the service in its first era.
-const fn at(number: u64) -> Revision {
+const fn rev(number: u64) -> Revision {
     Revision::new(1, number)
 }
 
@@ -21,15 +21,15 @@
     Record {
         key: key.to_owned(),
         value: Some(Bytes::from(revision.to_string())),
-        revision: at(revision),
+        revision: rev(revision),
     }
 }
 
-fn gone(key: &str, revision: u64) -> Record {
+fn deleted(key: &str, revision: u64) -> Record {
     Record {
         key: key.to_owned(),
         value: None,
-        revision: at(revision),
+        revision: rev(revision),
     }
 }
 
@@ -37,15 +37,15 @@
 fn replica() -> Replica {
     let replica = Replica::default();
     replica.set_longest(100);
-    replica.replace(TOPIC, at(10), &[record("a", 3), record("b", 7)]);
+    replica.replace(TOPIC, rev(10), &[record("a", 3), record("b", 7)]);
     replica
 }
 
-fn keys(told: &ReplicaUpdate) -> Vec<&str> {
-    told.records.iter().map(|r| r.key.as_str()).collect()
+fn keys(update: &ReplicaUpdate) -> Vec<&str> {
+    update.records.iter().map(|r| r.key.as_str()).collect()
 }
 
-fn question(after: Option<Revision>, wait: Duration) -> FetchRequest {
+fn request(after: Option<Revision>, wait: Duration) -> FetchRequest {
     FetchRequest {
         topic: TOPIC,
         after,
@@ -70,179 +70,189 @@
     nodes.iter().map(|n| n.host.as_str()).collect()
 }
 
-async fn tell(replica: &Replica, after: Option<Revision>) -> Option<ReplicaUpdate> {
-    replica.tell(question(after, NO_WAIT)).await
+async fn fetch(replica: &Replica, after: Option<Revision>) -> Option<ReplicaUpdate> {
+    replica.fetch(request(after, NO_WAIT)).await
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_follower_that_knows_nothing_gets_everything() {
-    let told = tell(&replica(), None).await.expect("an update");
-    assert!(told.is_snapshot);
-    assert_eq!((told.revision.number, keys(&told)), (10, vec!["a", "b"]));
-    assert_eq!(told.back, None);
+async fn a_fetch_without_a_revision_returns_a_snapshot() {
+    let update = fetch(&replica(), None).await.expect("an update");
+    assert!(update.is_snapshot);
+    assert_eq!(
+        (update.revision.number, keys(&update)),
+        (10, vec!["a", "b"])
+    );
+    assert_eq!(update.back, None);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_follower_goes_on_from_where_it_is() {
+async fn a_fetch_with_a_revision_returns_the_changes_after_it() {
     let replica = replica();
     replica.change(
         TOPIC,
-        at(14),
-        &[record("c", 11), gone("a", 12), record("c", 14)],
+        rev(14),
+        &[record("c", 11), deleted("a", 12), record("c", 14)],
+    );
+    let update = fetch(&replica, Some(rev(10))).await.expect("an update");
+    assert!(!update.is_snapshot);
+    assert_eq!(
+        (update.revision.number, keys(&update)),
+        (14, vec!["a", "c"])
     );
-    let told = tell(&replica, Some(at(10))).await.expect("an update");
-    assert!(!told.is_snapshot);
-    assert_eq!((told.revision.number, keys(&told)), (14, vec!["a", "c"]));
-    assert_eq!(told.records[0].content, Content::Deleted);
-    let told = tell(&replica, Some(at(12))).await.expect("an update");
-    assert_eq!(keys(&told), ["c"]);
-    let told = tell(&replica, Some(at(14))).await.expect("an update");
-    assert_eq!((told.revision.number, keys(&told)), (14, vec![]));
+    assert_eq!(update.records[0].content, Content::Deleted);
+    let update = fetch(&replica, Some(rev(12))).await.expect("an update");
+    assert_eq!(keys(&update), ["c"]);
+    let update = fetch(&replica, Some(rev(14))).await.expect("an update");
+    assert_eq!((update.revision.number, keys(&update)), (14, vec![]));
 }
 
 // A follower switches from a reader that was ahead of this one. Its revision must not go back to
 // this reader's.
 #[tokio::test(start_paused = true)]
-async fn a_follower_that_is_ahead_stays_there() {
+async fn a_follower_ahead_of_the_reader_keeps_its_revision() {
     let replica = replica();
-    let told = tell(&replica, Some(at(20))).await.expect("an update");
-    assert_eq!((told.revision.number, keys(&told)), (20, vec![]));
-    replica.change(TOPIC, at(21), &[record("b", 21)]);
-    let told = tell(&replica, Some(at(20))).await.expect("an update");
-    assert_eq!((told.revision.number, keys(&told)), (21, vec!["b"]));
+    let update = fetch(&replica, Some(rev(20))).await.expect("an update");
+    assert_eq!((update.revision.number, keys(&update)), (20, vec![]));
+    replica.change(TOPIC, rev(21), &[record("b", 21)]);
+    let update = fetch(&replica, Some(rev(20))).await.expect("an update");
+    assert_eq!((update.revision.number, keys(&update)), (21, vec!["b"]));
 }
 
 // Changes that were discarded, or made before the reader began to read, cannot be sent
 // individually.
 #[tokio::test(start_paused = true)]
-async fn who_is_too_far_behind_gets_everything() {
+async fn a_follower_behind_all_kept_changes_gets_a_snapshot() {
     let replica = replica();
-    let told = tell(&replica, Some(at(9))).await.expect("an update");
-    assert!(told.is_snapshot);
+    let update = fetch(&replica, Some(rev(9))).await.expect("an update");
+    assert!(update.is_snapshot);
     for revision in 11..6_000 {
-        replica.change(TOPIC, at(revision), &[record("a", revision)]);
+        replica.change(TOPIC, rev(revision), &[record("a", revision)]);
     }
-    let told = tell(&replica, Some(at(11))).await.expect("an update");
-    assert!(told.is_snapshot);
-    let told = tell(&replica, Some(at(5_900))).await.expect("an update");
-    assert!(!told.is_snapshot);
+    let update = fetch(&replica, Some(rev(11))).await.expect("an update");
+    assert!(update.is_snapshot);
+    let update = fetch(&replica, Some(rev(5_900))).await.expect("an update");
+    assert!(!update.is_snapshot);
 }
 
 // The reader has to re-read all records after an outage. Its followers must get the difference, or
 // an endpoint that was deleted meanwhile would stay in their records for ever.
 #[tokio::test(start_paused = true)]
-async fn reading_anew_tells_what_differs() {
+async fn a_full_re_read_is_served_as_changes() {
     let replica = replica();
-    replica.replace(TOPIC, at(20), &[record("b", 7), record("c", 18)]);
-    let told = tell(&replica, Some(at(10))).await.expect("an update");
-    assert!(!told.is_snapshot);
-    assert_eq!((told.revision.number, keys(&told)), (20, vec!["c", "a"]));
-    assert_eq!(told.records[1].content, Content::Deleted);
+    replica.replace(TOPIC, rev(20), &[record("b", 7), record("c", 18)]);
+    let update = fetch(&replica, Some(rev(10))).await.expect("an update");
+    assert!(!update.is_snapshot);
+    assert_eq!(
+        (update.revision.number, keys(&update)),
+        (20, vec!["c", "a"])
+    );
+    assert_eq!(update.records[1].content, Content::Deleted);
 }
 
 // A follower learned from another reader of an endpoint that was written and deleted again while
 // this reader was cut off from the service. If this reader sent only its own differences, the
 // follower would send requests to that endpoint for ever.
 #[tokio::test(start_paused = true)]
-async fn who_was_ahead_of_a_reader_that_reads_anew_gets_everything() {
+async fn a_follower_inside_a_gap_gets_a_snapshot() {
     let replica = replica();
-    replica.replace(TOPIC, at(20), &[record("a", 3), record("b", 7)]);
-    let told = tell(&replica, Some(at(15))).await.expect("an update");
-    assert!(told.is_snapshot);
-    let told = tell(&replica, Some(at(10))).await.expect("an update");
-    assert!(!told.is_snapshot);
-    let told = tell(&replica, Some(at(20))).await.expect("an update");
-    assert!(!told.is_snapshot);
+    replica.replace(TOPIC, rev(20), &[record("a", 3), record("b", 7)]);
+    let update = fetch(&replica, Some(rev(15))).await.expect("an update");
+    assert!(update.is_snapshot);
+    let update = fetch(&replica, Some(rev(10))).await.expect("an update");
+    assert!(!update.is_snapshot);
+    let update = fetch(&replica, Some(rev(20))).await.expect("an update");
+    assert!(!update.is_snapshot);
     for n in 0..200 {
-        replica.replace(TOPIC, at(30 + n), &[record("a", 3), record("b", 7)]);
+        replica.replace(TOPIC, rev(30 + n), &[record("a", 3), record("b", 7)]);
     }
     // The number of remembered gaps is bounded; a follower that is behind them gets a snapshot.
-    let told = tell(&replica, Some(at(15))).await.expect("an update");
-    assert!(told.is_snapshot);
+    let update = fetch(&replica, Some(rev(15))).await.expect("an update");
+    assert!(update.is_snapshot);
 }
 
 // A change is written while the reader reads a snapshot page by page. A later page holds it, with a
 // revision after that of the first page, from which the reader continues. A follower at the first
 // page's revision must get it too.
 #[tokio::test(start_paused = true)]
-async fn what_later_pages_hold_is_told() {
+async fn a_change_on_a_later_page_is_served_to_a_follower_at_the_first_page() {
     let replica = replica();
-    replica.replace(TOPIC, at(20), &[record("b", 7), record("c", 25)]);
-    let told = tell(&replica, Some(at(10))).await.expect("an update");
-    assert_eq!(keys(&told), ["a", "c"]);
-    let told = tell(&replica, Some(at(20))).await.expect("an update");
-    assert_eq!(keys(&told), ["c"]);
+    replica.replace(TOPIC, rev(20), &[record("b", 7), record("c", 25)]);
+    let update = fetch(&replica, Some(rev(10))).await.expect("an update");
+    assert_eq!(keys(&update), ["a", "c"]);
+    let update = fetch(&replica, Some(rev(20))).await.expect("an update");
+    assert_eq!(keys(&update), ["c"]);
 }
 
 // An endpoint leaves while a follower waits at the reader. The follower must learn it at once, not
 // with its next request.
 #[tokio::test(start_paused = true)]
-async fn who_waits_is_told_at_once() {
+async fn a_waiting_fetch_returns_a_change_at_once() {
     let replica = Arc::new(replica());
-    let asked = replica.clone();
-    let waiting = tokio::spawn(async move { asked.tell(question(Some(at(10)), WAIT)).await });
+    let reader = replica.clone();
+    let pending = tokio::spawn(async move { reader.fetch(request(Some(rev(10)), WAIT)).await });
     tokio::time::sleep(WAIT / 4).await;
-    let began = Instant::now();
-    replica.change(TOPIC, at(11), &[gone("a", 11)]);
-    let told = waiting
+    let start = Instant::now();
+    replica.change(TOPIC, rev(11), &[deleted("a", 11)]);
+    let update = pending
         .await
         .expect("the fetch completes")
         .expect("an update");
-    assert_eq!(keys(&told), ["a"]);
-    assert!(began.elapsed() < Duration::from_millis(1));
+    assert_eq!(keys(&update), ["a"]);
+    assert!(start.elapsed() < Duration::from_millis(1));
 }
 
 #[tokio::test(start_paused = true)]
-async fn who_waits_for_nothing_is_told_so_in_the_end() {
+async fn a_waiting_fetch_without_changes_returns_after_its_wait() {
     let replica = replica();
-    let began = Instant::now();
-    let told = replica.tell(question(Some(at(10)), WAIT)).await;
-    assert_eq!(keys(&told.expect("an update")), Vec::<&str>::new());
-    assert_eq!(began.elapsed(), WAIT);
+    let start = Instant::now();
+    let update = replica.fetch(request(Some(rev(10)), WAIT)).await;
+    assert_eq!(keys(&update.expect("an update")), Vec::<&str>::new());
+    assert_eq!(start.elapsed(), WAIT);
 }
 
 // The reader is cut off from the service and its followers are not. If they kept waiting at the
 // reader, they would send requests to endpoints that have left.
 #[tokio::test(start_paused = true)]
-async fn who_waits_is_sent_elsewhere_when_the_service_is_silent() {
+async fn a_waiting_fetch_is_refused_when_the_service_becomes_unreachable() {
     let replica = Arc::new(replica());
-    let asked = replica.clone();
-    let waiting = tokio::spawn(async move { asked.tell(question(Some(at(10)), WAIT)).await });
+    let reader = replica.clone();
+    let pending = tokio::spawn(async move { reader.fetch(request(Some(rev(10)), WAIT)).await });
     tokio::time::sleep(WAIT / 4).await;
     replica.suspend();
-    let told = timeout(WAIT / 100, waiting).await;
+    let ended = timeout(WAIT / 100, pending).await;
     assert_eq!(
-        told.expect("the fetch ends at once")
+        ended
+            .expect("the fetch ends at once")
             .expect("the fetch completes"),
         None
     );
-    assert_eq!(tell(&replica, Some(at(10))).await, None);
+    assert_eq!(fetch(&replica, Some(rev(10))).await, None);
     // An answer for the operators' topic does not show that the endpoints are current.
-    replica.replace(Topic::Operators, at(12), &[]);
-    assert_eq!(tell(&replica, Some(at(10))).await, None);
+    replica.replace(Topic::Operators, rev(12), &[]);
+    assert_eq!(fetch(&replica, Some(rev(10))).await, None);
 }
 
 // Endpoints whose records expired during an outage write them again shortly afterwards. A follower
 // that did not detect the outage itself must not treat them as gone.
 #[tokio::test(start_paused = true)]
-async fn followers_hear_that_the_service_was_away() {
+async fn an_update_carries_the_time_since_an_outage_ended() {
     let replica = replica();
     replica.suspend();
-    replica.replace(TOPIC, at(20), &[record("b", 7)]);
+    replica.replace(TOPIC, rev(20), &[record("b", 7)]);
     tokio::time::sleep(WAIT).await;
-    let told = tell(&replica, Some(at(10))).await.expect("an update");
-    assert_eq!(told.back, Some(WAIT));
+    let update = fetch(&replica, Some(rev(10))).await.expect("an update");
+    assert_eq!(update.back, Some(WAIT));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_node_that_reads_elsewhere_tells_nothing() {
+async fn a_cleared_replica_refuses_fetches() {
     let replica = replica();
     assert!(replica.has(TOPIC));
     replica.clear();
     assert!(!replica.has(TOPIC));
-    assert_eq!(tell(&replica, None).await, None);
-    replica.change(TOPIC, at(30), &[record("a", 30)]);
-    assert_eq!(tell(&replica, None).await, None);
+    assert_eq!(fetch(&replica, None).await, None);
+    replica.change(TOPIC, rev(30), &[record("a", 30)]);
+    assert_eq!(fetch(&replica, None).await, None);
 }
 
 // A configuration with some thousand routes would saturate the reader's link and delay updates of
@@ -252,51 +262,51 @@
     let replica = replica();
     let mut long = record("a", 11);
     long.value = Some(Bytes::from(vec![b'x'; 101]));
-    replica.change(TOPIC, at(11), &[long]);
-    let told = tell(&replica, Some(at(10))).await.expect("an update");
-    assert_eq!(told.records[0].content, Content::TooLong);
-    assert_eq!(told.records[0].revision, at(11));
+    replica.change(TOPIC, rev(11), &[long]);
+    let update = fetch(&replica, Some(rev(10))).await.expect("an update");
+    assert_eq!(update.records[0].content, Content::TooLong);
+    assert_eq!(update.records[0].revision, rev(11));
 }
 
 // All nodes start at once, and a request arrives before the node knows that it is a reader. If it
 // refused, all other nodes would read all records from the service themselves.
 #[tokio::test(start_paused = true)]
-async fn who_asks_too_early_waits_until_the_records_are_read() {
+async fn an_early_fetch_waits_until_the_records_are_loaded() {
     let replica = Arc::new(Replica::default());
-    let asked = replica.clone();
-    let waiting = tokio::spawn(async move { asked.tell(question(None, WAIT)).await });
+    let reader = replica.clone();
+    let pending = tokio::spawn(async move { reader.fetch(request(None, WAIT)).await });
     timeout(WAIT / 4, replica.wanted())
         .await
         .expect("the early request is signalled");
-    replica.replace(TOPIC, at(10), &[record("a", 3)]);
-    let told = waiting
+    replica.replace(TOPIC, rev(10), &[record("a", 3)]);
+    let update = pending
         .await
         .expect("the fetch completes")
         .expect("an update");
-    assert_eq!(keys(&told), ["a"]);
-    assert_eq!(Replica::default().tell(question(None, WAIT)).await, None);
+    assert_eq!(keys(&update), ["a"]);
+    assert_eq!(Replica::default().fetch(request(None, WAIT)).await, None);
 }
 
 // Followers have no record of their own. Callers must get their addresses while they run, and no
 // longer soon after they lost power.
 #[tokio::test(start_paused = true)]
-async fn who_asks_is_known_to_run() {
+async fn a_fetching_node_is_listed_as_running() {
     let replica = Arc::new(replica());
-    let mut asking = question(Some(at(10)), WAIT);
-    asking.node = Some(node("f"));
+    let mut announcing = request(Some(rev(10)), WAIT);
+    announcing.node = Some(node("f"));
     for _ in 0..5 {
-        let asked = replica.clone();
-        let question = asking.clone();
-        let waiting = tokio::spawn(async move { asked.tell(question).await });
+        let reader = replica.clone();
+        let cloned = announcing.clone();
+        let pending = tokio::spawn(async move { reader.fetch(cloned).await });
         tokio::time::sleep(WAIT / 2).await;
         assert_eq!(hosts(&replica.members()), ["f"]);
-        waiting.await.expect("the fetch completes");
+        pending.await.expect("the fetch completes");
     }
     // The connection breaks while the request is in flight.
-    let asked = replica.clone();
-    let waiting = tokio::spawn(async move { asked.tell(asking).await });
+    let reader = replica.clone();
+    let pending = tokio::spawn(async move { reader.fetch(announcing).await });
     tokio::time::sleep(WAIT / 2).await;
-    waiting.abort();
+    pending.abort();
     tokio::time::sleep(WAIT).await;
     assert_eq!(hosts(&replica.members()), ["f"]);
     tokio::time::sleep(WAIT).await;
@@ -306,25 +316,25 @@
 // A process ends and the next one on its host sends a request before the first one's connection is
 // known to be broken.
 #[test]
-fn the_next_process_of_a_host_takes_its_place() {
+fn a_restarted_process_replaces_the_previous_one_on_its_host() {
     let mut members = Members::default();
-    let at = Duration::from_secs;
-    members.asks(at(0), node("f"));
-    members.asks(at(1), node("f"));
-    members.answered(at(2), "f");
-    assert_eq!(hosts(&members.running(at(9))), ["f"]);
-    members.answered(at(10), "f");
-    assert_eq!(hosts(&members.running(at(11))), ["f"]);
-    assert!(members.running(at(12)).is_empty());
+    let secs = Duration::from_secs;
+    members.begin_request(secs(0), node("f"));
+    members.begin_request(secs(1), node("f"));
+    members.end_request(secs(2), "f");
+    assert_eq!(hosts(&members.running(secs(9))), ["f"]);
+    members.end_request(secs(10), "f");
+    assert_eq!(hosts(&members.running(secs(11))), ["f"]);
+    assert!(members.running(secs(12)).is_empty());
 }
 
 // A client keeps sending requests under new host names. The list of nodes must not outgrow what a
 // record can hold.
 #[test]
-fn the_nodes_that_are_listed_are_bounded() {
+fn the_number_of_listed_nodes_is_bounded() {
     let mut members = Members::default();
     for n in 0..5_000 {
-        members.asks(Duration::ZERO, node(&format!("f-{n}")));
+        members.begin_request(Duration::ZERO, node(&format!("f-{n}")));
     }
     assert!(members.running(Duration::ZERO).len() <= 1_024);
 }
--- a/crates/oatdale-relay/tests/replica_spec.rs
+++ b/crates/oatdale-relay/tests/replica_spec.rs
@@ -17,25 +17,25 @@
 const KEYS: [&str; 2] = ["a", "b"];
 
 /// Maximum number of changes.
-const CHANGES: usize = 3;
+const MAX_CHANGES: usize = 3;
 
 /// Maximum number of reads of a reader between restarts.
-const READS: usize = 2;
+const MAX_READS: usize = 2;
 
-const MOST_STATES: usize = 3_000_000;
+const MAX_STATES: usize = 3_000_000;
 
 /// A fault that is injected on purpose.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Break {
-    Nothing,
+enum Fault {
+    Absent,
     /// A reader reports the service's revision as its own although its watch delivered less.
-    TooFar,
+    OverstatedRevision,
     /// A reader that reaches the service again continues without the changes that it missed.
-    SkipsWhatItMissed,
+    SkipsMissedChanges,
     /// A follower that gets a snapshot keeps records that are not in it.
-    KeepsWhatIsGone,
+    KeepsDeletedKeys,
     /// A reader keeps serving its records while the service does not answer it.
-    TellsWhileAway,
+    ServesWhileUnreachable,
 }
 
 /// One change: a key, and whether it was written (or else deleted). Its revision is its position,
@@ -46,35 +46,35 @@
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 enum Read {
     /// A snapshot at this revision.
-    All(usize),
+    Snapshot(usize),
     /// The changes after the first revision, up to and including the second.
     Changes(usize, usize),
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Default)]
 struct Reader {
-    read: Vec<Read>,
+    reads: Vec<Read>,
     /// The revision at which the reader lost the service, if it has.
-    away: Option<usize>,
+    unreachable_since: Option<usize>,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Default)]
 struct Follower {
     after: Option<usize>,
     /// For each key that the follower holds, the revision at which it was written.
-    holds: [Option<usize>; KEYS.len()],
+    values: [Option<usize>; KEYS.len()],
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Default)]
-struct World {
+struct Model {
     changes: Vec<Change>,
     readers: [Reader; READERS],
     follower: Follower,
-    wrong: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
-struct Spread {
-    broken: Break,
+struct Replication {
+    fault: Fault,
 }
 
 /// The service's revision with this number.
@@ -84,192 +84,201 @@
 
 /// The revision at which a key was written, as of the first `revision` changes; `None` if it does
 /// not exist.
-fn held(changes: &[Change], revision: usize, key: usize) -> Option<usize> {
+fn written_at(changes: &[Change], revision: usize, key: usize) -> Option<usize> {
     let last = (0..revision).rev().find(|&i| changes[i].0 == key)?;
     changes[last].1.then_some(last + 1)
 }
 
-fn record(key: usize, held: Option<usize>, revision: usize) -> Record {
+fn record(key: usize, written_at: Option<usize>, revision: usize) -> Record {
     Record {
         key: KEYS[key].to_owned(),
-        value: held.map(|at| Bytes::from(at.to_string())),
+        value: written_at.map(|at| Bytes::from(at.to_string())),
         revision: at(revision),
     }
 }
 
-fn all(changes: &[Change], revision: usize) -> Vec<Record> {
+/// The records that exist at a revision.
+fn state(changes: &[Change], revision: usize) -> Vec<Record> {
     let keys = 0..KEYS.len();
-    let there = keys.filter_map(|key| Some((key, held(changes, revision, key)?)));
-    there.map(|(key, at)| record(key, Some(at), at)).collect()
+    let existing = keys.filter_map(|key| Some((key, written_at(changes, revision, key)?)));
+    existing
+        .map(|(key, at)| record(key, Some(at), at))
+        .collect()
 }
 
-fn between(changes: &[Change], after: usize, upto: usize) -> Vec<Record> {
-    let told = (after..upto).map(|i| {
+fn changes_between(changes: &[Change], after: usize, to: usize) -> Vec<Record> {
+    let changed = (after..to).map(|i| {
         let (key, is_written) = changes[i];
         record(key, is_written.then_some(i + 1), i + 1)
     });
-    told.collect()
+    changed.collect()
 }
 
 impl Reader {
     fn revision(&self) -> Option<usize> {
-        self.read.last().map(|read| match read {
-            Read::All(at) => *at,
-            Read::Changes(_, upto) => *upto,
+        self.reads.last().map(|read| match read {
+            Read::Snapshot(at) => *at,
+            Read::Changes(_, to) => *to,
         })
     }
 }
 
-impl Spread {
+impl Replication {
     /// Returns the response of the production replica to a follower of this reader.
-    fn told(&self, world: &World, reader: &Reader, after: Option<usize>) -> Option<ReplicaUpdate> {
+    fn reply(&self, model: &Model, reader: &Reader, after: Option<usize>) -> Option<ReplicaUpdate> {
         let replica = Replica::default();
         replica.set_longest(100);
-        for read in &reader.read {
+        for read in &reader.reads {
             match *read {
-                Read::All(at) => {
-                    replica.replace(Topic::Endpoints, self::at(at), &all(&world.changes, at));
+                Read::Snapshot(at) => {
+                    replica.replace(Topic::Endpoints, self::at(at), &state(&model.changes, at));
                 }
-                Read::Changes(from, upto) => {
-                    let revision = match self.broken {
-                        Break::TooFar => world.changes.len(),
-                        _ => upto,
+                Read::Changes(from, to) => {
+                    let revision = match self.fault {
+                        Fault::OverstatedRevision => model.changes.len(),
+                        _ => to,
                     };
-                    let changes = between(&world.changes, from, upto);
+                    let changes = changes_between(&model.changes, from, to);
                     replica.change(Topic::Endpoints, at(revision), &changes);
                 }
             }
         }
-        if reader.away.is_some() && self.broken != Break::TellsWhileAway {
+        if reader.unreachable_since.is_some() && self.fault != Fault::ServesWhileUnreachable {
             replica.suspend();
         }
-        let question = FetchRequest {
+        let request = FetchRequest {
             topic: Topic::Endpoints,
             after: after.map(at),
             wait_ms: 0,
             node: None,
         };
         // A request that is held because the records are not loaded yet ends without a response.
-        replica.tell(question).now_or_never().flatten()
+        replica.fetch(request).now_or_never().flatten()
     }
 
     /// The follower fetches from a reader.
-    fn ask(&self, world: &World, at: usize) -> Option<(String, World)> {
-        let reader = &world.readers[at];
-        let told = self.told(world, reader, world.follower.after)?;
-        let mut next = world.clone();
-        if reader.away.is_some_and(|since| since < world.changes.len()) && told.records.is_empty() {
-            next.wrong = Some("a reader without the service reports no changes");
+    fn fetch_from(&self, model: &Model, index: usize) -> Option<(String, Model)> {
+        let reader = &model.readers[index];
+        let update = self.reply(model, reader, model.follower.after)?;
+        let mut next = model.clone();
+        if reader
+            .unreachable_since
+            .is_some_and(|since| since < model.changes.len())
+            && update.records.is_empty()
+        {
+            next.violation = Some("a reader without the service reports no changes");
         }
-        self.take(&mut next, &told);
-        Some((format!("the follower fetches from reader {at}"), next))
+        self.apply(&mut next, &update);
+        Some((format!("the follower fetches from reader {index}"), next))
     }
 
-    fn take(&self, world: &mut World, told: &ReplicaUpdate) {
-        let follower = &mut world.follower;
-        if told.is_snapshot && self.broken != Break::KeepsWhatIsGone {
-            follower.holds = Default::default();
+    fn apply(&self, model: &mut Model, update: &ReplicaUpdate) {
+        let follower = &mut model.follower;
+        if update.is_snapshot && self.fault != Fault::KeepsDeletedKeys {
+            follower.values = Default::default();
         }
-        for record in &told.records {
+        for record in &update.records {
             let key = KEYS.iter().position(|k| *k == record.key);
             let key = key.expect("the key is one of KEYS");
-            follower.holds[key] = match &record.content {
+            follower.values[key] = match &record.content {
                 Content::Value(_) => Some(record.revision.number as usize),
                 Content::Deleted | Content::TooLong => None,
             };
         }
-        let revision = told.revision.number as usize;
+        let revision = update.revision.number as usize;
         if follower.after.is_some_and(|after| revision < after) {
-            world.wrong = Some("the follower's revision went back");
+            model.violation = Some("the follower's revision went back");
         }
         follower.after = Some(revision);
     }
 
     /// The follower reads from the service.
-    fn look(world: &World) -> (String, World) {
-        let mut next = world.clone();
-        let now = world.changes.len();
+    fn read_service(model: &Model) -> (String, Model) {
+        let mut next = model.clone();
+        let now = model.changes.len();
         next.follower = Follower {
             after: Some(now),
-            holds: std::array::from_fn(|key| held(&world.changes, now, key)),
+            values: std::array::from_fn(|key| written_at(&model.changes, now, key)),
         };
         ("the follower reads from the service".to_owned(), next)
     }
 
-    fn of_reader(&self, world: &World, at: usize) -> Vec<(String, World)> {
-        let now = world.changes.len();
-        let reader = &world.readers[at];
+    fn reader_steps(&self, model: &Model, index: usize) -> Vec<(String, Model)> {
+        let now = model.changes.len();
+        let reader = &model.readers[index];
         let mut steps = Vec::new();
-        let mut step = |what: &str, reader: Reader| {
-            let mut next = world.clone();
-            next.readers[at] = reader;
-            steps.push((format!("reader {at} {what}"), next));
+        let mut step = |action: &str, reader: Reader| {
+            let mut next = model.clone();
+            next.readers[index] = reader;
+            steps.push((format!("reader {index} {action}"), next));
         };
         step("dies", Reader::default());
-        if reader.away.is_none() && !reader.read.is_empty() {
-            let away = Reader {
-                away: Some(now),
+        if reader.unreachable_since.is_none() && !reader.reads.is_empty() {
+            let disconnected = Reader {
+                unreachable_since: Some(now),
                 ..reader.clone()
             };
-            step("loses the service", away);
+            step("loses the service", disconnected);
         }
-        if reader.read.len() < READS {
-            let and = |read| Reader {
-                read: reader.read.iter().cloned().chain([read]).collect(),
-                away: None,
+        if reader.reads.len() < MAX_READS {
+            let with = |read| Reader {
+                reads: reader.reads.iter().cloned().chain([read]).collect(),
+                unreachable_since: None,
             };
-            step("reads a snapshot", and(Read::All(now)));
-            if self.broken == Break::SkipsWhatItMissed && reader.away.is_some() {
-                step("reaches the service again", and(Read::Changes(now, now)));
+            step("reads a snapshot", with(Read::Snapshot(now)));
+            if self.fault == Fault::SkipsMissedChanges && reader.unreachable_since.is_some() {
+                step("reaches the service again", with(Read::Changes(now, now)));
             }
-            let known = reader.revision().filter(|_| reader.away.is_none());
-            for upto in known.map_or(0..0, |known| known + 1..now + 1) {
+            let known = reader
+                .revision()
+                .filter(|_| reader.unreachable_since.is_none());
+            for to in known.map_or(0..0, |known| known + 1..now + 1) {
                 let from = known.unwrap_or_default();
-                step("reads changes", and(Read::Changes(from, upto)));
+                step("reads changes", with(Read::Changes(from, to)));
             }
         }
         steps
     }
 }
 
-impl Spec for Spread {
-    type State = World;
+impl Spec for Replication {
+    type State = Model;
 
-    fn initial(&self) -> Vec<World> {
-        vec![World::default()]
+    fn initial(&self) -> Vec<Model> {
+        vec![Model::default()]
     }
 
-    fn steps(&self, world: &World) -> Vec<(String, World)> {
+    fn steps(&self, model: &Model) -> Vec<(String, Model)> {
         let mut steps = Vec::new();
-        if world.changes.len() < CHANGES {
+        if model.changes.len() < MAX_CHANGES {
             for (key, name) in KEYS.iter().enumerate() {
-                let is_there = held(&world.changes, world.changes.len(), key).is_some();
-                let mut next = world.clone();
-                next.changes.push((key, !is_there));
+                let exists = written_at(&model.changes, model.changes.len(), key).is_some();
+                let mut next = model.clone();
+                next.changes.push((key, !exists));
                 steps.push((format!("{name} changes"), next));
             }
         }
-        for at in 0..READERS {
-            steps.extend(self.of_reader(world, at));
-            steps.extend(self.ask(world, at));
+        for index in 0..READERS {
+            steps.extend(self.reader_steps(model, index));
+            steps.extend(self.fetch_from(model, index));
         }
-        steps.push(Self::look(world));
+        steps.push(Self::read_service(model));
         steps
     }
 
-    fn invariant(&self, world: &World) -> Result<(), String> {
-        if let Some(wrong) = world.wrong {
-            return Err(wrong.to_owned());
+    fn invariant(&self, model: &Model) -> Result<(), String> {
+        if let Some(violation) = model.violation {
+            return Err(violation.to_owned());
         }
-        let Some(after) = world.follower.after else {
+        let Some(after) = model.follower.after else {
             return Ok(());
         };
         // Each key must have its value as of the follower's revision or a later one.
-        let is_known = |key: usize| {
-            let mut later = after..=world.changes.len();
-            later.any(|revision| held(&world.changes, revision, key) == world.follower.holds[key])
+        let is_current = |key: usize| {
+            let mut later = after..=model.changes.len();
+            later.any(|n| written_at(&model.changes, n, key) == model.follower.values[key])
         };
-        match (0..KEYS.len()).all(is_known) {
+        match (0..KEYS.len()).all(is_current) {
             true => Ok(()),
             false => Err("the follower missed a change".to_owned()),
         }
@@ -277,19 +286,19 @@
 }
 
 /// Explores the model with a paused clock, on which the production code's timeouts run.
-fn explored(broken: Break) -> Result<usize, Counterexample> {
+fn explore_with(fault: Fault) -> Result<usize, Counterexample> {
     let runtime = Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build()
         .expect("the runtime starts");
     let _clock = runtime.enter();
-    explore(&Spread { broken }, MOST_STATES)
+    explore(&Replication { fault }, MAX_STATES)
 }
 
 #[test]
-fn a_follower_misses_nothing_and_never_goes_back() {
-    let states = explored(Break::Nothing).unwrap_or_else(|found| panic!("{found}"));
+fn a_follower_never_misses_a_change_or_goes_back() {
+    let states = explore_with(Fault::Absent).unwrap_or_else(|found| panic!("{found}"));
     println!("{states} states of readers and a follower explored");
     assert!(states > 10_000, "{states}");
 }
@@ -297,19 +306,19 @@
 // Each fault is a plausible mistake in a reader or a follower. Its effect would be requests sent to
 // endpoints that have left, or routes that are never served.
 #[test]
-fn each_deliberate_break_is_found() {
+fn each_injected_fault_is_detected() {
     let cases = [
-        (Break::TooFar, "the follower missed a change"),
-        (Break::SkipsWhatItMissed, "the follower missed a change"),
-        (Break::KeepsWhatIsGone, "the follower missed a change"),
+        (Fault::OverstatedRevision, "the follower missed a change"),
+        (Fault::SkipsMissedChanges, "the follower missed a change"),
+        (Fault::KeepsDeletedKeys, "the follower missed a change"),
         (
-            Break::TellsWhileAway,
+            Fault::ServesWhileUnreachable,
             "a reader without the service reports no changes",
         ),
     ];
-    for (broken, promise) in cases {
-        let found = explored(broken).expect_err("the fault is detected");
-        println!("{broken:?}: {found}");
-        assert_eq!(found.broken, promise, "{broken:?}");
+    for (fault, expected) in cases {
+        let found = explore_with(fault).expect_err("the fault is detected");
+        println!("{fault:?}: {found}");
+        assert_eq!(found.broken, expected, "{fault:?}");
     }
 }
--- a/crates/oatdale-relay/tests/restore_spec.rs
+++ b/crates/oatdale-relay/tests/restore_spec.rs
@@ -31,7 +31,7 @@
 const MAX_READS: usize = 3;
 
 /// Maximum number of responses with changes that the follower applies.
-const MAX_HEARD: usize = 2;
+const MAX_UPDATES: usize = 2;
 
 const MAX_STATES: usize = 6_000_000;
 
@@ -40,12 +40,12 @@
 
 /// A fault that is injected on purpose.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Break {
-    Nothing,
+enum Fault {
+    Absent,
     /// A watch continues from its revision number, whatever the era of the response.
     IgnoresEra,
     /// The records that the service shows after a restore are accepted as they are.
-    TrustsTheCopy,
+    AcceptsBackup,
     /// The follower accepts a snapshot from whichever reader it asks.
     FollowsAnyReader,
 }
@@ -55,91 +55,93 @@
 
 /// A response of the service.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
-enum Answer {
+enum Response {
     /// A snapshot at this revision.
-    All(Revision, Vec<Record>),
+    Snapshot(Revision, Vec<Record>),
     /// The changes after the first revision, up to and including the second.
     Changes(Revision, Revision, Vec<Record>),
 }
 
 /// An input that a reader applies.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
-enum Read {
-    Answer(Answer),
+enum Input {
+    Response(Response),
     /// The versions that the other reader knows, fetched when this one starts.
     Known(Vec<KnownVersions>),
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Default)]
 struct Reader {
-    read: Vec<Read>,
-    at: Option<Revision>,
+    inputs: Vec<Input>,
+    applied_up_to: Option<Revision>,
     /// The latest era that the reader has seen.
     era: u64,
-    under_way: Option<Answer>,
+    in_flight: Option<Response>,
     /// The current value of each key.
-    holds: [u8; KEYS.len()],
+    values: [u8; KEYS.len()],
     /// The highest value of each key that was sent to the reader, including the in-flight response.
-    best: [u8; KEYS.len()],
+    max_sent: [u8; KEYS.len()],
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Default)]
 struct Follower {
-    at: Option<Revision>,
+    applied_up_to: Option<Revision>,
     /// The versions that the follower fetched when it started.
     known: Vec<KnownVersions>,
-    heard: Vec<Answer>,
-    holds: [u8; KEYS.len()],
+    received: Vec<Response>,
+    values: [u8; KEYS.len()],
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
-struct World {
+struct Model {
     era: u64,
     writes: Vec<Write>,
-    made: u8,
+    /// Number of writes made, including those that a restore lost.
+    write_count: u8,
     /// The value of each key that its owner wants to be stored.
-    wanted: [u8; KEYS.len()],
+    desired: [u8; KEYS.len()],
     readers: [Reader; READERS],
     follower: Follower,
-    wrong: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
 struct Restores {
-    broken: Break,
+    fault: Fault,
 }
 
-fn keep(_: &str) -> Keep {
+fn policy(_: &str) -> Keep {
     Keep::UntilWritten
 }
 
-fn key_of(record_key: &str) -> usize {
+fn key_index(record_key: &str) -> usize {
     let key = KEYS.iter().position(|key| *key == record_key);
     key.expect("the key is one of KEYS")
 }
 
-impl Answer {
+impl Response {
     fn records(&self) -> &[Record] {
         match self {
-            Answer::All(_, records) | Answer::Changes(_, _, records) => records,
+            Response::Snapshot(_, records) | Response::Changes(_, _, records) => records,
         }
     }
 }
 
 impl Reader {
     fn has_read(&self, record: &Record) -> bool {
-        let is_it = |r: &Record| r.key == record.key && r.revision.number == record.revision.number;
-        self.read.iter().any(|read| match read {
-            Read::Answer(answer) => answer.records().iter().any(is_it),
-            Read::Known(known) => {
+        let is_same_write =
+            |r: &Record| r.key == record.key && r.revision.number == record.revision.number;
+        self.inputs.iter().any(|input| match input {
+            Input::Response(response) => response.records().iter().any(is_same_write),
+            Input::Known(known) => {
                 let known = known.iter().filter(|known| known.key == record.key);
-                let mut overtaken = known.flat_map(|known| &known.overtaken);
-                overtaken.any(|(revision, _)| revision.number == record.revision.number)
+                let mut superseded = known.flat_map(|known| &known.overtaken);
+                superseded.any(|(revision, _)| revision.number == record.revision.number)
             }
         })
     }
 }
 
-impl World {
+impl Model {
     fn revision(&self) -> Revision {
         Revision::new(self.era, self.writes.len() as u64)
     }
@@ -164,51 +166,52 @@
     /// Whether each reader that has later values has also read those that a backup of this number
     /// of writes would restore. A version that a reader skipped, for instance by reading a
     /// snapshot, cannot be distinguished from one that is written after the restore.
-    fn can_be_told(&self, writes: usize) -> bool {
+    fn is_distinguishable(&self, writes: usize) -> bool {
         let was_read = |reader: &Reader, key: usize| {
             let last = (0..writes).rev().find(|at| self.writes[*at].0 == key);
             last.is_none_or(|at| reader.has_read(&self.record(at)))
         };
         self.readers.iter().all(|reader| {
-            let better = (0..KEYS.len()).filter(|key| reader.best[*key] > self.value(writes, *key));
-            better.into_iter().all(|key| was_read(reader, key))
+            let later_keys =
+                (0..KEYS.len()).filter(|key| reader.max_sent[*key] > self.value(writes, *key));
+            later_keys.into_iter().all(|key| was_read(reader, key))
         })
     }
 
-    fn all(&self) -> Answer {
+    fn snapshot(&self) -> Response {
         let last = |key| {
             (0..self.writes.len())
                 .rev()
                 .find(|at| self.writes[*at].0 == key)
         };
         let all = (0..KEYS.len()).filter_map(last).map(|at| self.record(at));
-        Answer::All(self.revision(), all.collect())
+        Response::Snapshot(self.revision(), all.collect())
     }
 
-    fn changes(&self, after: Revision) -> Answer {
+    fn changes(&self, after: Revision) -> Response {
         let from = (after.number as usize).min(self.writes.len());
         let changes = (from..self.writes.len()).map(|at| self.record(at));
-        Answer::Changes(after, self.revision(), changes.collect())
+        Response::Changes(after, self.revision(), changes.collect())
     }
 }
 
 impl Restores {
     /// Returns the production objects after all reads of a reader.
     fn replay(&self, reader: &Reader) -> (Versions, Replica) {
-        let mut versions = Versions::new(keep);
+        let mut versions = Versions::new(policy);
         let replica = Replica::default();
         replica.set_longest(100);
-        for read in &reader.read {
-            match read {
-                Read::Known(known) => versions.learn(NOW, known.clone()),
-                Read::Answer(Answer::All(revision, all)) => {
-                    let counting = match self.broken {
-                        Break::TrustsTheCopy => all.clone(),
+        for input in &reader.inputs {
+            match input {
+                Input::Known(known) => versions.learn(NOW, known.clone()),
+                Input::Response(Response::Snapshot(revision, all)) => {
+                    let valid = match self.fault {
+                        Fault::AcceptsBackup => all.clone(),
                         _ => versions.take_all(NOW, *revision, all.clone()),
                     };
-                    replica.replace(Topic::Endpoints, *revision, &counting);
+                    replica.replace(Topic::Endpoints, *revision, &valid);
                 }
-                Read::Answer(Answer::Changes(_, revision, changes)) => {
+                Input::Response(Response::Changes(_, revision, changes)) => {
                     versions.take_changes(NOW, *revision, changes);
                     replica.change(Topic::Endpoints, *revision, changes);
                 }
@@ -217,87 +220,87 @@
         (versions, replica)
     }
 
-    fn told(&self, reader: &Reader, after: Option<Revision>) -> Option<ReplicaUpdate> {
+    fn fetch_response(&self, reader: &Reader, after: Option<Revision>) -> Option<ReplicaUpdate> {
         let (_, replica) = self.replay(reader);
-        let question = FetchRequest {
+        let request = FetchRequest {
             topic: Topic::Endpoints,
             after,
             wait_ms: 0,
             node: None,
         };
-        replica.tell(question).now_or_never().flatten()
+        replica.fetch(request).now_or_never().flatten()
     }
 
     /// A reader receives the in-flight response.
-    fn deliver(&self, world: &World, at: usize) -> Option<World> {
-        let mut next = world.clone();
-        let reader = &mut next.readers[at];
-        let answer = reader.under_way.take()?;
-        let revision = match &answer {
-            Answer::All(revision, _) | Answer::Changes(_, revision, _) => *revision,
+    fn deliver(&self, model: &Model, index: usize) -> Option<Model> {
+        let mut next = model.clone();
+        let reader = &mut next.readers[index];
+        let response = reader.in_flight.take()?;
+        let revision = match &response {
+            Response::Snapshot(revision, _) | Response::Changes(_, revision, _) => *revision,
         };
-        let is_late = revision.era < reader.era;
+        let is_stale = revision.era < reader.era;
         reader.era = reader.era.max(revision.era);
-        let is_of_another = match &answer {
-            Answer::All(..) => false,
-            Answer::Changes(after, ..) => {
-                after.era != revision.era && self.broken != Break::IgnoresEra
+        let is_from_other_era = match &response {
+            Response::Snapshot(..) => false,
+            Response::Changes(after, ..) => {
+                after.era != revision.era && self.fault != Fault::IgnoresEra
             }
         };
-        if is_late || is_of_another {
+        if is_stale || is_from_other_era {
             return Some(next);
         }
-        reader.read.push(Read::Answer(answer));
-        let went_back = Some(revision) < reader.at;
-        reader.at = Some(revision);
-        let told = self.told(reader, None)?;
-        let before = reader.holds;
-        reader.holds = Default::default();
-        take(&mut reader.holds, told);
-        if went_back || (0..KEYS.len()).any(|key| reader.holds[key] < before[key]) {
-            next.wrong = Some("a reader went back");
+        reader.inputs.push(Input::Response(response));
+        let went_back = Some(revision) < reader.applied_up_to;
+        reader.applied_up_to = Some(revision);
+        let update = self.fetch_response(reader, None)?;
+        let before = reader.values;
+        reader.values = Default::default();
+        apply(&mut reader.values, update);
+        if went_back || (0..KEYS.len()).any(|key| reader.values[key] < before[key]) {
+            next.violation = Some("a reader went back");
         }
         Some(next)
     }
 
-    fn of_reader(&self, world: &World, at: usize) -> Vec<(String, World)> {
-        let reader = &world.readers[at];
+    fn reader_steps(&self, model: &Model, index: usize) -> Vec<(String, Model)> {
+        let reader = &model.readers[index];
         let mut steps = Vec::new();
-        let mut send = |what: &str, answer: Answer, known: Option<Vec<KnownVersions>>| {
-            let mut next = world.clone();
-            let reader = &mut next.readers[at];
-            for record in answer.records() {
+        let mut send = |action: &str, response: Response, known: Option<Vec<KnownVersions>>| {
+            let mut next = model.clone();
+            let reader = &mut next.readers[index];
+            for record in response.records() {
                 let value = record.value.as_ref().map_or(0, |value| value[0]);
-                let best = &mut reader.best[key_of(&record.key)];
-                *best = value.max(*best);
+                let max_sent = &mut reader.max_sent[key_index(&record.key)];
+                *max_sent = value.max(*max_sent);
             }
-            reader.under_way = Some(answer);
-            next.readers[at].read.extend(known.map(Read::Known));
-            steps.push((format!("the service responds to reader {at} {what}"), next));
+            reader.in_flight = Some(response);
+            next.readers[index].inputs.extend(known.map(Input::Known));
+            steps.push((format!("the service answers reader {index} {action}"), next));
         };
-        if reader.under_way.is_none() && reader.read.len() < MAX_READS {
-            match reader.at {
+        if reader.in_flight.is_none() && reader.inputs.len() < MAX_READS {
+            match reader.applied_up_to {
                 // A pending watch ends when the reader learns of a later era.
-                Some(after) if after.era == reader.era || self.broken == Break::IgnoresEra => {
-                    send("with changes", world.changes(after), None);
-                    send("with a snapshot", world.all(), None);
+                Some(after) if after.era == reader.era || self.fault == Fault::IgnoresEra => {
+                    send("with changes", model.changes(after), None);
+                    send("with a snapshot", model.snapshot(), None);
                 }
-                Some(_) => send("with a snapshot", world.all(), None),
+                Some(_) => send("with a snapshot", model.snapshot(), None),
                 None => {
-                    if let Some(known) = self.known_by_other(world, at) {
-                        send("at its start", world.all(), Some(known));
+                    if let Some(known) = self.known_by_other(model, index) {
+                        send("at its start", model.snapshot(), Some(known));
                     }
                 }
             }
         }
-        if let Some(next) = self.deliver(world, at) {
-            steps.push((format!("reader {at} receives a response"), next));
+        if let Some(next) = self.deliver(model, index) {
+            steps.push((format!("reader {index} receives a response"), next));
         }
         // The response to another request, such as a lease renewal, carries the era.
-        if reader.at.is_some() && reader.era < world.era {
-            let mut next = world.clone();
-            next.readers[at].era = world.era;
-            steps.push((format!("reader {at} learns the new era"), next));
+        if reader.applied_up_to.is_some() && reader.era < model.era {
+            let mut next = model.clone();
+            next.readers[index].era = model.era;
+            steps.push((format!("reader {index} learns the new era"), next));
         }
         steps
     }
@@ -305,149 +308,154 @@
     /// Returns the versions that the other reader knows in this era, for a starting reader. `None`
     /// while the other one has not read in this era, or if it has read nothing and something was
     /// written: then nobody can distinguish the backup's records from later ones.
-    fn known_by_other(&self, world: &World, at: usize) -> Option<Vec<KnownVersions>> {
-        let other = &world.readers[(at + 1) % READERS];
-        match other.at {
-            None => (world.made == 0).then(Vec::new),
-            Some(other_at) if other_at.era == world.era => Some(self.replay(other).0.known(NOW)),
+    fn known_by_other(&self, model: &Model, index: usize) -> Option<Vec<KnownVersions>> {
+        let other = &model.readers[(index + 1) % READERS];
+        match other.applied_up_to {
+            None => (model.write_count == 0).then(Vec::new),
+            Some(other_rev) if other_rev.era == model.era => Some(self.replay(other).0.known(NOW)),
             Some(_) => None,
         }
     }
 
     /// The follower fetches from a reader.
-    fn ask(&self, world: &World, at: usize) -> Option<(String, World)> {
-        let after = match self.broken {
-            Break::FollowsAnyReader => None,
-            _ => world.follower.at,
+    fn fetch_from(&self, model: &Model, index: usize) -> Option<(String, Model)> {
+        let after = match self.fault {
+            Fault::FollowsAnyReader => None,
+            _ => model.follower.applied_up_to,
         };
-        let told = self.told(&world.readers[at], after)?;
-        let is_news = told.is_snapshot || !told.records.is_empty() || Some(told.revision) != after;
-        if !is_news || world.follower.heard.len() == MAX_HEARD {
+        let update = self.fetch_response(&model.readers[index], after)?;
+        let has_changes =
+            update.is_snapshot || !update.records.is_empty() || Some(update.revision) != after;
+        if !has_changes || model.follower.received.len() == MAX_UPDATES {
             return None;
         }
-        let mut next = world.clone();
+        let mut next = model.clone();
         let follower = &mut next.follower;
-        if follower.at.is_none() {
-            follower.known = self.replay(&world.readers[at]).0.known(NOW);
+        if follower.applied_up_to.is_none() {
+            follower.known = self.replay(&model.readers[index]).0.known(NOW);
         }
-        let revision = told.revision;
-        let records: Vec<_> = told.records.into_iter().map(record_of).collect();
-        follower.heard.push(match after {
-            Some(after) if !told.is_snapshot => Answer::Changes(after, revision, records),
-            _ => Answer::All(revision, records),
+        let revision = update.revision;
+        let records: Vec<_> = update.records.into_iter().map(to_record).collect();
+        follower.received.push(match after {
+            Some(after) if !update.is_snapshot => Response::Changes(after, revision, records),
+            _ => Response::Snapshot(revision, records),
         });
-        let holds = held(follower);
-        let before = std::mem::replace(&mut follower.holds, holds);
-        let went_back = (0..KEYS.len()).any(|key| follower.holds[key] < before[key]);
-        if went_back || Some(revision) < follower.at {
-            next.wrong = Some("the follower went back");
+        let values = replay_follower(follower);
+        let before = std::mem::replace(&mut follower.values, values);
+        let went_back = (0..KEYS.len()).any(|key| follower.values[key] < before[key]);
+        if went_back || Some(revision) < follower.applied_up_to {
+            next.violation = Some("the follower went back");
         }
-        next.follower.at = Some(revision);
-        Some((format!("the follower fetches from reader {at}"), next))
+        next.follower.applied_up_to = Some(revision);
+        Some((format!("the follower fetches from reader {index}"), next))
     }
 }
 
 /// Returns the values that the follower holds after all responses that it received.
-fn held(follower: &Follower) -> [u8; KEYS.len()] {
-    let mut versions = Versions::new(keep);
+fn replay_follower(follower: &Follower) -> [u8; KEYS.len()] {
+    let mut versions = Versions::new(policy);
     versions.learn(NOW, follower.known.clone());
-    let mut holds = [0; KEYS.len()];
-    for answer in &follower.heard {
-        let records = match answer {
-            Answer::All(revision, all) => {
-                holds = Default::default();
+    let mut values = [0; KEYS.len()];
+    for response in &follower.received {
+        let records = match response {
+            Response::Snapshot(revision, all) => {
+                values = Default::default();
                 versions.take_all(NOW, *revision, all.clone())
             }
-            Answer::Changes(_, revision, changes) => {
+            Response::Changes(_, revision, changes) => {
                 versions.take_changes(NOW, *revision, changes);
                 changes.clone()
             }
         };
         for record in records {
-            holds[key_of(&record.key)] = record.value.map_or(0, |value| value[0]);
+            values[key_index(&record.key)] = record.value.map_or(0, |value| value[0]);
         }
     }
-    holds
+    values
 }
 
-fn record_of(told: RecordUpdate) -> Record {
-    let value = match told.content {
+fn to_record(update: RecordUpdate) -> Record {
+    let value = match update.content {
         Content::Value(value) => Some(value),
         Content::Deleted | Content::TooLong => None,
     };
     Record {
-        key: told.key,
+        key: update.key,
         value,
-        revision: told.revision,
+        revision: update.revision,
     }
 }
 
-fn take(holds: &mut [u8; KEYS.len()], told: ReplicaUpdate) {
-    for record in told.records.into_iter().map(record_of) {
-        holds[key_of(&record.key)] = record.value.map_or(0, |value| value[0]);
+fn apply(values: &mut [u8; KEYS.len()], update: ReplicaUpdate) {
+    for record in update.records.into_iter().map(to_record) {
+        values[key_index(&record.key)] = record.value.map_or(0, |value| value[0]);
     }
 }
 
 impl Spec for Restores {
-    type State = World;
+    type State = Model;
 
-    fn initial(&self) -> Vec<World> {
-        vec![World {
+    fn initial(&self) -> Vec<Model> {
+        vec![Model {
             era: 1,
             writes: Vec::new(),
-            made: 0,
-            wanted: Default::default(),
+            write_count: 0,
+            desired: Default::default(),
             readers: Default::default(),
             follower: Follower::default(),
-            wrong: None,
+            violation: None,
         }]
     }
 
-    fn steps(&self, world: &World) -> Vec<(String, World)> {
+    fn steps(&self, model: &Model) -> Vec<(String, Model)> {
         let mut steps = Vec::new();
         for (key, name) in KEYS.iter().enumerate() {
-            let is_there = world.value(world.writes.len(), key) == world.wanted[key];
-            let value = world.wanted[key] + u8::from(is_there);
-            if world.made == MAX_WRITES || value > MAX_VALUE[key] {
+            let is_stored = model.value(model.writes.len(), key) == model.desired[key];
+            let value = model.desired[key] + u8::from(is_stored);
+            if model.write_count == MAX_WRITES || value > MAX_VALUE[key] {
                 continue;
             }
-            let mut next = world.clone();
-            next.made += 1;
-            next.wanted[key] = value;
+            let mut next = model.clone();
+            next.write_count += 1;
+            next.desired[key] = value;
             next.writes.push((key, value));
             steps.push((format!("{name} is written as {value}"), next));
         }
-        if world.era <= MAX_RESTORES {
-            let copies = 0..=world.writes.len();
-            for writes in copies.filter(|writes| world.can_be_told(*writes)) {
-                let mut next = world.clone();
+        if model.era <= MAX_RESTORES {
+            let backups = 0..=model.writes.len();
+            for writes in backups.filter(|writes| model.is_distinguishable(*writes)) {
+                let mut next = model.clone();
                 next.era += 1;
                 next.writes.truncate(writes);
                 steps.push((format!("the service is restored to {writes} writes"), next));
             }
         }
-        for at in 0..READERS {
-            steps.extend(self.of_reader(world, at));
-            steps.extend(self.ask(world, at));
+        for index in 0..READERS {
+            steps.extend(self.reader_steps(model, index));
+            steps.extend(self.fetch_from(model, index));
         }
         steps
     }
 
-    fn invariant(&self, world: &World) -> Result<(), String> {
-        if let Some(wrong) = world.wrong {
-            return Err(wrong.to_owned());
+    fn invariant(&self, model: &Model) -> Result<(), String> {
+        if let Some(violation) = model.violation {
+            return Err(violation.to_owned());
         }
         // A node that has read up to a revision of the current era must hold the values written up
         // to it, or later ones.
-        let lacks = |at: Option<Revision>, holds: &[u8; KEYS.len()]| {
-            let at = at.filter(|at| at.era == world.era);
+        let lacks = |at: Option<Revision>, values: &[u8; KEYS.len()]| {
+            let at = at.filter(|at| at.era == model.era);
             let writes = at.map(|at| at.number as usize);
-            writes.is_some_and(|n| (0..KEYS.len()).any(|key| holds[key] < world.value(n, key)))
+            writes.is_some_and(|n| (0..KEYS.len()).any(|key| values[key] < model.value(n, key)))
         };
-        if world.readers.iter().any(|r| lacks(r.at, &r.holds)) {
+        if model
+            .readers
+            .iter()
+            .any(|r| lacks(r.applied_up_to, &r.values))
+        {
             return Err("a reader missed a change".to_owned());
         }
-        match lacks(world.follower.at, &world.follower.holds) {
+        match lacks(model.follower.applied_up_to, &model.follower.values) {
             true => Err("the follower missed a change".to_owned()),
             false => Ok(()),
         }
@@ -455,19 +463,19 @@
 }
 
 /// Explores the model with a paused clock, on which the production code's timeouts run.
-fn explored(broken: Break) -> Result<usize, Counterexample> {
+fn explore_with(fault: Fault) -> Result<usize, Counterexample> {
     let runtime = Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build()
         .expect("the runtime starts");
     let _clock = runtime.enter();
-    explore(&Restores { broken }, MAX_STATES)
+    explore(&Restores { fault }, MAX_STATES)
 }
 
 #[test]
-fn nobody_goes_back_or_misses_a_change_over_restores() {
-    let states = explored(Break::Nothing).unwrap_or_else(|found| panic!("{found}"));
+fn no_node_goes_back_or_misses_a_change_across_restores() {
+    let states = explore_with(Fault::Absent).unwrap_or_else(|found| panic!("{found}"));
     println!("{states} states of a service with restores explored");
     assert!(states > 10_000, "{states}");
 }
@@ -475,15 +483,15 @@
 // Each fault is a plausible mistake in a reader or a follower. Its effect would be that a revoked
 // key is accepted again, or that a configuration never comes into force.
 #[test]
-fn each_deliberate_break_is_found() {
+fn each_injected_fault_is_detected() {
     let cases = [
-        (Break::IgnoresEra, "missed a change"),
-        (Break::TrustsTheCopy, "a reader went back"),
-        (Break::FollowsAnyReader, "the follower went back"),
+        (Fault::IgnoresEra, "missed a change"),
+        (Fault::AcceptsBackup, "a reader went back"),
+        (Fault::FollowsAnyReader, "the follower went back"),
     ];
-    for (broken, promise) in cases {
-        let found = explored(broken).expect_err("the fault is detected");
-        println!("{broken:?}: {found}");
-        assert!(found.to_string().contains(promise), "{broken:?}: {found}");
+    for (fault, expected) in cases {
+        let found = explore_with(fault).expect_err("the fault is detected");
+        println!("{fault:?}: {found}");
+        assert!(found.to_string().contains(expected), "{fault:?}: {found}");
     }
 }
