--- a/crates/oatdale-relay/src/replica.rs
+++ b/crates/oatdale-relay/src/replica.rs
@@ -366,8 +366,8 @@
         }
     }
 
-    /// Records that the service answered. Only the endpoints topic counts: its watch alone detects
-    /// an outage within a bounded time.
+    /// Marks the service as reachable after an answer. Only answers for the endpoints topic count:
+    /// their watch alone detects an outage within a bounded time.
     fn record_service_answer(&mut self, topic: Topic) {
         if topic == Topic::Operators {
             return;
