--- a/crates/oatdale-relay/src/replica.rs
+++ b/crates/oatdale-relay/src/replica.rs
@@ -1,8 +1,11 @@
-//! The platform's records in memory, for other nodes that read them here instead of at the key-value service.
+//! An in-memory replica of the platform's records that serves other nodes in place of the key-value
+//! service.
 //!
-//! Records are keys and bytes; what they mean is the adapter's business. Each follower goes on from the
-//! service's revision up to which it has read, at whichever node it asks: the revisions of one service are the
-//! same at all of them. By its questions it is also known to run, so that it needs no record of its own.
+//! Records are opaque keys and bytes; the platform adapter interprets them. A node that serves its
+//! replica is a reader, a node that fetches from it is a follower. A follower continues from the
+//! last service revision that it has read, at whichever reader it asks, because all readers use the
+//! revisions of the same service. Its requests also show that it is running, so that it needs no
+//! record of its own.
 
 mod ask;
 mod members;
@@ -26,29 +29,30 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// Changes that are remembered; who has read none of the later ones gets everything.
-const MOST_CHANGES: usize = 4_096;
+/// Number of changes kept per topic. A follower that is behind all of them gets a snapshot.
+const MAX_CHANGES: usize = 4_096;
 
-/// How long a question is held that comes before this node reads for others. It reads everything within some
-/// hundredths of a second; what a node that starts asks next is the service.
-const FIRST_READ: Duration = Duration::from_millis(80);
+/// How long a request is held that arrives before this node has loaded the records. Loading takes
+/// some tens of milliseconds, and a starting node that gets no answer reads from the service next.
+const LOAD_TIMEOUT: Duration = Duration::from_millis(80);
 
-/// How long a node that starts in a later era waits for this one to read everything in it.
-const KNOWN_WAIT: Duration = Duration::from_millis(200);
+/// How long a node that starts in a later era waits for this node to read all records in that era.
+const ERA_READ_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Times of reading anew that are remembered; who is behind all of them gets everything.
-const MOST_GAPS: usize = 64;
+/// Number of full re-reads that are remembered. A follower that is behind all of them gets a
+/// snapshot.
+const MAX_GAPS: usize = 64;
 
-/// Records that are followed together.
+/// A group of records that are followed together.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Serialize, Deserialize)]
 pub enum Topic {
-    /// What operators write, up to a megabyte at once.
+    /// Records written by operators, up to a megabyte per write.
     Operators,
-    /// What endpoints and nodes write: short, and urgent when an endpoint leaves.
+    /// Records written by endpoints and nodes: short, and urgent when an endpoint leaves.
     Endpoints,
 }
 
-/// A record as the key-value service has it.
+/// A record as stored in the key-value service.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct Record {
     /// The key.
@@ -59,199 +63,201 @@
     pub revision: Revision,
 }
 
-/// What one node tells another of a topic.
+/// The response to a [`FetchRequest`]: a snapshot of a topic or its changes.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct ReplicaUpdate {
-    /// The service's revision up to which this is all.
+    /// The service's revision up to which the update is complete.
     pub revision: Revision,
-    /// Whether these are all records, and not only those that changed.
+    /// Whether the update holds all records of the topic, not only the changed ones.
     pub is_snapshot: bool,
-    /// The records, in the order of their revisions unless they are all.
+    /// The records; in the order of their revisions unless this is a snapshot.
     pub records: Vec<RecordUpdate>,
-    /// How long ago the service came back to the node that tells this, if it was away.
+    /// Time since the responding node reached the service again, if it had lost it.
     pub back: Option<Duration>,
 }
 
-/// A record that one node tells another.
+/// The state of one record in a [`ReplicaUpdate`].
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct RecordUpdate {
     /// The key.
     pub key: String,
     /// The service's revision of its last change.
     pub revision: Revision,
-    /// What became of it.
+    /// The record's content.
     pub content: Content,
 }
 
-/// What a record holds.
+/// The content of a record.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum Content {
-    /// This value.
+    /// The record's value.
     Value(Bytes),
-    /// Nothing: the key was deleted.
+    /// The key was deleted.
     Deleted,
-    /// A value too long to be passed on: it has to be read at the service.
+    /// The value is too long to be passed on and has to be read from the service.
     TooLong,
 }
 
-/// The records of both topics as a reader has them.
+/// A reader's copy of the records of both topics.
 #[derive(Debug)]
 pub struct Replica {
-    began: Instant,
+    created_at: Instant,
     state: Mutex<State>,
-    /// Rises with each change, for those who wait.
+    /// Counter that increases with each change, to wake waiting requests.
     changed: watch::Sender<u64>,
-    /// Someone asked though nothing was read for others yet.
-    wanted: Notify,
+    /// Notified when a request arrives before the records are loaded.
+    load_requested: Notify,
     members: Mutex<Members>,
-    /// What is known of overtaken versions, by topic, and in which era.
+    /// The known superseded versions by topic, with the era in which they were determined.
     versions: watch::Sender<BTreeMap<Topic, (u64, Vec<KnownVersions>)>>,
-    /// The latest era that a starting node reported.
+    /// The latest era reported by a starting node.
     reported_era: watch::Sender<u64>,
 }
 
-/// A question that waits for its answer.
+/// An in-flight fetch of a member; ends the member's request when dropped.
 struct PendingFetch<'a> {
     replica: &'a Replica,
     host: String,
 }
 
-/// What becomes of a question.
-enum Answer {
-    ReplicaUpdate(ReplicaUpdate),
-    /// Nothing is read for others yet.
-    NotYet,
-    /// The service does not answer this node.
-    Elsewhere,
+/// The outcome of a fetch at the current state.
+enum Outcome {
+    Ready(ReplicaUpdate),
+    /// The records are not loaded yet.
+    NotLoaded,
+    /// The service does not answer this node; the follower has to ask elsewhere.
+    Unavailable,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    service: Service,
-    /// When the service came back, if it was away.
-    back: Option<Instant>,
-    /// Bytes of the longest value that is passed on.
-    longest: usize,
+    service: ServiceStatus,
+    /// When the service became reachable again, if it was unreachable.
+    reachable_since: Option<Instant>,
+    /// Length of the longest value that is passed on, in bytes.
+    max_bytes: usize,
     operators: Option<Records>,
     endpoints: Option<Records>,
 }
 
-/// Whether the key-value service answers this node, so that what it says is of now.
+/// Whether the key-value service answers this node, that is, whether the replica is current.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-enum Service {
-    /// It has not been read yet.
+enum ServiceStatus {
+    /// Nothing has been read from the service yet.
     #[default]
     Unread,
-    Answers,
-    Away,
+    Reachable,
+    Unreachable,
 }
 
 /// The records of a topic.
 #[derive(Clone, Debug)]
 struct Records {
     all: BTreeMap<String, (Revision, Bytes)>,
-    /// The last changes, oldest first: revision and key.
+    /// The most recent changes as revision and key, oldest first.
     changes: VecDeque<(Revision, String)>,
-    /// All changes after this revision are among them.
-    since: Revision,
-    /// The revision up to which all is known.
+    /// `changes` holds all changes after this revision.
+    changes_since: Revision,
+    /// The revision up to which the records are complete.
     revision: Revision,
-    /// After the first and up to the second of these revisions this node read everything anew, and knows nothing of
-    /// records that were written and deleted again meanwhile.
+    /// Revision ranges (start exclusive, end inclusive) that were covered by a full re-read.
+    /// Records that were written and deleted again within a range are unknown to this node.
     gaps: VecDeque<(Revision, Revision)>,
 }
 
 impl Replica {
-    /// Takes in all records of a topic.
-    pub fn replace(&self, topic: Topic, revision: Revision, all: &[Record]) {
+    /// Replaces the records of a topic by a complete set.
+    pub fn replace(&self, topic: Topic, revision: Revision, snapshot: &[Record]) {
         let mut state = self.lock();
-        match state.topic(topic) {
-            Some(records) => records.replace(revision, all),
-            none => *none = Some(Records::new(revision, all)),
+        match state.records_of(topic) {
+            Some(records) => records.replace(revision, snapshot),
+            slot => *slot = Some(Records::new(revision, snapshot)),
         }
-        state.note_answer(topic);
-        self.wake(state);
+        state.record_service_answer(topic);
+        self.notify_waiting(state);
     }
 
-    /// Takes in the changes of a topic up to a revision; without all records before them they are worth nothing.
+    /// Applies the changes of a topic up to a revision. Ignored unless the topic is loaded, as
+    /// changes alone are not a complete set.
     pub fn change(&self, topic: Topic, revision: Revision, changes: &[Record]) {
         let mut state = self.lock();
-        if let Some(records) = state.topic(topic) {
+        if let Some(records) = state.records_of(topic) {
             records.change(revision, changes);
         }
-        state.note_answer(topic);
-        self.wake(state);
+        state.record_service_answer(topic);
+        self.notify_waiting(state);
     }
 
-    /// The key-value service does not answer any more: followers are sent elsewhere at once.
+    /// Marks the key-value service as unreachable, so that followers are sent elsewhere at once.
     pub fn suspend(&self) {
         let mut state = self.lock();
-        if state.service == Service::Answers {
-            state.service = Service::Away;
+        if state.service == ServiceStatus::Reachable {
+            state.service = ServiceStatus::Unreachable;
         }
-        self.wake(state);
+        self.notify_waiting(state);
     }
 
-    /// This node reads for nobody any more.
+    /// Drops all records because this node no longer reads for others.
     pub fn clear(&self) {
-        let longest = self.lock().longest;
+        let max_bytes = self.lock().max_bytes;
         *self.lock() = State {
-            longest,
+            max_bytes,
             ..State::default()
         };
-        self.wake(self.lock());
+        self.notify_waiting(self.lock());
     }
 
-    /// Sets the length from which on values are not passed on, in bytes.
-    pub fn set_longest(&self, longest: usize) {
-        self.lock().longest = longest;
+    /// Sets the length of the longest value that is passed on, in bytes.
+    pub fn set_longest(&self, max_bytes: usize) {
+        self.lock().max_bytes = max_bytes;
     }
 
-    /// Whether all records of a topic are there.
+    /// Whether the records of a topic are loaded.
     pub fn has(&self, topic: Topic) -> bool {
-        self.lock().topic(topic).is_some()
+        self.lock().records_of(topic).is_some()
     }
 
-    /// What is new of a topic after a revision, or everything if the revision is unset or too long ago; waits for
-    /// it. `None` if this node does not read for others, or the service does not answer it.
-    pub async fn tell(&self, question: FetchRequest) -> Option<ReplicaUpdate> {
-        let began = Instant::now();
-        let end = began + question.wait();
-        let read_by = began + FIRST_READ;
-        let _asking = question.node.map(|node| self.asks(node));
+    /// Returns the changes of a topic after a revision, or a snapshot if the revision is unset or
+    /// too old. Waits for changes if there are none. `None` if this node does not read for others
+    /// or the service does not answer it.
+    pub async fn fetch(&self, req: FetchRequest) -> Option<ReplicaUpdate> {
+        let start = Instant::now();
+        let end = start + req.wait();
+        let load_deadline = start + LOAD_TIMEOUT;
+        let _pending = req.node.map(|node| self.begin_fetch(node));
         let mut changed = self.changed.subscribe();
         loop {
             changed.mark_unchanged();
-            let answer = self.lock().answer(question.topic, question.after);
+            let outcome = self.lock().fetch_outcome(req.topic, req.after);
             let now = Instant::now();
-            let until = match answer {
-                Answer::Elsewhere => return None,
-                Answer::NotYet if now >= read_by => return None,
-                Answer::NotYet => {
-                    self.wanted.notify_one();
-                    read_by
+            let wake_at = match outcome {
+                Outcome::Unavailable => return None,
+                Outcome::NotLoaded if now >= load_deadline => return None,
+                Outcome::NotLoaded => {
+                    self.load_requested.notify_one();
+                    load_deadline
                 }
-                Answer::ReplicaUpdate(told) if now >= end || told.is_news() => return Some(told),
-                Answer::ReplicaUpdate(_) => end,
+                Outcome::Ready(found) if now >= end || found.has_changes() => return Some(found),
+                Outcome::Ready(_) => end,
             };
-            // Either way what is there then is told.
-            let _ = timeout_at(until, changed.changed()).await;
+            // Change or timeout: either way the next iteration evaluates the current state.
+            let _ = timeout_at(wake_at, changed.changed()).await;
         }
     }
 
-    /// Sets what this node knows in an era of a topic's versions.
+    /// Sets the known versions of a topic in an era.
     pub fn set_known(&self, topic: Topic, era: u64, versions: Vec<KnownVersions>) {
         self.versions.send_modify(|all| {
             all.insert(topic, (era, versions));
         });
     }
 
-    /// Those of both topics, for a node that starts in this era. `None` if this node has not read them in it, and does
-    /// not within [`KNOWN_WAIT`].
-    pub(crate) async fn versions(&self, era: u64) -> Option<Vec<KnownVersions>> {
-        self.reported_era.send_if_modified(|told| {
-            let is_later = era > *told;
-            *told = era.max(*told);
+    /// Returns the known versions of both topics, for a node that starts in this era. `None` if
+    /// this node does not read the records in that era within [`ERA_READ_TIMEOUT`].
+    pub(crate) async fn versions_in_era(&self, era: u64) -> Option<Vec<KnownVersions>> {
+        self.reported_era.send_if_modified(|reported| {
+            let is_later = era > *reported;
+            *reported = era.max(*reported);
             is_later
         });
         let mut versions = self.versions.subscribe();
@@ -261,47 +267,50 @@
                 .iter()
                 .all(|t| all.get(t).is_some_and(|(at, _)| *at >= era))
         });
-        let all = timeout(KNOWN_WAIT, in_era).await.ok()?.ok()?;
+        let all = timeout(ERA_READ_TIMEOUT, in_era).await.ok()?.ok()?;
         Some(all.values().flat_map(|(_, known)| known).cloned().collect())
     }
 
     /// Resolves when a starting node reports an era after this one, with that era.
     pub async fn era_after(&self, era: u64) -> u64 {
-        let mut told = self.reported_era.subscribe();
-        let later = told.wait_for(|told| *told > era).await.map(|told| *told);
+        let mut reported = self.reported_era.subscribe();
+        let later = reported
+            .wait_for(|reported| *reported > era)
+            .await
+            .map(|reported| *reported);
         match later {
             Ok(later) => later,
-            // The sender lives as long as this.
+            // Cannot happen: the sender lives as long as `self`.
             Err(_) => std::future::pending().await,
         }
     }
 
-    /// Forgets an era that the service did not confirm.
+    /// Discards a reported era that the service did not confirm.
     pub fn reject_era(&self, era: u64) {
-        self.reported_era.send_if_modified(|told| {
-            let is_it = *told == era;
-            if is_it {
-                *told = 0;
+        self.reported_era.send_if_modified(|reported| {
+            let is_reported = *reported == era;
+            if is_reported {
+                *reported = 0;
             }
-            is_it
+            is_reported
         });
     }
 
-    /// Ends when someone asked though nothing was read for others yet.
+    /// Resolves when a request arrives before the records are loaded.
     pub async fn wanted(&self) {
-        self.wanted.notified().await;
+        self.load_requested.notified().await;
     }
 
-    /// The nodes that read at this one, by name.
+    /// Returns the running nodes that fetch from this one, sorted by host name.
     pub fn members(&self) -> Vec<Node> {
-        let now = self.began.elapsed();
+        let now = self.created_at.elapsed();
         self.lock_members().running(now)
     }
 
-    fn asks(&self, node: Node) -> PendingFetch<'_> {
+    fn begin_fetch(&self, node: Node) -> PendingFetch<'_> {
         let host = node.host.clone();
-        let now = self.began.elapsed();
-        self.lock_members().asks(now, node);
+        let now = self.created_at.elapsed();
+        self.lock_members().begin_request(now, node);
         PendingFetch {
             replica: self,
             host,
@@ -316,7 +325,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn wake(&self, state: MutexGuard<'_, State>) {
+    fn notify_waiting(&self, state: MutexGuard<'_, State>) {
         drop(state);
         self.changed.send_modify(|n| *n += 1);
     }
@@ -325,10 +334,10 @@
 impl Default for Replica {
     fn default() -> Self {
         Replica {
-            began: Instant::now(),
+            created_at: Instant::now(),
             state: Mutex::default(),
             changed: watch::Sender::default(),
-            wanted: Notify::new(),
+            load_requested: Notify::new(),
             members: Mutex::default(),
             versions: watch::Sender::default(),
             reported_era: watch::Sender::default(),
@@ -338,117 +347,127 @@
 
 impl Drop for PendingFetch<'_> {
     fn drop(&mut self) {
-        let now = self.replica.began.elapsed();
-        self.replica.lock_members().answered(now, &self.host);
+        let now = self.replica.created_at.elapsed();
+        self.replica.lock_members().end_request(now, &self.host);
     }
 }
 
 impl ReplicaUpdate {
-    fn is_news(&self) -> bool {
+    fn has_changes(&self) -> bool {
         self.is_snapshot || !self.records.is_empty()
     }
 }
 
 impl State {
-    fn topic(&mut self, topic: Topic) -> &mut Option<Records> {
+    fn records_of(&mut self, topic: Topic) -> &mut Option<Records> {
         match topic {
             Topic::Operators => &mut self.operators,
             Topic::Endpoints => &mut self.endpoints,
         }
     }
 
-    /// The service answered. Only the watch of the endpoints shows within a bound when it does not.
-    fn note_answer(&mut self, topic: Topic) {
+    /// Marks the service as reachable after an answer. Only answers for the endpoints topic count:
+    /// their watch alone detects an outage within a bounded time.
+    fn record_service_answer(&mut self, topic: Topic) {
         if topic == Topic::Operators {
             return;
         }
-        if std::mem::replace(&mut self.service, Service::Answers) == Service::Away {
-            self.back = Some(Instant::now());
+        if std::mem::replace(&mut self.service, ServiceStatus::Reachable)
+            == ServiceStatus::Unreachable
+        {
+            self.reachable_since = Some(Instant::now());
         }
     }
 
-    fn answer(&mut self, topic: Topic, after: Option<Revision>) -> Answer {
-        let (longest, back) = (self.longest, self.back.map(|at| at.elapsed()));
+    fn fetch_outcome(&mut self, topic: Topic, after: Option<Revision>) -> Outcome {
+        let (max_bytes, back) = (self.max_bytes, self.reachable_since.map(|at| at.elapsed()));
         let service = self.service;
-        let records = match self.topic(topic) {
-            _ if service == Service::Away => return Answer::Elsewhere,
-            Some(records) if service == Service::Answers => records,
-            _ => return Answer::NotYet,
+        let records = match self.records_of(topic) {
+            _ if service == ServiceStatus::Unreachable => return Outcome::Unavailable,
+            Some(records) if service == ServiceStatus::Reachable => records,
+            _ => return Outcome::NotLoaded,
         };
-        let (is_snapshot, known) = match after {
-            Some(after) if records.covers(after) => (false, records.after(after)),
-            _ => (true, records.whole()),
+        let (is_snapshot, selected) = match after {
+            Some(after) if records.covers(after) => (false, records.changes_after(after)),
+            _ => (true, records.all_records()),
         };
-        Answer::ReplicaUpdate(ReplicaUpdate {
+        Outcome::Ready(ReplicaUpdate {
             revision: records.revision.max(after.unwrap_or_default()),
             is_snapshot,
-            records: known.into_iter().map(|r| r.told(longest)).collect(),
+            records: selected
+                .into_iter()
+                .map(|r| r.into_update(max_bytes))
+                .collect(),
             back,
         })
     }
 }
 
 impl Records {
-    fn new(revision: Revision, all: &[Record]) -> Self {
+    fn new(revision: Revision, snapshot: &[Record]) -> Self {
         let mut records = Records {
             all: BTreeMap::new(),
             changes: VecDeque::new(),
-            since: revision,
+            changes_since: revision,
             revision,
             gaps: VecDeque::new(),
         };
-        for record in all {
+        for record in snapshot {
             records.put(record);
         }
         records
     }
 
-    /// Takes in all records as changes, so that followers need not read all of them again.
-    fn replace(&mut self, revision: Revision, all: &[Record]) {
-        let there: BTreeSet<&str> = all.iter().map(|r| r.key.as_str()).collect();
-        let gone = self.all.keys().filter(|key| !there.contains(key.as_str()));
-        let gone: Vec<_> = gone.cloned().collect();
-        let differs = |r: &&Record| self.all.get(&r.key).is_none_or(|(at, _)| *at < r.revision);
-        let mut changes: Vec<_> = all.iter().filter(differs).cloned().collect();
-        changes.extend(gone.into_iter().map(|key| Record {
+    /// Applies a complete set of records as changes, so that followers need not fetch a snapshot.
+    fn replace(&mut self, revision: Revision, snapshot: &[Record]) {
+        let present: BTreeSet<&str> = snapshot.iter().map(|r| r.key.as_str()).collect();
+        let deleted = self
+            .all
+            .keys()
+            .filter(|key| !present.contains(key.as_str()));
+        let deleted: Vec<_> = deleted.cloned().collect();
+        let is_newer = |r: &&Record| self.all.get(&r.key).is_none_or(|(at, _)| *at < r.revision);
+        let mut changes: Vec<_> = snapshot.iter().filter(is_newer).cloned().collect();
+        changes.extend(deleted.into_iter().map(|key| Record {
             key,
             value: None,
             revision,
         }));
         self.gaps.push_back((self.revision, revision));
-        if self.gaps.len() > MOST_GAPS {
+        if self.gaps.len() > MAX_GAPS {
             self.gaps.pop_front();
-            self.since = self.since.max(self.gaps[0].0);
+            self.changes_since = self.changes_since.max(self.gaps[0].0);
         }
         self.change(revision, &changes);
     }
 
-    /// Whether the changes tell a follower at this revision all that it lacks. One that was ahead of this node in a
-    /// gap may hold a record of which this node has never heard.
+    /// Whether the kept changes are sufficient for a follower at this revision. A follower whose
+    /// revision lies inside a gap may hold a record that this node never read, and so could not
+    /// report as deleted.
     fn covers(&self, after: Revision) -> bool {
-        let in_gap = |(from, upto): &(Revision, Revision)| *from < after && after < *upto;
-        after >= self.since && !self.gaps.iter().any(in_gap)
+        let in_gap = |(from, to): &(Revision, Revision)| *from < after && after < *to;
+        after >= self.changes_since && !self.gaps.iter().any(in_gap)
     }
 
     fn change(&mut self, revision: Revision, changes: &[Record]) {
         for record in changes {
             self.put(record);
-            // Pages that were read after the first one may hold later changes.
+            // Pages of a snapshot that were read after the first one may hold later changes.
             let at = record.revision.max(self.revision.next());
             self.changes.push_back((at, record.key.clone()));
         }
-        while self.changes.len() > MOST_CHANGES {
+        while self.changes.len() > MAX_CHANGES {
             if let Some((at, _)) = self.changes.pop_front() {
-                self.since = at;
+                self.changes_since = at;
             }
         }
         self.revision = self.revision.max(revision);
     }
 
-    /// Takes in a record, unless a later one was read before it.
+    /// Applies a record unless a later version of it is already known.
     fn put(&mut self, record: &Record) {
-        let known = self.all.get(&record.key);
-        if known.is_some_and(|(revision, _)| *revision > record.revision) {
+        let existing = self.all.get(&record.key);
+        if existing.is_some_and(|(revision, _)| *revision > record.revision) {
             return;
         }
         match &record.value {
@@ -462,19 +481,19 @@
         }
     }
 
-    fn whole(&self) -> Vec<Record> {
+    fn all_records(&self) -> Vec<Record> {
         self.all
             .keys()
             .map(|key| self.get(key, Revision::default()))
             .collect()
     }
 
-    /// What changed after a revision, each key once as it is now.
-    fn after(&self, after: Revision) -> Vec<Record> {
-        let mut last: BTreeMap<&str, Revision> = BTreeMap::new();
+    /// Returns the records that changed after a revision, each key once with its current value.
+    fn changes_after(&self, after: Revision) -> Vec<Record> {
+        let mut last_change: BTreeMap<&str, Revision> = BTreeMap::new();
         let later = self.changes.iter().filter(|(at, _)| *at > after);
-        last.extend(later.map(|(at, key)| (key.as_str(), *at)));
-        let mut changed: Vec<_> = last
+        last_change.extend(later.map(|(at, key)| (key.as_str(), *at)));
+        let mut changed: Vec<_> = last_change
             .into_iter()
             .map(|(key, at)| self.get(key, at))
             .collect();
@@ -482,21 +501,22 @@
         changed
     }
 
-    /// A record as it is; one that is gone with the revision at which that was read.
-    fn get(&self, key: &str, gone: Revision) -> Record {
-        let known = self.all.get(key);
+    /// Returns the current record of a key. A deleted one carries the given revision, at which the
+    /// deletion was read.
+    fn get(&self, key: &str, deleted_at: Revision) -> Record {
+        let current = self.all.get(key);
         Record {
             key: key.to_owned(),
-            value: known.map(|(_, value)| value.clone()),
-            revision: known.map_or(gone, |(revision, _)| *revision),
+            value: current.map(|(_, value)| value.clone()),
+            revision: current.map_or(deleted_at, |(revision, _)| *revision),
         }
     }
 }
 
 impl Record {
-    fn told(self, longest: usize) -> RecordUpdate {
+    fn into_update(self, max_bytes: usize) -> RecordUpdate {
         let content = match self.value {
-            Some(value) if value.len() > longest => Content::TooLong,
+            Some(value) if value.len() > max_bytes => Content::TooLong,
             Some(value) => Content::Value(value),
             None => Content::Deleted,
         };
--- a/crates/oatdale-relay/src/replica/ask.rs
+++ b/crates/oatdale-relay/src/replica/ask.rs
@@ -1,4 +1,4 @@
-//! Asks a reader.
+//! A client that fetches records from readers.
 
 use crate::replica::request::{KNOWN_PATH, PATH};
 use crate::replica::{FetchRequest, ReplicaUpdate};
@@ -14,43 +14,43 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time for a connection, and for each pause in an answer's body.
-const PAUSE: Duration = Duration::from_millis(500);
+/// Timeout for connecting and for each pause in a response body.
+const IO_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The longest answer: several times the largest value that the key-value service holds.
-const MAX_ANSWER: usize = 8 << 20;
+/// Maximum length of a response: several times the largest value that the key-value service holds.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// Why a reader told nothing.
+/// An error when fetching from a reader.
 #[derive(Debug, Snafu)]
 pub enum AskError {
-    /// The question could not be written.
-    #[snafu(display("not written: {source}"))]
-    NotWritten {
-        /// What was seen.
+    /// The request could not be encoded.
+    #[snafu(display("cannot encode the request: {source}"))]
+    Encode {
+        /// The underlying error.
         source: ciborium::ser::Error<io::Error>,
     },
-    /// It could not be asked, or did not answer in time.
-    #[snafu(display("no answer: {source}"))]
-    NoAnswer {
-        /// What was seen.
+    /// The request could not be sent, or no response arrived in time.
+    #[snafu(display("no response: {source}"))]
+    Send {
+        /// The underlying error.
         source: SendError,
     },
-    /// It does not read by itself, or the service does not answer it.
-    #[snafu(display("refused with {status}"))]
+    /// The node does not read for others, or the service does not answer it.
+    #[snafu(display("request refused: expected status 200, got {status}"))]
     Refused {
-        /// The answer's status.
+        /// The response's status.
         status: StatusCode,
     },
-    /// The answer broke off.
-    #[snafu(display("{source}"))]
-    BrokenOff {
-        /// What was seen.
+    /// The response body could not be read completely.
+    #[snafu(display("cannot read the response body: {source}"))]
+    ReadBody {
+        /// The underlying error.
         source: BodyError,
     },
-    /// The answer makes no sense.
-    #[snafu(display("can't be read: {source}"))]
-    Unreadable {
-        /// What was seen.
+    /// The response is not valid CBOR of the expected type.
+    #[snafu(display("cannot decode the response: {source}"))]
+    Decode {
+        /// The underlying error.
         source: ciborium::de::Error<io::Error>,
     },
 }
@@ -64,7 +64,7 @@
 impl Default for RecordsClient {
     fn default() -> Self {
         let pool = Pool::new(PoolConfig {
-            connect_timeout: PAUSE,
+            connect_timeout: IO_TIMEOUT,
             ..PoolConfig::default()
         });
         RecordsClient { pool }
@@ -72,22 +72,23 @@
 }
 
 impl RecordsClient {
-    /// Asks for what is new of a topic; the answer begins within `patience` beside the time that the question waits.
+    /// Fetches the changes of a topic. The response has to begin within `timeout` in addition to
+    /// the request's own wait time.
     ///
     /// # Errors
     ///
-    /// [`AskError`]; in each case another node, or the service, has to be asked.
+    /// [`AskError`]; in each case another node or the service has to be asked.
     pub async fn ask(
         &self,
         reader: SocketAddr,
-        question: &FetchRequest,
-        patience: Duration,
+        request: &FetchRequest,
+        timeout: Duration,
     ) -> Result<ReplicaUpdate, AskError> {
-        let time = question.wait() + patience;
-        self.exchange(reader, PATH, question, time).await
+        let response_timeout = request.wait() + timeout;
+        self.post(reader, PATH, request, response_timeout).await
     }
 
-    /// Fetches the versions that a running node has seen, in an era.
+    /// Fetches the versions that a running node knows in an era.
     ///
     /// # Errors
     ///
@@ -96,33 +97,33 @@
         &self,
         node: SocketAddr,
         era: u64,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<Vec<KnownVersions>, AskError> {
-        self.exchange(node, KNOWN_PATH, &era, patience).await
+        self.post(node, KNOWN_PATH, &era, timeout).await
     }
 
-    /// Sends a question; the answer begins within `time`.
-    async fn exchange<T: DeserializeOwned>(
+    /// Posts a payload and decodes the response, which has to begin within `response_timeout`.
+    async fn post<T: DeserializeOwned>(
         &self,
         node: SocketAddr,
         path: &'static str,
-        question: &impl Serialize,
-        time: Duration,
+        payload: &impl Serialize,
+        response_timeout: Duration,
     ) -> Result<T, AskError> {
         let mut body = Vec::new();
-        ciborium::into_writer(question, &mut body).context(NotWrittenSnafu)?;
+        ciborium::into_writer(payload, &mut body).context(EncodeSnafu)?;
         let mut req = Request::new(Full::from(body));
         *req.method_mut() = Method::POST;
         *req.uri_mut() = Uri::from_static(path);
-        let deadline = Instant::now() + time;
+        let deadline = Instant::now() + response_timeout;
         let sent = self.pool.send(node, req, Reuse::Allowed, deadline).await;
-        let res = sent.context(NoAnswerSnafu)?;
+        let res = sent.context(SendSnafu)?;
         if res.status() != StatusCode::OK {
             let status = res.status();
             return RefusedSnafu { status }.fail();
         }
-        let body = read_body(res.into_body(), MAX_ANSWER, PAUSE).await;
-        let body = body.context(BrokenOffSnafu)?;
-        ciborium::from_reader(body.as_ref()).context(UnreadableSnafu)
+        let body = read_body(res.into_body(), MAX_RESPONSE_BYTES, IO_TIMEOUT).await;
+        let body = body.context(ReadBodySnafu)?;
+        ciborium::from_reader(body.as_ref()).context(DecodeSnafu)
     }
 }
