--- a/crates/oatdale-relay/src/crashes.rs
+++ b/crates/oatdale-relay/src/crashes.rs
@@ -1,9 +1,11 @@
-//! Requests that crash the endpoints that run them: found by all nodes together, and refused by each.
+//! Quarantine of requests that crash the endpoints that run them. All nodes detect them together,
+//! and each rejects them.
 //!
-//! A connection that breaks may have been reset alone, by the endpoint or on its way; an endpoint that crashed refuses
-//! new connections. Each node reports the requests whose endpoints crashed to a few nodes that are picked by the
-//! request, and these count over all nodes. A request that is held is sent to all nodes at once and recorded at the
-//! platform, for nodes that miss it or start later.
+//! A broken connection alone is no proof of a crash, since the endpoint or the network may have
+//! reset it; an endpoint that crashed refuses new connections. Each node reports the requests whose
+//! endpoints crashed to a few nodes selected by the request's fingerprint, which count the crashes
+//! seen by all nodes. A quarantined request is broadcast to all nodes at once and recorded on the
+//! platform, for nodes that miss the broadcast or start later.
 
 mod check;
 mod records;
@@ -22,14 +24,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Nodes that count the crashes of one request. One may have just started, and a datagram may be lost.
+/// Number of nodes that count the crashes of one request. There are several because one may have
+/// just started and a datagram may be lost.
 const COUNTERS: usize = 3;
 
-/// Requests in one datagram.
+/// Maximum number of requests in one datagram.
 const MAX_REPORTED: usize = 40;
 
 impl<W: Wire> Cx<W> {
-    /// How much longer a request is refused, if it is.
+    /// Returns the remaining quarantine time of a request, if it is quarantined.
     pub(crate) fn quarantine_left(&self, plan: &Plan) -> Option<Duration> {
         if self.state().quarantine.is_empty() {
             return None;
@@ -38,24 +41,24 @@
         self.state().quarantine.left(self.now(), request)
     }
 
-    /// Whether endpoints crashed under a request, though too few to refuse it.
+    /// Whether endpoints crashed while running a request, but too few to quarantine it.
     fn is_suspected(&self, plan: &Plan) -> bool {
         let request = plan.fingerprint();
         self.state().quarantine.is_suspected(self.now(), request)
     }
 
-    /// Ends when the request is to be refused.
+    /// Resolves when the request is quarantined.
     pub(crate) async fn quarantined(&self, plan: &Plan) {
         let mut held = self.held.subscribe();
         while self.quarantine_left(plan).is_none() {
-            // The sender lives as long as this.
+            // Unreachable: `self` owns the sender.
             if held.changed().await.is_err() {
                 std::future::pending::<()>().await;
             }
         }
     }
 
-    /// Notes that an endpoint has answered a request to its end.
+    /// Records that an endpoint has completed a request.
     pub(crate) fn note_completed(&self, plan: &Plan) {
         if self.state().quarantine.is_empty() {
             return;
@@ -75,7 +78,7 @@
     }
 }
 
-/// Reports that an endpoint crashed under these requests.
+/// Reports that an endpoint crashed while running these requests.
 fn report<W: Wire>(cx: &Cx<W>, state: &mut State, endpoint: u32, requests: &[Fingerprint]) {
     note_crash(cx, state, endpoint, requests);
     let mut reports: HashMap<SocketAddr, Vec<u128>> = HashMap::new();
@@ -95,7 +98,7 @@
     }
 }
 
-/// Counts a crash for these requests, and holds those for which it was one too many.
+/// Counts a crash for these requests, and quarantines those that reach the limit.
 pub(crate) fn note_crash<W: Wire>(
     cx: &Cx<W>,
     state: &mut State,
@@ -109,7 +112,7 @@
         }
         log::warn!(
             target: "quarantine",
-            "event=quarantined request={request} reason=\"endpoints crashed under it\" endpoint={endpoint}"
+            "event=quarantined request={request} reason=\"endpoints crashed while running it\" endpoint={endpoint}"
         );
         state.unrecorded.add(now, *request, true);
         gossip::broadcast(cx, state, &Message::Quarantined { request: request.0 });
@@ -117,8 +120,8 @@
     }
 }
 
-/// Takes in that another node has just held a request. The nodes that count its crashes see to it that it is recorded,
-/// should that node end before.
+/// Applies another node's decision to quarantine a request. The nodes that count its crashes write
+/// the record if that node stops before it has done so.
 pub(crate) fn take_decision<W: Wire>(cx: &Cx<W>, state: &mut State, request: Fingerprint) {
     let now = cx.now();
     let own = cx.settings.listen.nodes;
@@ -126,14 +129,14 @@
     let is_news = state.quarantine.left(now, request).is_none();
     match rank.filter(|_| is_news) {
         Some(rank) => state.unrecorded.add_fallback(now, request, rank),
-        // This node let it go before: endpoints have crashed under it again.
+        // This node had released the request; endpoints have crashed under it again since.
         None if is_news => state.unrecorded.remove(request),
         None => {}
     }
     take(cx, state, request, true);
 }
 
-/// Takes in whether a request is held, as its record says.
+/// Applies a quarantine record read from the platform.
 pub(crate) fn take_record<W: Wire>(
     cx: &Cx<W>,
     state: &mut State,
@@ -149,14 +152,14 @@
     }
 }
 
-/// Takes in that another node has let a request go since a copy completed.
+/// Applies another node's release of a request, a copy of which completed.
 pub(crate) fn take_release<W: Wire>(cx: &Cx<W>, state: &mut State, request: Fingerprint) {
-    // Written after the release, the decision would hold the request again.
+    // A decision written after the release would quarantine the request again.
     state.unrecorded.remove(request);
     take(cx, state, request, false);
 }
 
-/// Takes in whether a request is held, as another node or a record says.
+/// Applies whether a request is quarantined, as reported by another node or a record.
 pub(crate) fn take<W: Wire>(cx: &Cx<W>, state: &mut State, request: Fingerprint, is_held: bool) {
     let now = cx.now();
     let is_news = match is_held {
@@ -169,8 +172,8 @@
     }
 }
 
-/// Sees to it that the requests that are held are recorded, since their records may be lost. Those that are not cancel
-/// this when they are read.
+/// Schedules writes of all quarantined requests, since their records may be lost. A record that
+/// still exists cancels its write when it is read.
 pub(crate) fn record_again(state: &mut State, now: Duration) {
     let held: Vec<_> = state.quarantine.held(now).collect();
     for request in held {
@@ -180,7 +183,7 @@
     }
 }
 
-/// The writes of this node's decisions that are due.
+/// Returns the commands that record this node's decisions and are due.
 pub(crate) fn due(state: &mut State, now: Duration) -> Vec<Command> {
     state.quarantine.expire(now);
     let due = state.unrecorded.due(now).into_iter();
@@ -188,7 +191,8 @@
         .collect()
 }
 
-/// The nodes that count the crashes of a request, the most preferred first, this node among them.
+/// Returns the nodes that count the crashes of a request, most preferred first; may include this
+/// node.
 fn ranked(
     state: &State,
     now: Duration,
@@ -200,7 +204,7 @@
     first.into_iter()
 }
 
-/// Those among them that are other nodes.
+/// Returns the nodes that count the crashes of a request, without this node.
 fn counters<W: Wire>(
     cx: &Cx<W>,
     state: &State,
--- a/crates/oatdale-relay/src/crashes/check.rs
+++ b/crates/oatdale-relay/src/crashes/check.rs
@@ -1,4 +1,4 @@
-//! Finds out whether an endpoint crashed.
+//! Detection of endpoint crashes.
 
 use crate::cx::Cx;
 use crate::directory::EndpointKey;
@@ -15,28 +15,28 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// Pauses before the connections by which an endpoint is checked. A process that ends may close its listener
-/// after its connections.
+/// Delays before each connection attempt of a check. There is more than one attempt because a
+/// process that exits may close its listener after its connections.
 const CHECK_PAUSES: [Duration; 2] = [Duration::from_millis(20), Duration::from_millis(200)];
 
-/// How long such a connection may take to open.
+/// Timeout of each connection attempt.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Checks of endpoints that are under way.
+/// Checks in progress, by endpoint.
 #[derive(Debug, Default)]
 pub(crate) struct Checks(HashMap<EndpointKey, Check>);
 
 /// A check of one endpoint.
 #[derive(Debug, Default)]
 struct Check {
-    /// Requests whose connections to it broke.
+    /// Requests whose connections to the endpoint broke.
     requests: Vec<Fingerprint>,
-    /// Closed when the check has ended.
+    /// Closed when the check ends.
     done: watch::Sender<()>,
 }
 
 impl Checks {
-    /// Adds a request, and says whether a check of the endpoint has to be begun.
+    /// Adds a request, and returns whether a check of the endpoint has to be started.
     fn add(&mut self, endpoint: EndpointKey, request: Fingerprint) -> bool {
         let check = self.0.entry(endpoint).or_default();
         check.requests.push(request);
@@ -49,15 +49,16 @@
             .map_or_else(Vec::new, |c| c.requests)
     }
 
-    /// A check of one of these endpoints, if one is under way.
+    /// Returns a receiver that closes with the check of one of these endpoints, if one is in
+    /// progress.
     fn of(&self, endpoints: &[EndpointKey]) -> Option<watch::Receiver<()>> {
         let check = endpoints.iter().find_map(|key| self.0.get(key))?;
         Some(check.done.subscribe())
     }
 }
 
-/// Waits until it is known whether the endpoints that a suspected request was sent to have crashed: one crash more may
-/// be one too many.
+/// Waits until it is known whether the endpoints that a suspected request was sent to have crashed,
+/// since one more crash may quarantine it.
 pub(crate) async fn settle<W: Wire>(cx: &Cx<W>, plan: &Plan) {
     loop {
         let check = {
@@ -71,15 +72,17 @@
         if !cx.is_suspected(plan) {
             return;
         }
-        // It ends with its sender.
+        // Ends when the check drops its sender.
         while check.changed().await.is_ok() {}
     }
 }
 
-/// Notes that an endpoint's connection broke while it had the request, and checks whether the endpoint crashed.
+/// Handles a connection that broke while its endpoint had the request: checks whether the endpoint
+/// crashed.
 ///
-/// Endpoints whose answers to the request were dropped before are checked too: nobody was there to see them crash.
-/// One that was about to leave ends by plan, with what it still has.
+/// Endpoints to which the request was sent before are checked too: once their response was dropped,
+/// a crash would go unnoticed. A leaving endpoint is not checked: it stops as planned, even with
+/// requests in flight.
 pub(crate) fn note_broken<W: Wire>(cx: &Arc<Cx<W>>, plan: &Plan, running: &Running<W>) {
     if running.is_leaving() {
         return;
@@ -103,7 +106,7 @@
     }
 }
 
-/// Checks one endpoint for all requests whose connections to it broke.
+/// Checks one endpoint on behalf of all requests whose connections to it broke.
 async fn check<W: Wire>(cx: Arc<Cx<W>>, key: EndpointKey, addr: SocketAddr) {
     let is_again = cx.state().directory.started_again(key);
     let reached = match is_again {
@@ -131,13 +134,13 @@
     }
 }
 
-/// Whether an endpoint can be reached.
+/// Result of probing an endpoint.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Reached {
     Yes,
-    /// Nobody listens there.
+    /// No process listens at the address.
     Refused,
-    /// Its host does not answer, which says nothing of its process.
+    /// The host does not respond, which says nothing about the endpoint's process.
     No,
 }
 
--- a/crates/oatdale-relay/src/crashes/records.rs
+++ b/crates/oatdale-relay/src/crashes/records.rs
@@ -1,16 +1,16 @@
-//! Decisions about requests that are still to be recorded at the platform.
+//! Quarantine decisions not yet recorded on the platform.
 
 use oatdale_policy::relay::Fingerprint;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time between two writes of one decision until the record is read.
+/// Interval between writes of one decision until its record is read back.
 const WRITE_INTERVAL: Duration = Duration::from_millis(1_500);
 
-/// How long a write that was not answered may still be executed.
+/// How long after an unanswered write it may still be executed.
 const LATE_WRITE_TIME: Duration = Duration::from_secs(10);
 
-/// Decisions that this node sees to, and has not read from the platform yet.
+/// Decisions that this node is responsible for writing and has not read back from the platform yet.
 #[derive(Debug, Default)]
 pub(crate) struct Unrecorded(BTreeMap<Fingerprint, Decision>);
 
@@ -18,12 +18,12 @@
 struct Decision {
     is_held: bool,
     since: Duration,
-    /// When it is written next; unset once its record was read.
+    /// Time of the next write; unset once the record has been read back.
     due: Option<Duration>,
 }
 
 impl Unrecorded {
-    /// Adds a decision of this node.
+    /// Adds a decision made by this node.
     pub(crate) fn add(&mut self, now: Duration, request: Fingerprint, is_held: bool) {
         let decision = Decision {
             is_held,
@@ -33,8 +33,8 @@
         self.0.insert(request, decision);
     }
 
-    /// Adds a request that another node has held and records; `rank` is this node's place among those that do so if
-    /// that node does not.
+    /// Adds a request that another node has quarantined and is to record; `rank` is this node's
+    /// position among those that write the record if that node does not.
     pub(crate) fn add_fallback(&mut self, now: Duration, request: Fingerprint, rank: usize) {
         let wait = WRITE_INTERVAL * u32::try_from(rank + 1).unwrap_or(u32::MAX);
         let decision = Decision {
@@ -45,13 +45,13 @@
         self.0.insert(request, decision);
     }
 
-    /// Drops a decision that was overtaken.
+    /// Removes a superseded decision.
     pub(crate) fn remove(&mut self, request: Fingerprint) {
         self.0.remove(&request);
     }
 
-    /// Notes what a record says, and says whether it counts: a write of a decision that this node has overtaken may be
-    /// executed late, and is then written over.
+    /// Handles a record, and returns whether it is to be applied. The write of a decision that this
+    /// node has since reversed may be executed late; that record is ignored and overwritten.
     pub(crate) fn note_record(
         &mut self,
         now: Duration,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The decisions that are to be written now.
+    /// Returns the decisions to write now.
     pub(crate) fn due(&mut self, now: Duration) -> Vec<(Fingerprint, bool)> {
         let is_open = |d: &Decision| d.due.is_some() || now < d.since + LATE_WRITE_TIME;
         self.0.retain(|_, d| is_open(d));
--- a/crates/oatdale-relay/src/events.rs
+++ b/crates/oatdale-relay/src/events.rs
@@ -1,8 +1,8 @@
-//! Cuts a stream into whole events.
+//! Splits a byte stream into complete server-sent events.
 //!
-//! Only whole events are passed on. An endpoint that dies stops in the middle of one, and the
-//! endpoint that goes on begins with the next: had a part been passed on before, the caller would
-//! read two events as one.
+//! Only complete events are forwarded. An endpoint that crashes stops in the middle of an event,
+//! and the endpoint that resumes the stream begins with the event after the last complete one: had
+//! a partial event been forwarded, the client would read two events as one.
 //!
 //! ```
 //! use oatdale_relay::WholeEvents;
@@ -14,16 +14,16 @@
 
 use bytes::Bytes;
 
-/// The whole events of a stream.
+/// Reassembles the complete events of a stream.
 #[derive(Clone, Debug, Default)]
 pub struct WholeEvents {
-    /// The beginning of an event whose end has not come yet.
+    /// Start of an event whose end has not been received yet.
     part: Vec<u8>,
     last: Option<u64>,
 }
 
 impl WholeEvents {
-    /// A stream that goes on after event `last`.
+    /// Creates the state for a stream that resumes after event `last`.
     pub fn after(last: Option<u64>) -> Self {
         WholeEvents {
             part: Vec::new(),
@@ -31,25 +31,25 @@
         }
     }
 
-    /// The id of the last whole event.
+    /// Returns the id of the last complete event.
     pub fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// Whether the stream stops in the middle of an event.
+    /// Whether the data received so far ends in the middle of an event.
     pub fn is_cut(&self) -> bool {
         !self.part.is_empty()
     }
 
-    /// Drops the beginning of an event that its endpoint will not end.
+    /// Discards a partial event that its endpoint will not complete.
     pub fn drop_part(&mut self) {
         self.part.clear();
     }
 
-    /// Takes the next piece and returns the events that it ends.
+    /// Appends the next chunk and returns the events that it completes.
     ///
-    /// Events up to the last one are left out: an endpoint that goes on may begin too early, and
-    /// the caller would get them twice.
+    /// Events with an id up to the last one are dropped: an endpoint that resumes a stream may
+    /// begin too early, and the client would receive them twice.
     pub fn push(&mut self, piece: &[u8]) -> Bytes {
         self.part.extend_from_slice(piece);
         let mut out = Vec::new();
@@ -69,7 +69,7 @@
     }
 }
 
-/// The length of the first whole event, with the empty line that ends it.
+/// Returns the length of the first complete event, including the empty line that ends it.
 fn event_len(buf: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (at, _) in buf.iter().enumerate().filter(|(_, b)| **b == b'\n') {
--- a/crates/oatdale-relay/src/metrics.rs
+++ b/crates/oatdale-relay/src/metrics.rs
@@ -1,11 +1,11 @@
-//! Counters and histograms of one relay.
+//! Metrics of one relay.
 
 use prometheus::{
     Encoder, Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, Opts, Registry,
     TextEncoder,
 };
 
-/// Upper bounds of the latency histograms, in seconds.
+/// Upper bounds of the latency histogram buckets, in seconds.
 const LATENCY_BOUNDS: [f64; 12] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 3.0, 5.0, 15.0,
 ];
@@ -13,33 +13,33 @@
 /// All of a relay's metrics.
 pub(crate) struct Metrics {
     registry: Registry,
-    /// Requests by how they ended.
+    /// Requests by result.
     pub(crate) requests: IntCounterVec,
     /// Attempts beyond the first of each request.
     pub(crate) repeats: IntCounter,
-    /// Answers dropped for a larger model's.
+    /// Responses discarded in favor of a larger model's.
     pub(crate) escalations: IntCounter,
-    /// Streams that another endpoint went on with.
+    /// Streams that another endpoint resumed.
     pub(crate) resumed: IntCounter,
-    /// Endpoints that crashed while this node had requests there.
+    /// Endpoints that crashed while this node had requests in flight there.
     pub(crate) crashes: IntCounter,
-    /// Requests that are refused since they crash endpoints.
+    /// Requests in quarantine because they crash endpoints.
     pub(crate) quarantined: IntGauge,
     /// Failure domains that operators have evacuated.
     pub(crate) evacuated: IntGauge,
-    /// Times that the key-value service came back from an older copy.
+    /// Restores of the key-value service from an older copy.
     pub(crate) restores: IntCounter,
-    /// Time to the head of the answer that was passed on, in seconds.
+    /// Time to the head of the forwarded response, in seconds.
     pub(crate) first_byte: Histogram,
-    /// Version of the configuration in force.
+    /// Version of the active configuration.
     pub(crate) version: IntGauge,
-    /// Endpoints known.
+    /// Known endpoints.
     pub(crate) endpoints: IntGauge,
-    /// Open connections of callers.
+    /// Open client connections.
     pub(crate) connections: IntGauge,
-    /// Requests under way.
+    /// In-flight requests.
     pub(crate) under_way: IntGauge,
-    /// Whether the key-value service answers: 1 or 0.
+    /// 1 if the key-value service responds, otherwise 0.
     pub(crate) store: IntGauge,
 }
 
@@ -99,7 +99,7 @@
         all.into_iter().try_for_each(|c| self.registry.register(c))
     }
 
-    /// All of them in the text format.
+    /// Returns all metrics in the Prometheus text format.
     pub(crate) fn text(&self) -> Vec<u8> {
         let mut text = Vec::new();
         match TextEncoder::new().encode(&self.registry.gather(), &mut text) {
--- a/crates/oatdale-relay/src/node.rs
+++ b/crates/oatdale-relay/src/node.rs
@@ -1,4 +1,4 @@
-//! A relay as a whole: its listeners, its news and its end.
+//! The relay node: start-up, platform updates, periodic tasks and shutdown.
 
 use crate::crashes;
 use crate::cx::Cx;
@@ -19,17 +19,17 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// Time between two looks at what is due.
+/// Interval of the periodic tasks.
 const TICK: Duration = Duration::from_millis(200);
 
-/// The part of the time for a stop in which requests are still taken: callers keep addresses for
-/// a while, and what they send last needs time to be answered.
+/// Fraction of the shutdown time during which new requests are accepted: clients cache addresses
+/// for a while, and their last requests need time to complete.
 const STILL_TAKES: f64 = 0.6;
 
-/// Time before the end of a stop at which what is still under way is given up.
+/// Time before the end of the shutdown at which remaining in-flight requests are abandoned.
 const LAST: Duration = Duration::from_millis(400);
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections waiting to be accepted.
 const BACKLOG: u32 = 1_024;
 
 /// A running relay.
@@ -44,7 +44,7 @@
     ///
     /// # Errors
     ///
-    /// One of its addresses can't be listened on.
+    /// The relay cannot listen on one of its addresses.
     pub async fn start(settings: Settings, wire: W, link: Link) -> Result<Self> {
         let Link {
             updates,
@@ -77,15 +77,15 @@
         Ok(Relay { cx, commands, stop })
     }
 
-    /// Stops in order: leaves the addresses that callers are told, goes on for as long as they
-    /// may keep them, and ends what is under way.
+    /// Shuts down gracefully: removes the node from the addresses given to clients, keeps serving
+    /// for as long as clients may cache them, and drains in-flight requests.
     pub async fn stop(&self) {
         let began = Instant::now();
         let time = self.cx.state().bounds.stop();
         log::info!(target: "node", "event=stopping under_way={}", self.under_way());
         self.cx.state().stopping = Some(began);
         if self.commands.send(Command::Leave).await.is_err() {
-            log::warn!(target: "node", "event=leave_not_sent reason=\"the adapter has ended\"");
+            log::warn!(target: "node", "event=leave_not_sent reason=\"platform adapter has stopped\"");
         }
         gossip::leave(&self.cx).await;
         tokio::time::sleep_until(began + time.mul_f64(STILL_TAKES)).await;
@@ -97,7 +97,8 @@
         log::info!(target: "node", "event=stopped under_way={}", self.under_way());
     }
 
-    /// Takes in changed settings and says whether some of them need a restart: addresses do.
+    /// Applies changed bounds, and returns whether other settings changed, such as addresses, which
+    /// take effect only after a restart.
     pub fn reload(&mut self, settings: &Settings) -> bool {
         let needs_restart = Settings {
             bounds: settings.bounds,
@@ -116,7 +117,7 @@
     while let Some(update) = updates.recv().await {
         cx.update(update);
     }
-    log::warn!(target: "node", "event=no_more_news reason=\"the adapter has ended\"");
+    log::warn!(target: "node", "event=updates_ended reason=\"platform adapter has stopped\"");
 }
 
 async fn tick<W: Wire>(cx: Arc<Cx<W>>, commands: mpsc::Sender<Command>) {
@@ -131,7 +132,7 @@
         for command in due(&cx) {
             log::info!(target: "node", "event=write {command:?}");
             if commands.try_send(command).is_err() {
-                log::warn!(target: "node", "event=write_postponed reason=\"adapter is busy\"");
+                log::warn!(target: "node", "event=write_postponed reason=\"platform adapter is busy\"");
             }
         }
     }
@@ -166,7 +167,7 @@
 fn bind(addr: SocketAddr) -> Result<TcpListener> {
     let open = || {
         let socket = TcpSocket::new_v4()?;
-        // A node that is started again takes its port although old connections linger there.
+        // Lets a restarted node bind its port while old connections linger on it.
         socket.set_reuseaddr(true)?;
         socket.bind(addr)?;
         socket.listen(BACKLOG)
--- a/crates/oatdale-relay/src/roll_outs.rs
+++ b/crates/oatdale-relay/src/roll_outs.rs
@@ -1,5 +1,5 @@
-//! Roll-outs of endpoint pools: which software version a request may use, what was seen of the
-//! new one by all nodes, and when the end is to be written.
+//! Rollouts of endpoint pools: which software version a request may use, the evidence that all
+//! nodes have collected about the new version, and when to record the outcome.
 
 mod active;
 mod rates;
@@ -22,30 +22,32 @@
 pub use report::{OnOld, Report};
 pub use usual::Pace;
 
-/// Which software versions a request may use.
+/// The software versions that a request may use.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Allowed {
-    /// Any.
+    /// Any version.
     All,
-    /// This one; others only if it has no endpoint.
+    /// This version; others only if it has no endpoint.
     Prefer(String),
-    /// A part of this one's endpoints, the same on all nodes; others only if there is none.
+    /// A subset of this version's endpoints, the same on all nodes; other versions only if it has
+    /// none.
     ///
-    /// A version may be bad only under load, and the few requests of a trial are no load for a
-    /// whole pool. For so many endpoints as would have this share they are the usual load.
+    /// A version may be faulty only under load, and the few requests of a trial would not load a
+    /// whole pool. Concentrated on a fraction of the endpoints equal to their share of the traffic,
+    /// they are a normal load for each.
     Trial {
         /// The version.
         version: String,
-        /// Picks the endpoints.
+        /// Seed that selects the endpoints.
         seed: u64,
-        /// The part.
+        /// The share of requests in the trial, and the fraction of endpoints that serve them.
         share: f64,
     },
-    /// Any but this one.
+    /// Any version but this one.
     Not(String),
 }
 
-/// Where an answer came from.
+/// The origin of a response.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Source<'a> {
     /// The service.
@@ -54,31 +56,31 @@
     pub version: &'a str,
     /// The route and the endpoint.
     pub origin: Origin,
-    /// Whether the endpoint fails much of what it gets.
+    /// Whether the endpoint has a high failure rate.
     pub is_failing: bool,
 }
 
-/// All roll-outs that a node knows of.
+/// All rollouts that a node knows of.
 #[derive(Debug, Default)]
 pub struct RollOuts {
     by_service: HashMap<String, Active>,
-    /// Usual times of versions that are not on trial, also from before an order.
+    /// Baseline durations of versions that are not on trial, including those from before an order.
     usual: UsualTimes,
     sessions: Sessions,
-    /// This node's requests.
+    /// Request rates of this node.
     rates: Rates,
-    /// An order has been heard of that other nodes may not know.
+    /// Whether a new order has been received that other nodes may not know.
     has_news: bool,
-    /// When other nodes were last told of all sessions on old versions.
+    /// When the full list of sessions on old versions was last sent to other nodes.
     told_sessions: Option<Duration>,
 }
 
-/// Time between two tellings of all sessions on old versions: some lives of a session have several, and a
-/// site of ninety nodes sends each of them some forty datagrams a second while a trial lasts.
+/// Interval at which the full list of sessions on old versions is sent. Several transmissions fit into a
+/// session's lifetime; with 90 nodes, each receives about 40 datagrams per second during a trial.
 const TELL_SESSIONS: Duration = Duration::from_secs(2);
 
 impl RollOuts {
-    /// Takes in a roll-out as the operator and the nodes wrote it.
+    /// Applies a rollout record written by an operator or a node.
     pub fn update(&mut self, now: Duration, roll_out: RollOut) {
         let known = self.by_service.get_mut(&roll_out.service);
         match known {
@@ -99,14 +101,15 @@
         }
     }
 
-    /// Notes that the record of how a service's last roll-out ended is lost.
+    /// Handles the loss of the record of how a service's last rollout ended.
     pub fn end_lost(&mut self, now: Duration, service: &str) {
         if let Some(active) = self.by_service.get_mut(service) {
             active.end_lost(now);
         }
     }
 
-    /// Which versions a request may use. `hash` is of its session or, without one, of itself.
+    /// Returns the versions that a request may use. `hash` is the hash of the request, used if it
+    /// has no session.
     pub fn allowed(
         &self,
         now: Duration,
@@ -142,13 +145,14 @@
         }
     }
 
-    /// Notes a request for a service.
+    /// Counts a request for a service.
     pub fn count_request(&mut self, now: Duration, service: &str) {
         self.rates.add(now, service);
     }
 
-    /// Settles the share of each trial that has begun, and follows the requests that come: what nodes
-    /// told each other of theirs gives about the same share and times on all of them.
+    /// Sets the traffic share of each trial that has begun, and adjusts the schedules to the
+    /// request rates. All nodes exchange their rates and therefore arrive at about the same shares
+    /// and times.
     pub fn follow_rates(&mut self, now: Duration, allowed: Exposure) {
         let services: Vec<String> = self.by_service.keys().cloned().collect();
         for service in services {
@@ -161,8 +165,8 @@
         }
     }
 
-    /// Notes which version a session's request goes to, and returns what other nodes have to know at
-    /// once: that it is on an old version, where they would try the new one with it.
+    /// Pins a session to the version that its request goes to. Returns a message to send to other
+    /// nodes at once if the session is on an old version and they might route it to the new one.
     pub fn pin(
         &mut self,
         now: Duration,
@@ -177,13 +181,13 @@
         matters.then(|| self.sessions.tell(now, session)).flatten()
     }
 
-    /// Forgets sessions that ended.
+    /// Removes expired sessions.
     pub fn forget_sessions(&mut self, now: Duration, life: Duration) {
         self.sessions.forget(now, life);
     }
 
-    /// Notes an answer's head: whether the endpoint failed it, and how long it took, if that says
-    /// anything.
+    /// Records a response head: whether the endpoint failed, and how long it took, where that time
+    /// is meaningful.
     pub fn answered(&mut self, source: &Source<'_>, failed: bool, took: Option<(Pace, Duration)>) {
         if let Some((counts, _)) = self.counts(source) {
             counts.answers += 1;
@@ -197,7 +201,7 @@
         }
     }
 
-    /// Notes a time that an endpoint took; those of one pace should be about as long.
+    /// Records how long an endpoint took; durations with the same pace are comparable.
     pub fn timed(&mut self, source: &Source<'_>, pace: Pace, took: Duration) {
         let bound = self.slow_after(pace);
         if let Some(bound) = bound {
@@ -209,7 +213,8 @@
         }
     }
 
-    /// Notes whether an endpoint was slow, where its time is not known: it may not be over.
+    /// Records whether an endpoint was slow when the duration is not known, for example because the
+    /// response is still outstanding.
     pub fn judged(&mut self, source: &Source<'_>, slow: bool) {
         if let Some((counts, _)) = self.counts(source) {
             counts.timed += 1;
@@ -220,17 +225,17 @@
         }
     }
 
-    /// The time from which on something of a pace counts as slow, if there is a usual one.
+    /// Returns the duration above which a sample of this pace counts as slow, if a baseline exists.
     pub fn slow_after(&self, pace: Pace) -> Option<Duration> {
         self.usual.slow_after(pace)
     }
 
-    /// Where to count a version's answer, and whether it is the new one, while a roll-out is under
-    /// way.
+    /// Returns the counters for a response and whether it is from the new version, while a rollout
+    /// is in progress.
     fn counts(&mut self, source: &Source<'_>) -> Option<(&mut Counts, bool)> {
         let active = self.by_service.get_mut(source.service)?;
         let is_new = active.roll_out.target == source.version;
-        // The old version's endpoints are not told apart: they are what is usual.
+        // The endpoints of the old version are counted together: they form the baseline.
         let old = Origin {
             endpoint: 0,
             ..source.origin
@@ -238,18 +243,19 @@
         match active.roll_out.end {
             Some(_) => None,
             None if is_new => Some((active.own.new.at(source.origin), true)),
-            // An old endpoint that fails by itself is not what is usual. With its answers a version
-            // that fails a third of its own looked like the old one, and was completed.
+            // A faulty endpoint of the old version is excluded from the baseline. Otherwise a new
+            // version that fails a third of its requests looks like the old one, and its rollout
+            // completes.
             None if source.is_failing => None,
             None => Some((active.own.old.at(old), false)),
         }
     }
 
-    /// Takes in what another node saw.
+    /// Merges another node's report.
     ///
-    /// A node that the key-value service turns away, or that started late, learns of an order and
-    /// of its age in this way. Otherwise it would begin the plan anew when it hears of the order,
-    /// and send to the old version what others send to the new one.
+    /// A node that the key-value service rejects, or that started late, learns of an order and its
+    /// age in this way. Otherwise it would restart the schedule when it receives the order, and
+    /// route requests to the old version while other nodes route them to the new one.
     pub fn merge_report(&mut self, now: Duration, report: &Report) {
         let reported = report.roll_out();
         let known = self.by_service.get(&report.service).map(|a| &a.roll_out);
@@ -275,21 +281,22 @@
         active.judge();
     }
 
-    /// Takes in which sessions another node has on an old version.
+    /// Merges the sessions that another node has on an old version.
     pub fn merge_old_sessions(&mut self, now: Duration, on_old: &OnOld) {
         for &session in &on_old.sessions {
             self.sessions.pin_old(now, session);
         }
     }
 
-    /// Whether there is an order that others should hear of at once; asked once for each.
+    /// Returns whether a new order has to be sent to other nodes at once, and resets the flag.
     pub fn take_news(&mut self) -> bool {
         std::mem::take(&mut self.has_news)
     }
 
-    /// What this node tells others of the roll-outs that are under way.
+    /// Returns this node's reports on the rollouts in progress.
     ///
-    /// `old_busy` says whether this node has work on another version of a service than the target.
+    /// `old_busy` returns whether this node has requests in flight on a version of a service other
+    /// than the target.
     pub fn reports(
         &self,
         now: Duration,
@@ -315,14 +322,15 @@
             .collect()
     }
 
-    /// The roll-outs that have ended.
+    /// Returns the rollouts that have ended.
     pub fn ended(&self) -> Vec<RollOut> {
         let all = self.by_service.values().map(|a| &a.roll_out);
         all.filter(|r| r.end.is_some()).cloned().collect()
     }
 
-    /// The sessions that this node has on old versions and of which others have to know while
-    /// roll-outs are under way; nothing if it told them of all a moment ago.
+    /// Returns the sessions that this node has on old versions and that other nodes need to know of
+    /// while rollouts are in progress; empty if the full list was sent less than
+    /// `TELL_SESSIONS` ago.
     pub fn on_old(&mut self, now: Duration) -> Vec<OnOld> {
         if self
             .told_sessions
@@ -339,7 +347,8 @@
         all
     }
 
-    /// The ends that this node is to write now. `rank` is its place among the live nodes by name.
+    /// Returns the outcomes that this node has to write now. `rank` is its position among the live
+    /// nodes, sorted by name.
     pub fn due(
         &mut self,
         now: Duration,
--- a/crates/oatdale-relay/src/roll_outs/active.rs
+++ b/crates/oatdale-relay/src/roll_outs/active.rs
@@ -1,4 +1,4 @@
-//! One roll-out: its plan, the evidence of all nodes, and its end.
+//! One rollout: its schedule, the evidence of all nodes, and its outcome.
 
 use super::report::numbers;
 use crate::update::{RollOut, RollOutEnd};
@@ -8,23 +8,24 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// What another node said counts for so long; one that stopped has no work left.
+/// Lifetime of another node's report; a node that has stopped has no requests in flight.
 const REPORT_LIFE: Duration = Duration::from_secs(2);
 
-/// Time between two attempts to write the end, which may have been lost.
+/// Interval between attempts to write the outcome; an earlier write may have been lost.
 const ASK_AGAIN: Duration = Duration::from_millis(1_000);
 
-/// The end is written by the first node by name, and by the next one if nothing was seen of it
-/// after this time, so that not all nodes write at once.
+/// Delay between the nodes that may write the outcome: the first by name writes it, and the next
+/// one after this time if no outcome has been recorded, so that not all nodes write at once.
 const TURN: Duration = Duration::from_millis(250);
 
-/// Nodes that take part in these turns, and that others report to: enough that some are alive.
+/// Number of nodes that take turns writing the outcome and receive reports from the others; enough
+/// that some of them are alive.
 pub(crate) const JUDGES: usize = 8;
 
-/// How much more requests arrive at endpoints than callers send: some are repeated.
+/// Requests at endpoints per client request; higher than 1 because of retries.
 const ARRIVALS: f64 = 1.4;
 
-/// One roll-out.
+/// State of one rollout.
 #[derive(Debug)]
 pub(super) struct Active {
     pub(super) roll_out: RollOut,
@@ -32,16 +33,16 @@
     pub(super) own: Tally,
     pub(super) peers: HashMap<String, Peer>,
     schedule: Schedule,
-    /// Share of requests that try the new version, settled when the trial begins, and the requests a
-    /// second that it was settled for.
+    /// Share of requests that try the new version, set when the trial begins.
     pub(super) share: Option<f64>,
+    /// Requests per second for which the share was computed.
     planned_rate: f64,
     pub(super) asked: Option<Duration>,
-    /// Since when the end could be written.
+    /// Since when the outcome could be written.
     pub(super) due_since: Option<Duration>,
-    /// The end is known, but its record is lost.
+    /// Whether the outcome is known but its record is lost.
     is_end_lost: bool,
-    /// What was last found, for a log line when it changes.
+    /// The last verdict; a change is logged.
     pub(super) verdict: Verdict,
 }
 
@@ -71,17 +72,17 @@
         }
     }
 
-    /// Takes in another record of the same order.
+    /// Applies another record of the same order.
     ///
-    /// An end stays one: only a new order begins anew. An order that was written again is under its last revision, as
-    /// at nodes that know no other one.
+    /// An outcome is final: only a new order starts another rollout. An order that was written
+    /// again is kept under its latest revision, as on nodes that know only that one.
     pub(super) fn update(&mut self, roll_out: &RollOut) {
         self.roll_out.order = self.roll_out.order.max(roll_out.order);
         self.is_end_lost &= roll_out.end.is_none();
         self.roll_out.end = self.roll_out.end.or(roll_out.end);
     }
 
-    /// The record of the end is lost: it is due once more.
+    /// Schedules another write of the outcome after its record was lost.
     pub(super) fn end_lost(&mut self, now: Duration) {
         self.is_end_lost = self.roll_out.end.is_some();
         self.due_since = Some(now);
@@ -96,7 +97,7 @@
         sum
     }
 
-    /// Judges anew; a version that was found bad stays so for this order.
+    /// Updates the verdict; a version found bad stays bad for this order.
     pub(super) fn judge(&mut self) {
         if self.verdict == Verdict::Bad {
             return;
@@ -119,19 +120,19 @@
         self.schedule.phase(since, self.verdict)
     }
 
-    /// Whether requests may still go to either version.
+    /// Whether requests may still be routed to either version.
     pub(super) fn is_undecided(&self, now: Duration) -> bool {
         let phase = self.phase(now);
         self.roll_out.end.is_none() && matches!(phase, Phase::Announced | Phase::Trial)
     }
 
-    /// Whether a session may belong to those that try the new version: until the share is settled, to
-    /// those of the largest one.
+    /// Whether a session may be among those that try the new version; until the share is set, the
+    /// largest possible share is assumed.
     pub(super) fn may_try(&self, session: u64) -> bool {
         is_in_trial(self.share.unwrap_or(MOST_TRIAL), session)
     }
 
-    /// Settles the share of the trial when it begins.
+    /// Sets the traffic share of the trial when it begins.
     pub(super) fn settle_share(&mut self, now: Duration, allowed: Exposure, own_rate: f64) {
         if self.share.is_some() || self.phase(now) == Phase::Announced {
             return;
@@ -148,7 +149,7 @@
         self.share = Some(share);
     }
 
-    /// Follows the requests that come after the share was settled.
+    /// Adjusts the schedule to the request rate after the share was set.
     pub(super) fn follow_rate(&mut self, now: Duration, own_rate: f64) {
         let others: f64 = self.peers.values().map(|p| p.recent_rate).sum();
         let rate = (own_rate + others) * ARRIVALS;
@@ -156,6 +157,7 @@
         self.schedule.follow_rate(since, self.planned_rate, rate);
     }
 
+    /// Returns the outcome if this node has to write it now.
     pub(super) fn due(&mut self, now: Duration, rank: usize, busy: bool) -> Option<RollOutEnd> {
         let end = match (self.verdict, self.phase(now)) {
             _ if self.roll_out.end.is_some() && !self.is_end_lost => return None,
@@ -182,7 +184,8 @@
         Some(end)
     }
 
-    /// Whether no node has work on the old version, or there is no time left to wait for it.
+    /// Whether no node has requests in flight on the old version, or there is no time left to wait
+    /// for them.
     fn old_is_done(&self, now: Duration, busy: bool) -> bool {
         let last = self.since + self.schedule.latest_end();
         let others_busy = self
--- a/crates/oatdale-relay/src/roll_outs/rates.rs
+++ b/crates/oatdale-relay/src/roll_outs/rates.rs
@@ -1,16 +1,16 @@
-//! How many requests a node gets for each service.
+//! Request rates of a node by service.
 
 use oatdale_policy::relay::Rate;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time over which the rate of requests is averaged: callers come in waves.
+/// Averaging time of the request rate; long because client traffic comes in waves.
 const MEMORY: Duration = Duration::from_secs(5);
 
-/// Time over which the rate is averaged that shows a burst while it begins.
+/// Averaging time of the recent rate; short enough to show the start of a burst.
 const SHORT_MEMORY: Duration = Duration::from_millis(1_200);
 
-/// Requests a second by service.
+/// Requests per second by service.
 #[derive(Debug, Default)]
 pub(super) struct Rates {
     by_service: HashMap<String, Requests>,
@@ -41,7 +41,7 @@
         requests.map_or(0.0, |r| r.a_second(now))
     }
 
-    /// Requests a second within the last second or so.
+    /// Returns the requests per second within about the last second.
     pub(super) fn recent(&self, now: Duration, service: &str) -> f64 {
         let requests = self.by_service.get(service);
         requests.map_or(0.0, |r| r.recent.get(now))
@@ -49,8 +49,8 @@
 }
 
 impl Requests {
-    /// The average knows nothing of the time before the first request, which would make a node that
-    /// has just started take its service for a quiet one.
+    /// Returns the average rate, corrected for the time before the first request. Without the
+    /// correction, a node that has just started would underestimate the load of its service.
     fn a_second(&self, now: Duration) -> f64 {
         let known = now.saturating_sub(self.since).as_secs_f64() / MEMORY.as_secs_f64();
         self.rate.get(now) / (1.0 - (-known.max(0.05)).exp())
--- a/crates/oatdale-relay/src/roll_outs/report.rs
+++ b/crates/oatdale-relay/src/roll_outs/report.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other of a roll-out.
+//! Messages that nodes exchange about a rollout.
 
 use crate::revision::Revision;
 use crate::update::RollOut;
@@ -6,47 +6,47 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What one node tells others of a roll-out.
+/// One node's report on a rollout.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct Report {
-    /// The node.
+    /// Host name of the node.
     pub host: String,
     /// The service.
     pub service: String,
-    /// The order.
+    /// Revision of the rollout order.
     pub order: Revision,
-    /// The version to move to.
+    /// Version to move to.
     pub target: String,
-    /// Time that the order gives, in milliseconds.
+    /// Duration that the order allows, in milliseconds.
     pub duration_ms: u64,
-    /// How long the node has known of the order, in milliseconds.
+    /// Age of the order as known to the node, in milliseconds.
     pub age_ms: u64,
-    /// Answers of the new version.
+    /// Response counts of the new version.
     pub new: Vec<CellWire>,
-    /// The same of the old versions.
+    /// Response counts of the old versions.
     pub old: Vec<CellWire>,
-    /// Whether it has requests under way on an old version.
+    /// Whether the node has requests in flight on an old version.
     pub old_busy: bool,
-    /// The node's requests a second for the service.
+    /// The node's requests per second for the service.
     pub rate: f64,
-    /// The same within the last second or so.
+    /// The same rate within about the last second.
     pub recent_rate: f64,
 }
 
-/// Answers of one origin: its route, its endpoint, and how many there were in all, failed, timed
-/// and slow. Without names, so that some dozens of them fit into a datagram.
+/// Response counts of one origin: route, endpoint, and the numbers of all, failed, timed and slow
+/// responses. Encoded without field names so that dozens of them fit into a datagram.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct CellWire(u32, u32, [u64; 4]);
 
-/// Sessions that began on an old version and would try the new one if they were new.
+/// Sessions that began on an old version and would be in the trial if they were new.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct OnOld {
-    /// Hashes of their names.
+    /// Hashes of the session names.
     pub sessions: Vec<u64>,
 }
 
 impl Report {
-    /// The order as its sender heard it.
+    /// Returns the order as the sender of the report knows it.
     pub(super) fn roll_out(&self) -> RollOut {
         RollOut {
             service: self.service.clone(),
@@ -88,7 +88,7 @@
     }
 }
 
-/// All answers, failed ones, timed ones, slow ones: short for logs and datagrams.
+/// Returns the counts of all, failed, timed and slow responses, compact for logs and datagrams.
 pub(super) fn numbers(counts: Counts) -> [u64; 4] {
     [counts.answers, counts.failed, counts.timed, counts.slow]
 }
--- a/crates/oatdale-relay/src/roll_outs/sessions.rs
+++ b/crates/oatdale-relay/src/roll_outs/sessions.rs
@@ -1,48 +1,51 @@
-//! Which version each session runs on.
+//! Session pinning: the version that each session runs on.
 //!
-//! A caller's next connection may be to another node. During a trial that node would take the session
-//! for a new one and send it to the new version; so nodes tell each other of the sessions for which
-//! this matters: each new one at once, since its next request may follow within a second, and all of
-//! them again and again, for nodes that missed it or started later.
+//! A client's next connection may go to another node. During a trial that node would treat the
+//! session as a new one and route it to the new version. Nodes therefore announce the affected
+//! sessions to each other: each new one at once, since its next request may follow within a second,
+//! and all of them periodically, for nodes that missed the first message or started later.
 
 use super::report::OnOld;
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// Sessions that are remembered at most. More are not pinned, which counts only in a trial.
+/// Maximum number of sessions kept. Further ones are not pinned, which matters only during a trial.
 const MAX_SESSIONS: usize = 20_000;
 
-/// Sessions that one datagram names, and how many datagrams there are at the most. More sessions
-/// may change their version in a trial, which needs some hundred callers a node.
+/// Maximum number of sessions in one datagram.
 const TOLD_AT_ONCE: usize = 100;
+
+/// Maximum number of datagrams for the full list. Sessions beyond them may change their version
+/// during a trial; this takes several hundred clients per node.
 const TOLD_TIMES: usize = 3;
 
-/// Sessions that a datagram about a new one names again, so that a lost one is made up for by the next.
+/// Number of recent sessions in each announcement, so that the next datagram makes up for a lost
+/// one.
 const TOLD_AGAIN: usize = 16;
 
-/// Time after which other nodes are told of a session again. They forget one after its life, which is
-/// several times as long.
+/// Time after which a session is announced again. Other nodes drop it at the end of its lifetime,
+/// which is several times as long.
 const TELL_AGAIN: Duration = Duration::from_millis(1_500);
 
-/// Sessions by the hash of their names.
+/// Sessions by hash of their name.
 #[derive(Debug, Default)]
 pub(super) struct Sessions {
     pins: HashMap<u64, Pin>,
-    /// Those that others were told of last.
+    /// Most recently announced sessions, newest first.
     last_told: VecDeque<u64>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Pin {
-    /// `None` if another node said that it is an old one.
+    /// `None` if another node announced that the session is on an old version.
     version: Option<String>,
     used: Duration,
-    /// When this node last told others of it.
+    /// When this node last announced the session.
     told: Option<Duration>,
 }
 
 impl Sessions {
-    /// Notes which version a session's request went to.
+    /// Pins a session to the version that its request went to.
     pub(super) fn pin(&mut self, now: Duration, session: u64, version: &str) {
         let is_known = self.pins.contains_key(&session);
         if is_known || self.pins.len() < MAX_SESSIONS {
@@ -52,8 +55,8 @@
         }
     }
 
-    /// What to tell others of a session that this node has just pinned to an old version, unless it did
-    /// so a moment ago.
+    /// Returns the announcement of a session that this node has just pinned to an old version, or
+    /// `None` if it was announced less than `TELL_AGAIN` ago.
     pub(super) fn tell(&mut self, now: Duration, session: u64) -> Option<OnOld> {
         let pin = self.pins.get_mut(&session)?;
         if pin.told.is_some_and(|told| now < told + TELL_AGAIN) {
@@ -66,24 +69,24 @@
         Some(OnOld { sessions })
     }
 
-    /// Notes that another node has a session on an old version.
+    /// Pins a session that another node has on an old version.
     pub(super) fn pin_old(&mut self, now: Duration, session: u64) {
         self.pins.entry(session).or_default().used = now;
     }
 
-    /// Forgets sessions whose last request was longer ago than `life`.
+    /// Removes sessions whose last request was more than `life` ago.
     pub(super) fn forget(&mut self, now: Duration, life: Duration) {
         self.pins.retain(|_, pin| now < pin.used + life);
     }
 
-    /// Whether a session runs on another version than `target`.
+    /// Whether a session runs on a version other than `target`.
     pub(super) fn is_on_old(&self, session: u64, target: &str) -> bool {
         let pin = self.pins.get(&session);
         pin.is_some_and(|pin| pin.version.as_deref() != Some(target))
     }
 
-    /// Sessions that this node itself sees on an old version and that may try the new one, so that
-    /// other nodes would send them there.
+    /// Returns announcements of the sessions that this node itself has on an old version and that
+    /// other nodes might route to the new one because they may be in the trial.
     pub(super) fn to_tell(&self, target: &str, may_try: impl Fn(u64) -> bool) -> Vec<OnOld> {
         let on_old = |pin: &Pin| pin.version.as_deref().is_some_and(|v| v != target);
         let all: Vec<u64> = self
--- a/crates/oatdale-relay/src/roll_outs/usual.rs
+++ b/crates/oatdale-relay/src/roll_outs/usual.rs
@@ -1,13 +1,13 @@
-//! How long answers usually take, so that slow ones can be told.
+//! Baseline durations of responses, from which slow ones are detected.
 
 use oatdale_policy::relay::UsualTime;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// The class of answers, or of pauses, that take about as long as each other.
+/// A class of responses, or of pauses between events, with comparable durations.
 pub type Pace = u64;
 
-/// Usual times by pace.
+/// Baseline durations by pace.
 #[derive(Debug, Default)]
 pub(super) struct UsualTimes {
     by_pace: HashMap<Pace, UsualTime>,
@@ -18,7 +18,7 @@
         self.by_pace.entry(pace).or_default().learn(took);
     }
 
-    /// The time from which on something counts as slow, if there is a usual one.
+    /// Returns the duration above which a sample counts as slow, if a baseline exists.
     pub(super) fn slow_after(&self, pace: Pace) -> Option<Duration> {
         self.by_pace.get(&pace)?.slow_after()
     }
--- a/crates/oatdale-relay/src/running.rs
+++ b/crates/oatdale-relay/src/running.rs
@@ -1,4 +1,4 @@
-//! Requests under way at endpoints, and what their endpoints do meanwhile.
+//! In-flight requests at endpoints, and the state that their endpoints report meanwhile.
 
 use crate::cx::Cx;
 use crate::directory::{EndpointKey, Entry};
@@ -10,10 +10,10 @@
 use std::time::Duration;
 use tokio_util::sync::CancellationToken;
 
-/// Weight of a request whose prompt is read.
+/// Weight of a request whose prompt has been processed.
 const READ_WEIGHT: f64 = 1.0;
 
-/// A request under way at an endpoint; dropping it takes it off the endpoint's load.
+/// An in-flight request at an endpoint; dropping it reduces the endpoint's load.
 pub(crate) struct Running<W> {
     pub(crate) cx: Arc<Cx<W>>,
     pub(crate) key: EndpointKey,
@@ -21,16 +21,17 @@
     pub(crate) addr: SocketAddr,
     pub(crate) id: String,
     pub(crate) version: String,
-    /// Whether the endpoint failed much of what it got when it was picked.
+    /// Whether the endpoint had a high failure rate when it was picked.
     pub(crate) is_failing: bool,
-    /// The endpoint's load when it was picked, and among how many: for the log.
+    /// The endpoint's load when it was picked, for the log.
     pub(crate) load_before: f64,
+    /// Number of candidates among which the endpoint was picked, for the log.
     pub(crate) choices: usize,
     life: CancellationToken,
 }
 
 impl<W> Running<W> {
-    /// Counts a request at an endpoint that was picked among `choices`.
+    /// Counts a request at an endpoint that was picked among `choices` candidates.
     pub(crate) fn begin(
         cx: Arc<Cx<W>>,
         key: EndpointKey,
@@ -55,7 +56,8 @@
         }
     }
 
-    /// The prompt is read: from now on the request is one among others in each step.
+    /// Reduces the request's weight once its prompt has been processed: from then on it is one of
+    /// several in each decoding step.
     pub(crate) fn prompt_is_read(&mut self) {
         let rest = self.weight.min(READ_WEIGHT);
         if let Some(entry) = self.cx.state().directory.get_mut(self.key) {
@@ -65,7 +67,8 @@
     }
 }
 
-/// Notes that an endpoint could not be reached, and tells all nodes if that is news and matters for its service.
+/// Records that an endpoint could not be reached, and broadcasts this if it is new and its service
+/// limits the request rate of cold endpoints.
 pub(crate) fn note_unreachable<W: Wire>(cx: &Cx<W>, state: &mut State, key: EndpointKey) {
     let now = cx.now();
     let Some(entry) = state.directory.get_mut(key) else {
@@ -91,7 +94,7 @@
         let mut state = self.cx.state();
         if let Some(entry) = state.directory.get_mut(self.key) {
             entry.running = entry.running.saturating_sub(1);
-            // Sums of floats drift; an endpoint without work has no load.
+            // Floating-point sums drift; an idle endpoint has exactly zero load.
             entry.load = match entry.running {
                 0 => 0.0,
                 _ => (entry.load - self.weight).max(0.0),
@@ -101,15 +104,17 @@
 }
 
 impl<W: Wire> Running<W> {
-    /// Resolves when the endpoint is known to have started again: it knows nothing of this request.
+    /// Resolves when the endpoint is known to have restarted and therefore to have lost this
+    /// request.
     ///
-    /// Its earlier start may have ended without a word on its connections, which stay open and silent.
-    /// Without this a request waits for its timeout and its caller with it.
+    /// Its previous process may have ended without closing its connections, which then stay open
+    /// and silent. Without this check the request and its client would wait for the timeout.
     pub(crate) async fn started_again(&self) {
         self.life.cancelled().await;
     }
 
-    /// Whether the endpoint announced that it leaves, or its record is gone: then it ends by plan.
+    /// Whether the endpoint announced that it leaves, or its record is gone: in both cases it stops
+    /// as planned.
     pub(crate) fn is_leaving(&self) -> bool {
         let now = self.cx.now();
         let state = self.cx.state();
@@ -117,7 +122,7 @@
         entry.is_none_or(|e| e.left_by_plan(now))
     }
 
-    /// Bytes came from the endpoint.
+    /// Records that bytes arrived from the endpoint.
     pub(crate) fn note_progress(&self) {
         let now = self.cx.now();
         if let Some(entry) = self.cx.state().directory.get_mut(self.key) {
@@ -125,14 +130,14 @@
         }
     }
 
-    /// An answer came; `good` unless the endpoint failed it.
+    /// Records a response; `good` is false if the endpoint failed.
     pub(crate) fn answered(&self, good: bool) {
         if let Some(entry) = self.cx.state().directory.get_mut(self.key) {
             entry.health.answered(good);
         }
     }
 
-    /// An answer is late.
+    /// Records that a response is late.
     pub(crate) fn late(&self) {
         log::info!(target: "attempt", "event=late endpoint={}", self.id);
         if let Some(entry) = self.cx.state().directory.get_mut(self.key) {
@@ -140,7 +145,7 @@
         }
     }
 
-    /// No answer came, though there should have been one.
+    /// Records that an expected response did not arrive.
     pub(crate) fn silent(&self) {
         let now = self.cx.now();
         if let Some(entry) = self.cx.state().directory.get_mut(self.key) {
@@ -148,7 +153,8 @@
         }
     }
 
-    /// The endpoint said in an answer that it leaves. Its record may say so much later, or never.
+    /// Records that the endpoint announced in a response that it leaves. Its record may show this
+    /// much later, or never.
     pub(crate) fn announced_leaving(&self) {
         let mut state = self.cx.state();
         let Some(entry) = state.directory.get_mut(self.key) else {
@@ -165,14 +171,15 @@
         gossip::broadcast(&self.cx, &state, &message);
     }
 
-    /// The endpoint could not be reached: it may be starting again, and bear less after that. All nodes are told, since
-    /// most of them send it nothing just then.
+    /// Records that the endpoint could not be reached: it may be restarting, and then handle fewer
+    /// requests at first. This is broadcast to all nodes, since most of them are not sending it
+    /// anything at that moment.
     pub(crate) fn unreachable(&self) {
         let mut state = self.cx.state();
         note_unreachable(&self.cx, &mut state, self.key);
     }
 
-    /// The endpoint said in an answer how much longer it is cold.
+    /// Records the remaining cold time that the endpoint announced in a response.
     pub(crate) fn said_cold(&self, left: Duration) {
         let now = self.cx.now();
         let mut state = self.cx.state();
@@ -193,7 +200,7 @@
         gossip::broadcast(&self.cx, &state, &message);
     }
 
-    /// The endpoint turned the request away, and wants no other one from this node for so long.
+    /// Records that the endpoint rejected the request and asked this node to pause for `time`.
     pub(crate) fn paused(&self, time: Duration) {
         let now = self.cx.now();
         if let Some(entry) = self.cx.state().directory.get_mut(self.key) {
@@ -201,7 +208,7 @@
         }
     }
 
-    /// Another endpoint lives at its address.
+    /// Records that another endpoint now runs at its address.
     pub(crate) fn replaced(&self) {
         self.cx.pool.forget(self.addr);
         if let Some(entry) = self.cx.state().directory.get_mut(self.key) {
--- a/crates/oatdale-relay/src/settings.rs
+++ b/crates/oatdale-relay/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a relay node is told when it starts, as YAML.
+//! Settings of a relay node, read from YAML.
 
 use oatdale_policy::relay::Exposure;
 use serde::Deserialize;
@@ -6,47 +6,48 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The confidence below which an answer is made again, unless set otherwise. A lower one keeps wrong answers of
-/// small models, a higher one makes requests wait for the largest.
+/// Default confidence below which a response is generated again by the largest model. A lower value
+/// keeps wrong responses of small models, a higher one makes requests wait for the largest model.
 const USUAL_CONFIDENCE: u8 = 46;
 
 /// The settings of one relay node.
 #[derive(Clone, PartialEq, Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Settings {
-    /// Where configuration, endpoints and roll-outs are learned from.
+    /// Source of configuration, endpoints and rollouts.
     pub platform: Platform,
-    /// The host's name, unique among all nodes.
+    /// Host name, unique among all nodes.
     pub host: String,
-    /// The host's failure domain, as endpoints name theirs.
+    /// Failure domain of the host, named as in the records of endpoints.
     pub failure_domain: String,
-    /// Where the node listens.
+    /// Addresses that the node listens on.
     pub listen: Listen,
-    /// The platform's key-value service.
+    /// Address of the platform's key-value service.
     pub key_value: SocketAddr,
-    /// Times that the site promises.
+    /// Time limits and traffic limits that operators rely on.
     pub bounds: Bounds,
-    /// The speed of the host's link in Mbit/s; 0 if it is not known. Hosts with faster ones read the records for
-    /// others of their failure domain.
+    /// Speed of the host's network link in Mbit/s; 0 if unknown. Hosts with faster links read the
+    /// records on behalf of others in their failure domain.
     #[serde(default)]
     pub link_mbps: f64,
-    /// Whether all nodes start for the first time just now: then they wait until they know each other.
+    /// Whether all nodes are starting for the first time; they then wait until they know each
+    /// other.
     #[serde(default)]
     pub first_start: bool,
-    /// How far a small model's answer is trusted.
+    /// When a small model's response is accepted.
     #[serde(default)]
     pub ladder: Ladder,
-    /// Where some nodes tell what they know of the site, for a node that starts while the key-value
-    /// service is away. They need not be up, and there may be none.
+    /// State addresses of other nodes, from which a node that starts while the key-value service is
+    /// unavailable loads its initial state. The nodes need not be up, and the list may be empty.
     #[serde(default)]
     pub seeds: Option<Vec<SocketAddr>>,
 }
 
-/// When the largest model makes an answer again.
+/// When the largest model generates a response again.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Ladder {
-    /// The confidence, from 0 to 100, below which it does.
+    /// Confidence, from 0 to 100, below which a small model's response is replaced.
     pub least_confidence: u8,
 }
 
@@ -58,88 +59,91 @@
     }
 }
 
-/// The platforms that a relay runs on.
+/// Platforms that a relay can run on.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Platform {
-    /// A key-value service in which operators and endpoints write their own records.
+    /// A key-value service to which operators and endpoints write their own records.
     Registry,
 }
 
-/// Addresses of one node, by IP number.
+/// Listen addresses of one node, as IP addresses.
 #[derive(Clone, PartialEq, Eq, Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Listen {
-    /// Requests of callers.
+    /// Accepts client requests.
     pub callers: SocketAddr,
-    /// Whether this node is ready, for those who run it.
+    /// Serves this node's readiness to operators.
     pub readiness: SocketAddr,
-    /// Which nodes callers can use.
+    /// Serves the addresses of the nodes that clients can use.
     pub addresses: SocketAddr,
-    /// Datagrams of other nodes.
+    /// Receives datagrams from other nodes.
     pub nodes: SocketAddr,
-    /// Other nodes that ask what this one knows of the site, customers' keys among it.
+    /// Serves this node's state to other nodes, including customers' API keys.
     pub state: SocketAddr,
-    /// Counters and histograms.
+    /// Serves counters and histograms.
     pub metrics: SocketAddr,
 }
 
-/// What the site's operators count on.
+/// Limits that operators rely on.
 #[derive(Clone, Copy, PartialEq, Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Bounds {
     /// Seconds from the stop signal until the process is killed.
     pub stop_s: f64,
-    /// Seconds for which callers may keep an answer about addresses.
+    /// Seconds for which clients may cache a response with node addresses.
     pub addresses_s: f64,
-    /// Repeats that all nodes together may add, as a part of the requests for a service.
+    /// Retries that all nodes together may add, as a fraction of the requests for a service.
     pub repeat_ratio: f64,
-    /// Repeats that all nodes together may add beyond that part.
+    /// Retries that all nodes together may add beyond that fraction.
     pub repeat_slack: f64,
-    /// Seconds over which repeats and requests are counted for these two.
+    /// Seconds over which retries and requests are counted for the two limits above.
     #[serde(default = "usual_window")]
     pub repeat_window_s: f64,
-    /// Requests that a bad version may get during its roll-out, as a part of all for the service.
+    /// Requests that a faulty version may receive during its rollout, as a fraction of all requests
+    /// for the service.
     pub exposure_share: f64,
-    /// Requests that it may get beyond that part.
+    /// Requests that a faulty version may receive beyond that fraction.
     pub exposure_slack: f64,
-    /// Seconds after its last request for which a session keeps its version.
+    /// Seconds after its last request during which a session stays on its version.
     pub session_s: f64,
-    /// Milliseconds after its record says so in which a leaving endpoint may still get requests.
+    /// Milliseconds for which an endpoint may still receive requests after its record says that it
+    /// leaves.
     #[serde(default = "usual_leave")]
     pub leave_ms: u64,
-    /// Requests that may reach a cold endpoint in a second, as a multiple of those that it bears. Without it and the
-    /// next one it gets what it bears.
+    /// Requests per second that may reach a cold endpoint, as a multiple of its cold rate. If
+    /// neither this nor `cold_slack` is set, it receives its cold rate.
     #[serde(default)]
     pub cold_overshoot: Option<f64>,
-    /// Requests that may reach it in a second beyond that.
+    /// Requests per second that may reach a cold endpoint beyond that.
     #[serde(default)]
     pub cold_slack: Option<f64>,
 }
 
-/// The window for repeats, unless set otherwise.
+/// Default of `repeat_window_s`.
 fn usual_window() -> f64 {
     10.0
 }
 
-/// The time for endpoints that leave, unless set otherwise.
+/// Default of `leave_ms`.
 fn usual_leave() -> u64 {
     2_000
 }
 
-/// Why settings can't be used.
+/// An error in the settings.
 #[derive(Debug, Snafu)]
-#[snafu(display("the settings can't be read: {source}"))]
+#[snafu(display("invalid relay settings: {source}"))]
 pub struct SettingsError {
     source: serde_saphyr::Error,
 }
 
 impl Settings {
-    /// Reads settings; fields that it does not know are left alone.
+    /// Parses settings; unknown fields are ignored.
     ///
     /// # Errors
     ///
-    /// The text is not YAML, or a field is missing or has a wrong type; the message has the place.
+    /// The text is not valid YAML, or a field is missing or has the wrong type; the message
+    /// includes the location.
     ///
     /// # Examples
     ///
@@ -153,7 +157,7 @@
         serde_saphyr::from_str(text).context(SettingsSnafu)
     }
 
-    /// Whether a text is meant for a relay: it names one of the relay's platforms.
+    /// Whether a text contains relay settings, that is, names one of the relay's platforms.
     pub fn is_meant(text: &str) -> bool {
         #[derive(Deserialize)]
         struct Head {
@@ -164,13 +168,13 @@
     }
 }
 
-/// Windows for repeats that are taken as they are set: a shorter one counts nothing, and a longer one
-/// outlives what a node remembers of its requests.
+/// Bounds of `repeat_window_s`: a shorter window counts nothing, and a longer one exceeds the time
+/// for which a node remembers its requests.
 const LEAST_WINDOW_S: f64 = 0.1;
 const MOST_WINDOW_S: f64 = 600.0;
 
-/// The part of what may reach a cold endpoint that nodes plan to send: the rest is for nodes whose lists of nodes
-/// differ.
+/// Fraction of the requests that may reach a cold endpoint which nodes plan to send. The rest is a
+/// margin for nodes whose node lists differ.
 const COLD_PART: f64 = 0.8;
 
 impl Bounds {
@@ -181,18 +185,19 @@
         }
     }
 
-    /// Time over which repeats and requests are counted.
+    /// Returns the time over which retries and requests are counted.
     pub(crate) fn repeat_window(&self) -> Duration {
         Duration::from_secs_f64(self.repeat_window_s.clamp(LEAST_WINDOW_S, MOST_WINDOW_S))
     }
 
-    /// Requests a second that all nodes together plan to send to an endpoint that bears `rate` of them while it is cold.
+    /// Returns the requests per second that all nodes together plan to send to a cold endpoint that
+    /// can handle `rate`.
     pub(crate) fn cold_rate(&self, rate: f64) -> f64 {
         let bound = rate * self.cold_overshoot.unwrap_or(1.0) + self.cold_slack.unwrap_or(0.0);
         rate.max(bound * COLD_PART)
     }
 
-    /// Time from the stop signal until the process is killed.
+    /// Returns the time from the stop signal until the process is killed.
     pub(crate) fn stop(&self) -> Duration {
         Duration::from_secs_f64(self.stop_s.max(0.0))
     }
--- a/crates/oatdale-relay/src/site.rs
+++ b/crates/oatdale-relay/src/site.rs
@@ -1,98 +1,99 @@
-//! The configuration that a relay follows: routes, services, customers and limits on callers.
+//! Relay configuration: routes, services, customers and limits on client requests.
 
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// One version of the configuration.
+/// One version of the relay configuration.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Site {
-    /// Rises with each change.
+    /// Version number; increases with each change.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Route>,
-    /// What is known of services that have model engines, by name.
+    /// Facts about services with model engines, by service name.
     pub services: HashMap<String, ServiceFacts>,
-    /// Bounds on what callers send.
+    /// Limits on client requests.
     pub limits: CallerLimits,
-    /// Customers; `None` if requests need no key.
+    /// Customers; `None` if requests need no API key.
     pub customers: Option<Customers>,
-    /// Places in `routes` by host, longest prefix first.
+    /// Indices into `routes` by host, longest prefix first.
     by_host: HashMap<String, Vec<usize>>,
 }
 
 /// Where requests to one host and path prefix go.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name, for logs.
+    /// Name, for logs.
     pub name: String,
-    /// The host that callers name.
+    /// Host that the request names.
     pub host: String,
-    /// The beginning of the path, from slash to slash.
+    /// Path prefix that begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated, and whether the answer is a stream.
+    /// Whether requests may be retried, and whether the response is a stream.
     pub kind: RouteKind,
-    /// The longest time a caller is kept waiting for the whole answer.
+    /// Maximum time until the complete response.
     pub timeout: Duration,
-    /// Time to the answer, or to the first event of a stream, that callers are content with.
+    /// Target time to the response, or to the first event of a stream.
     pub target_latency: Option<Duration>,
-    /// The longest pause between events that callers are content with.
+    /// Target for the longest pause between events.
     pub target_gap: Option<Duration>,
-    /// Endpoints that one request may be sent to.
+    /// Maximum number of endpoints that one request may be sent to.
     pub attempts: u32,
-    /// Rank from 0, the most urgent.
+    /// Priority; 0 is the most urgent.
     pub urgency: u8,
-    /// Whether it is open to callers without a key.
+    /// Whether clients without an API key may use the route.
     pub public: bool,
-    /// Services that take its requests, with their weights.
+    /// Services that receive the requests, with their weights.
     pub services: Vec<(String, u32)>,
-    /// Names of the models that may answer, smallest first; empty if the caller names the model.
+    /// Names of the models that may respond, smallest first; empty if the client names the model.
     pub ladder: Vec<String>,
 }
 
-/// What may be done with a route's requests.
+/// How a route's requests may be retried, and how it responds.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// Requests that may run more than once.
     Idempotent,
-    /// Runs at most once.
+    /// Requests that run at most once.
     NonIdempotent,
-    /// A stream of events that runs at most once.
+    /// Requests that run at most once and respond with a stream of events.
     Stream,
-    /// A stream of events that another endpoint can go on with.
+    /// Requests that respond with a stream of events that another endpoint can resume.
     ResumableStream,
 }
 
-/// What the configuration tells of a service's engines.
+/// Configured facts about a service's engines.
 #[derive(Clone, PartialEq, Debug, Default, Serialize, Deserialize)]
 pub struct ServiceFacts {
-    /// Connections that one endpoint accepts from all nodes together.
+    /// Maximum number of connections that one endpoint accepts from all nodes together.
     pub connections: u32,
-    /// How long an endpoint is cold after its start.
+    /// How long an endpoint stays cold after its start.
     #[serde(default)]
     pub cold_time: Duration,
-    /// Requests a second that a cold endpoint bears, from all nodes together; 0 if there is no bound.
+    /// Requests per second that a cold endpoint can handle, from all nodes together; 0 means no
+    /// limit.
     #[serde(default)]
     pub cold_rate: f64,
-    /// What each model costs for the same work; only the ratios count.
+    /// Cost of each model for the same work; only the ratios matter.
     pub model_costs: HashMap<String, f64>,
 }
 
-/// Bounds on what callers send.
+/// Limits on client requests.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request head in bytes.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: usize,
-    /// Time from a head's first byte to its last.
+    /// Maximum time from the first to the last byte of a request head.
     pub header_timeout: Duration,
     /// Time without a request after which a connection is closed.
     pub idle_timeout: Duration,
 }
 
-/// Customers by their keys.
+/// Customers by API key.
 #[derive(Clone, PartialEq, Debug, Default, Serialize, Deserialize)]
 pub struct Customers {
     customers: Vec<Customer>,
@@ -102,26 +103,26 @@
 /// One customer.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct Customer {
-    /// Its name, as endpoints are told.
+    /// Name, as passed to endpoints.
     pub name: String,
-    /// Its rank, which goes before a route's.
+    /// Priority, which overrides that of the route.
     pub urgency: Option<u8>,
 }
 
 impl RouteKind {
-    /// Whether a request may run again.
+    /// Whether a request may run more than once.
     pub fn is_idempotent(self) -> bool {
         matches!(self, RouteKind::Idempotent | RouteKind::ResumableStream)
     }
 
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, RouteKind::Stream | RouteKind::ResumableStream)
     }
 }
 
 impl Route {
-    /// Picks the service for a request, by weight.
+    /// Picks a service at random, by weight.
     pub(crate) fn pick_service(&self) -> Option<&str> {
         let sum: u64 = self.services.iter().map(|s| u64::from(s.1)).sum();
         let mut draw = rand::rng().random_range(0..sum.max(1));
@@ -136,22 +137,22 @@
 }
 
 impl Customers {
-    /// Adds a customer and its keys.
+    /// Adds a customer and its API keys.
     pub fn add(&mut self, customer: Customer, keys: impl IntoIterator<Item = String>) {
         let at = self.customers.len();
         self.customers.push(customer);
         self.by_key.extend(keys.into_iter().map(|key| (key, at)));
     }
 
-    /// The customer that holds a key.
+    /// Returns the customer that owns an API key.
     pub fn of_key(&self, key: &str) -> Option<&Customer> {
         self.by_key.get(key).map(|&at| &self.customers[at])
     }
 }
 
 impl ServiceFacts {
-    /// How much work a model makes of a request, from 0 to 1, the dearest of the service being 1.
-    /// Prices follow the time that engines take.
+    /// Returns a model's cost per request relative to the most expensive model of the service, from
+    /// 0 to 1. Costs are proportional to the time that engines take.
     pub fn relative_cost(&self, model: &str) -> f64 {
         let most = self.model_costs.values().copied().fold(0.0, f64::max);
         match self.model_costs.get(model) {
@@ -162,7 +163,7 @@
 }
 
 impl Site {
-    /// Puts a configuration together.
+    /// Creates a configuration.
     pub fn new(
         version: u64,
         routes: Vec<Route>,
@@ -187,7 +188,7 @@
         }
     }
 
-    /// The route with the longest prefix that begins the path.
+    /// Returns the index of the host's route with the longest prefix of the path.
     pub fn route(&self, host: &str, path: &str) -> Option<usize> {
         let list = self.by_host.get(host)?;
         list.iter()
--- a/crates/oatdale-relay/tests/roll_outs.rs
+++ b/crates/oatdale-relay/tests/roll_outs.rs
@@ -1,4 +1,4 @@
-//! What a node makes of orders, of its own answers and of other nodes' reports.
+//! Tests of rollout decisions from orders, a node's own responses and other nodes' reports.
 
 use oatdale_policy::relay::{Exposure, Origin};
 use oatdale_relay::{Allowed, Revision, RollOut, RollOutEnd, RollOuts, Source};
@@ -9,7 +9,7 @@
     slack: 30.0,
 };
 
-/// A hash that belongs to every trial.
+/// A hash that is in every trial.
 const IN_TRIAL: u64 = 0;
 
 fn ms(n: u64) -> Duration {
@@ -33,7 +33,7 @@
     node
 }
 
-/// An answer of one of two endpoints of a version, on the only route.
+/// A response from an endpoint of a version, on the only route.
 fn answer(version: &str, endpoint: u32) -> Source<'_> {
     Source {
         service: "pool",
@@ -60,8 +60,9 @@
     );
 }
 
-// A session began on the old version at another node. Its next request comes to this one, which has
-// never seen it: it must stay on the old version, or one session would mix two of them.
+// A session began on the old version at another node, and its next request arrives at this one,
+// which has not seen it. It must stay on the old version; otherwise one session would mix two
+// versions.
 #[test]
 fn a_session_that_another_node_knows_stays_on_its_version() {
     let mut here = node();
@@ -71,13 +72,14 @@
         here.merge_old_sessions(ms(1_500), &on_old);
     }
     assert!(is_old(&here.allowed(ms(2_000), "pool", Some(IN_TRIAL), 7)));
-    // Once all requests go to the new version, it goes along.
+    // Once all requests go to the new version, the session's do too.
     let late = here.allowed(ms(9_900), "pool", Some(IN_TRIAL), 7);
     assert_eq!(late, Allowed::Prefer("v2".to_owned()));
 }
 
-// A session's next request may follow its first within half a second, at any other node, and one datagram
-// may be lost. Others are told as soon as the first is placed, and again with the next session.
+// A session's second request may arrive at any other node within half a second of the first, and a
+// datagram may be lost. A session is announced as soon as its first request is placed, and again
+// with the next session.
 #[test]
 fn other_nodes_are_told_at_once_of_a_session_on_the_old_version() {
     let mut here = node();
@@ -85,11 +87,12 @@
     let lost = there.pin(ms(900), "pool", IN_TRIAL, "v1");
     assert!(lost.is_some());
     let told = there.pin(ms(950), "pool", IN_TRIAL + 1, "v1");
-    here.merge_old_sessions(ms(951), &told.expect("it is another session"));
+    here.merge_old_sessions(ms(951), &told.expect("a new session is announced"));
     for session in [IN_TRIAL, IN_TRIAL + 1] {
         assert!(is_old(&here.allowed(ms(2_000), "pool", Some(session), 7)));
     }
-    // Not again and again, and not of what others need not know.
+    // No repetition within the resend interval, and none of sessions that need no announcement: not
+    // in the trial, on the new version, or of a service without a rollout.
     assert_eq!(there.pin(ms(1_000), "pool", IN_TRIAL, "v1"), None);
     assert_eq!(there.pin(ms(1_000), "pool", u64::MAX, "v1"), None);
     assert_eq!(there.pin(ms(1_000), "pool", 2, "v2"), None);
@@ -97,8 +100,8 @@
     assert!(there.pin(ms(2_600), "pool", IN_TRIAL, "v1").is_some());
 }
 
-// The key-value service turns a node away, which therefore knows of no order. It must not go on
-// with the old version when all others have left it.
+// The key-value service rejects a node, which therefore has no order. It must not keep using the
+// old version when all other nodes have switched.
 #[test]
 fn a_node_hears_of_an_order_and_of_its_age_from_others() {
     let mut late = RollOuts::default();
@@ -109,7 +112,8 @@
     assert_eq!(allowed, Allowed::Prefer("v2".to_owned()));
 }
 
-// Three nodes see one failure each, too few for any of them. Together they are enough.
+// Each of three nodes sees one failure per endpoint, too few for a verdict. Their sum must be
+// enough.
 #[test]
 fn failures_are_added_up_over_nodes() {
     let mut nodes = [node(), node(), node()];
@@ -136,7 +140,8 @@
     assert_eq!(due[0].1, RollOutEnd::RolledBack);
 }
 
-// Two nodes and an older record disagree. An end stays one until a new order comes.
+// Later records of the same order, or of an older one, contradict the outcome. It must stay final
+// until a new order.
 #[test]
 fn an_end_is_not_taken_back() {
     let mut node = node();
@@ -150,8 +155,9 @@
     assert_eq!(allowed, Allowed::Not("v3".to_owned()));
 }
 
-// The end is written while nothing is under way on the old version, or shortly before the time is
-// over: an old endpoint stops at once then, and what it does is cut off.
+// The outcome is written once the old version has no requests in flight, or shortly before the
+// order's time is over. An old endpoint stops as soon as the outcome is written, which cuts off its
+// requests.
 #[test]
 fn the_end_waits_for_the_old_version_but_not_too_long() {
     let due_at = |busy: bool| {
@@ -165,7 +171,8 @@
     assert!(busy < ms(9_800), "{busy:?}");
 }
 
-// Nine nodes come to the same end. Were all of them to write it, the service would get nine calls.
+// All nodes reach the same outcome. Without turns, the key-value service would get a write from
+// each of them, nine in a deployment of nine.
 #[test]
 fn nodes_take_turns_in_writing_the_end() {
     let due_at = |rank: usize| {
@@ -178,8 +185,8 @@
     assert!(due_at(1) < due_at(2));
 }
 
-// A service has many sessions and routes. What a node tells others of them has to fit into datagrams,
-// which arrive whole or not at all.
+// A service has many sessions and routes. Messages about them must fit into single datagrams, which
+// are delivered completely or not at all.
 #[test]
 fn what_a_node_tells_fits_into_datagrams() {
     let mut node = node();
@@ -211,9 +218,9 @@
     }
 }
 
-// Two of the old version's endpoints fail half of what they get, and the new version fails a third of
-// its own. Next to all old answers that looks usual; the version would be completed, and all callers be
-// failed.
+// Two endpoints of the old version fail half of their requests, and the new version fails a third
+// of its own. If the failing old endpoints counted towards the baseline, that rate would look
+// normal, and the rollout would complete and fail requests of all clients.
 #[test]
 fn failing_endpoints_of_the_old_version_do_not_hide_a_bad_new_one() {
     let mut node = node();
--- a/crates/oatdale-relay/tests/settings.rs
+++ b/crates/oatdale-relay/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that operators, or a platform's template, may leave empty.
+//! Tests of settings that operators or a platform's template may leave empty.
 
 use oatdale_relay::Settings;
 
@@ -18,7 +18,7 @@
   session-s: 5
 ";
 
-// Guards against nodes that do not start where operators state no bound on cold endpoints.
+// Guards against nodes that fail to start when operators set no bounds for cold endpoints.
 #[test]
 fn bounds_on_cold_endpoints_may_be_empty() {
     for bounds in ["", "  cold-overshoot:\n  cold-slack:\n"] {
