--- a/crates/oatdale-relay/src/crashes.rs
+++ b/crates/oatdale-relay/src/crashes.rs
@@ -26,10 +26,10 @@
 
 /// Number of nodes that count the crashes of one request. There are several because one may have
 /// just started and a datagram may be lost.
-const COUNTERS: usize = 3;
+const TALLY_NODES: usize = 3;
 
 /// Maximum number of requests in one datagram.
-const MAX_REPORTED: usize = 40;
+const MAX_REQUESTS_PER_DATAGRAM: usize = 40;
 
 impl<W: Wire> Cx<W> {
     /// Returns the remaining quarantine time of a request, if it is quarantined.
@@ -49,10 +49,10 @@
 
     /// Resolves when the request is quarantined.
     pub(crate) async fn quarantined(&self, plan: &Plan) {
-        let mut held = self.held.subscribe();
+        let mut changes = self.held.subscribe();
         while self.quarantine_left(plan).is_none() {
             // Unreachable: `self` owns the sender.
-            if held.changed().await.is_err() {
+            if changes.changed().await.is_err() {
                 std::future::pending::<()>().await;
             }
         }
@@ -65,35 +65,35 @@
         }
         let request = plan.fingerprint();
         let mut state = self.state();
-        let message = Message::Completed { request: request.0 };
+        let msg = Message::Completed { request: request.0 };
         match state.quarantine.clear(request) {
             Cleared::Unknown => {}
-            Cleared::Suspected => gossip::send_now(self, counters(self, &state, request), &message),
+            Cleared::Suspected => gossip::send_now(self, tally_peers(self, &state, request), &msg),
             Cleared::Quarantined => {
                 log::warn!(target: "quarantine", "event=released request={request} reason=\"a copy completed\"");
                 state.unrecorded.add(self.now(), request, false);
-                gossip::broadcast(self, &state, &message);
+                gossip::broadcast(self, &state, &msg);
             }
         }
     }
 }
 
 /// Reports that an endpoint crashed while running these requests.
-fn report<W: Wire>(cx: &Cx<W>, state: &mut State, endpoint: u32, requests: &[Fingerprint]) {
+fn report_crash<W: Wire>(cx: &Cx<W>, state: &mut State, endpoint: u32, requests: &[Fingerprint]) {
     note_crash(cx, state, endpoint, requests);
     let mut reports: HashMap<SocketAddr, Vec<u128>> = HashMap::new();
     for request in requests {
-        for to in counters(cx, state, *request) {
+        for to in tally_peers(cx, state, *request) {
             reports.entry(to).or_default().push(request.0);
         }
     }
     for (to, requests) in reports {
-        for part in requests.chunks(MAX_REPORTED) {
-            let message = Message::Crashed {
+        for chunk in requests.chunks(MAX_REQUESTS_PER_DATAGRAM) {
+            let msg = Message::Crashed {
                 endpoint,
-                requests: part.to_vec(),
+                requests: chunk.to_vec(),
             };
-            gossip::send_now(cx, [to].into_iter(), &message);
+            gossip::send_now(cx, [to].into_iter(), &msg);
         }
     }
 }
@@ -124,13 +124,13 @@
 /// the record if that node stops before it has done so.
 pub(crate) fn take_decision<W: Wire>(cx: &Cx<W>, state: &mut State, request: Fingerprint) {
     let now = cx.now();
-    let own = cx.settings.listen.nodes;
-    let rank = ranked(state, now, request).position(|node| node == own);
-    let is_news = state.quarantine.left(now, request).is_none();
-    match rank.filter(|_| is_news) {
+    let own_addr = cx.settings.listen.nodes;
+    let rank = tally_nodes(state, now, request).position(|node| node == own_addr);
+    let is_new = state.quarantine.left(now, request).is_none();
+    match rank.filter(|_| is_new) {
         Some(rank) => state.unrecorded.add_fallback(now, request, rank),
         // This node had released the request; endpoints have crashed under it again since.
-        None if is_news => state.unrecorded.remove(request),
+        None if is_new => state.unrecorded.remove(request),
         None => {}
     }
     take(cx, state, request, true);
@@ -143,7 +143,7 @@
     request: Fingerprint,
     is_held: bool,
 ) {
-    match state.unrecorded.note_record(cx.now(), request, is_held) {
+    match state.unrecorded.handle_record(cx.now(), request, is_held) {
         true => take(cx, state, request, is_held),
         false => log::info!(
             target: "quarantine",
@@ -162,11 +162,11 @@
 /// Applies whether a request is quarantined, as reported by another node or a record.
 pub(crate) fn take<W: Wire>(cx: &Cx<W>, state: &mut State, request: Fingerprint, is_held: bool) {
     let now = cx.now();
-    let is_news = match is_held {
+    let is_new = match is_held {
         true => state.quarantine.hold(now, request),
         false => state.quarantine.clear(request) != Cleared::Unknown,
     };
-    if is_news {
+    if is_new {
         log::info!(target: "quarantine", "event=learned request={request} held={is_held}");
         cx.note_held(state);
     }
@@ -179,37 +179,37 @@
     for request in held {
         state
             .unrecorded
-            .add_fallback(now, request, rand::random_range(0..COUNTERS));
+            .add_fallback(now, request, rand::random_range(0..TALLY_NODES));
     }
 }
 
 /// Returns the commands that record this node's decisions and are due.
-pub(crate) fn due(state: &mut State, now: Duration) -> Vec<Command> {
+pub(crate) fn due_commands(state: &mut State, now: Duration) -> Vec<Command> {
     state.quarantine.expire(now);
-    let due = state.unrecorded.due(now).into_iter();
+    let due = state.unrecorded.due_writes(now).into_iter();
     due.map(|(request, is_held)| Command::RecordQuarantine { request, is_held })
         .collect()
 }
 
 /// Returns the nodes that count the crashes of a request, most preferred first; may include this
 /// node.
-fn ranked(
+fn tally_nodes(
     state: &State,
     now: Duration,
     request: Fingerprint,
 ) -> impl Iterator<Item = SocketAddr> + use<> {
     let mut nodes: Vec<_> = state.nodes.iter(now).collect();
     nodes.sort_by_cached_key(|n| hash(&(request.0, &n.host)));
-    let first: Vec<_> = nodes.iter().take(COUNTERS).map(|n| n.nodes).collect();
-    first.into_iter()
+    let addrs: Vec<_> = nodes.iter().take(TALLY_NODES).map(|n| n.nodes).collect();
+    addrs.into_iter()
 }
 
 /// Returns the nodes that count the crashes of a request, without this node.
-fn counters<W: Wire>(
+fn tally_peers<W: Wire>(
     cx: &Cx<W>,
     state: &State,
     request: Fingerprint,
 ) -> impl Iterator<Item = SocketAddr> + use<W> {
-    let own = cx.settings.listen.nodes;
-    ranked(state, cx.now(), request).filter(move |to| *to != own)
+    let own_addr = cx.settings.listen.nodes;
+    tally_nodes(state, cx.now(), request).filter(move |to| *to != own_addr)
 }
--- a/crates/oatdale-relay/src/crashes/check.rs
+++ b/crates/oatdale-relay/src/crashes/check.rs
@@ -17,10 +17,10 @@
 
 /// Delays before each connection attempt of a check. There is more than one attempt because a
 /// process that exits may close its listener after its connections.
-const CHECK_PAUSES: [Duration; 2] = [Duration::from_millis(20), Duration::from_millis(200)];
+const PROBE_DELAYS: [Duration; 2] = [Duration::from_millis(20), Duration::from_millis(200)];
 
 /// Timeout of each connection attempt.
-const CHECK_TIMEOUT: Duration = Duration::from_millis(400);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Checks in progress, by endpoint.
 #[derive(Debug, Default)]
@@ -43,7 +43,7 @@
         check.requests.len() == 1
     }
 
-    fn end(&mut self, endpoint: EndpointKey) -> Vec<Fingerprint> {
+    fn finish(&mut self, endpoint: EndpointKey) -> Vec<Fingerprint> {
         self.0
             .remove(&endpoint)
             .map_or_else(Vec::new, |c| c.requests)
@@ -51,7 +51,7 @@
 
     /// Returns a receiver that closes with the check of one of these endpoints, if one is in
     /// progress.
-    fn of(&self, endpoints: &[EndpointKey]) -> Option<watch::Receiver<()>> {
+    fn watch_any(&self, endpoints: &[EndpointKey]) -> Option<watch::Receiver<()>> {
         let check = endpoints.iter().find_map(|key| self.0.get(key))?;
         Some(check.done.subscribe())
     }
@@ -65,7 +65,7 @@
             let state = cx.state();
             match state.quarantine.is_empty() || plan.sent_to.is_empty() {
                 true => None,
-                false => state.checks.of(&plan.sent_to),
+                false => state.checks.watch_any(&plan.sent_to),
             }
         };
         let Some(mut check) = check else { return };
@@ -108,17 +108,17 @@
 
 /// Checks one endpoint on behalf of all requests whose connections to it broke.
 async fn check<W: Wire>(cx: Arc<Cx<W>>, key: EndpointKey, addr: SocketAddr) {
-    let is_again = cx.state().directory.started_again(key);
-    let reached = match is_again {
-        true => Reached::Refused,
-        false => reach(addr).await,
+    let has_restarted = cx.state().directory.started_again(key);
+    let outcome = match has_restarted {
+        true => ProbeOutcome::Refused,
+        false => probe(addr).await,
     };
-    let has_crashed = reached == Reached::Refused;
+    let has_crashed = outcome == ProbeOutcome::Refused;
     let mut state = cx.state();
-    if reached != Reached::Yes {
+    if outcome != ProbeOutcome::Reachable {
         note_unreachable(&cx, &mut state, key);
     }
-    let requests = state.checks.end(key);
+    let requests = state.checks.finish(key);
     let Some(entry) = state.directory.get(key) else {
         return;
     };
@@ -130,31 +130,31 @@
     );
     if has_crashed {
         cx.metrics.crashes.inc();
-        super::report(&cx, &mut state, endpoint, &requests);
+        super::report_crash(&cx, &mut state, endpoint, &requests);
     }
 }
 
 /// Result of probing an endpoint.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Reached {
-    Yes,
+enum ProbeOutcome {
+    Reachable,
     /// No process listens at the address.
     Refused,
     /// The host does not respond, which says nothing about the endpoint's process.
-    No,
+    Unreachable,
 }
 
-async fn reach(addr: SocketAddr) -> Reached {
-    let mut reached = Reached::Yes;
-    for pause in CHECK_PAUSES {
-        sleep(pause).await;
-        reached = match timeout(CHECK_TIMEOUT, TcpStream::connect(addr)).await {
-            Ok(Ok(_)) => Reached::Yes,
+async fn probe(addr: SocketAddr) -> ProbeOutcome {
+    let mut outcome = ProbeOutcome::Reachable;
+    for delay in PROBE_DELAYS {
+        sleep(delay).await;
+        outcome = match timeout(PROBE_TIMEOUT, TcpStream::connect(addr)).await {
+            Ok(Ok(_)) => ProbeOutcome::Reachable,
             Ok(Err(err)) if err.kind() == io::ErrorKind::ConnectionRefused => {
-                return Reached::Refused;
+                return ProbeOutcome::Refused;
             }
-            Ok(Err(_)) | Err(_) => Reached::No,
+            Ok(Err(_)) | Err(_) => ProbeOutcome::Unreachable,
         };
     }
-    reached
+    outcome
 }
--- a/crates/oatdale-relay/src/crashes/records.rs
+++ b/crates/oatdale-relay/src/crashes/records.rs
@@ -8,7 +8,7 @@
 const WRITE_INTERVAL: Duration = Duration::from_millis(1_500);
 
 /// How long after an unanswered write it may still be executed.
-const LATE_WRITE_TIME: Duration = Duration::from_secs(10);
+const LATE_WRITE_WINDOW: Duration = Duration::from_secs(10);
 
 /// Decisions that this node is responsible for writing and has not read back from the platform yet.
 #[derive(Debug, Default)]
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 struct Decision {
     is_held: bool,
-    since: Duration,
+    decided_at: Duration,
     /// Time of the next write; unset once the record has been read back.
     due: Option<Duration>,
 }
@@ -27,7 +27,7 @@
     pub(crate) fn add(&mut self, now: Duration, request: Fingerprint, is_held: bool) {
         let decision = Decision {
             is_held,
-            since: now,
+            decided_at: now,
             due: Some(now),
         };
         self.0.insert(request, decision);
@@ -36,11 +36,11 @@
     /// Adds a request that another node has quarantined and is to record; `rank` is this node's
     /// position among those that write the record if that node does not.
     pub(crate) fn add_fallback(&mut self, now: Duration, request: Fingerprint, rank: usize) {
-        let wait = WRITE_INTERVAL * u32::try_from(rank + 1).unwrap_or(u32::MAX);
+        let delay = WRITE_INTERVAL * u32::try_from(rank + 1).unwrap_or(u32::MAX);
         let decision = Decision {
             is_held: true,
-            since: now,
-            due: Some(now + wait),
+            decided_at: now,
+            due: Some(now + delay),
         };
         self.0.insert(request, decision);
     }
@@ -52,7 +52,7 @@
 
     /// Handles a record, and returns whether it is to be applied. The write of a decision that this
     /// node has since reversed may be executed late; that record is ignored and overwritten.
-    pub(crate) fn note_record(
+    pub(crate) fn handle_record(
         &mut self,
         now: Duration,
         request: Fingerprint,
@@ -75,9 +75,9 @@
     }
 
     /// Returns the decisions to write now.
-    pub(crate) fn due(&mut self, now: Duration) -> Vec<(Fingerprint, bool)> {
-        let is_open = |d: &Decision| d.due.is_some() || now < d.since + LATE_WRITE_TIME;
-        self.0.retain(|_, d| is_open(d));
+    pub(crate) fn due_writes(&mut self, now: Duration) -> Vec<(Fingerprint, bool)> {
+        let is_pending = |d: &Decision| d.due.is_some() || now < d.decided_at + LATE_WRITE_WINDOW;
+        self.0.retain(|_, d| is_pending(d));
         let due = self.0.iter_mut();
         due.filter(|(_, d)| d.due.is_some_and(|due| due <= now))
             .map(|(request, decision)| {
--- a/crates/oatdale-relay/src/events.rs
+++ b/crates/oatdale-relay/src/events.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct WholeEvents {
     /// Start of an event whose end has not been received yet.
-    part: Vec<u8>,
+    partial: Vec<u8>,
     last: Option<u64>,
 }
 
@@ -26,7 +26,7 @@
     /// Creates the state for a stream that resumes after event `last`.
     pub fn after(last: Option<u64>) -> Self {
         WholeEvents {
-            part: Vec::new(),
+            partial: Vec::new(),
             last,
         }
     }
@@ -38,46 +38,46 @@
 
     /// Whether the data received so far ends in the middle of an event.
     pub fn is_cut(&self) -> bool {
-        !self.part.is_empty()
+        !self.partial.is_empty()
     }
 
     /// Discards a partial event that its endpoint will not complete.
     pub fn drop_part(&mut self) {
-        self.part.clear();
+        self.partial.clear();
     }
 
     /// Appends the next chunk and returns the events that it completes.
     ///
     /// Events with an id up to the last one are dropped: an endpoint that resumes a stream may
     /// begin too early, and the client would receive them twice.
-    pub fn push(&mut self, piece: &[u8]) -> Bytes {
-        self.part.extend_from_slice(piece);
-        let mut out = Vec::new();
-        let mut from = 0;
-        while let Some(len) = event_len(&self.part[from..]) {
-            let event = &self.part[from..from + len];
+    pub fn push(&mut self, chunk: &[u8]) -> Bytes {
+        self.partial.extend_from_slice(chunk);
+        let mut complete = Vec::new();
+        let mut start = 0;
+        while let Some(len) = event_len(&self.partial[start..]) {
+            let event = &self.partial[start..start + len];
             let id = event_id(event);
-            let seen = matches!((id, self.last), (Some(id), Some(last)) if id <= last);
-            if !seen {
-                out.extend_from_slice(event);
+            let is_duplicate = matches!((id, self.last), (Some(id), Some(last)) if id <= last);
+            if !is_duplicate {
+                complete.extend_from_slice(event);
                 self.last = id.or(self.last);
             }
-            from += len;
+            start += len;
         }
-        self.part.drain(..from);
-        out.into()
+        self.partial.drain(..start);
+        complete.into()
     }
 }
 
 /// Returns the length of the first complete event, including the empty line that ends it.
 fn event_len(buf: &[u8]) -> Option<usize> {
     let mut line_start = 0;
-    for (at, _) in buf.iter().enumerate().filter(|(_, b)| **b == b'\n') {
-        let line = &buf[line_start..at];
+    for (end, _) in buf.iter().enumerate().filter(|(_, b)| **b == b'\n') {
+        let line = &buf[line_start..end];
         if line.is_empty() || line == b"\r" {
-            return Some(at + 1);
+            return Some(end + 1);
         }
-        line_start = at + 1;
+        line_start = end + 1;
     }
     None
 }
--- a/crates/oatdale-relay/src/metrics.rs
+++ b/crates/oatdale-relay/src/metrics.rs
@@ -6,7 +6,7 @@
 };
 
 /// Upper bounds of the latency histogram buckets, in seconds.
-const LATENCY_BOUNDS: [f64; 12] = [
+const LATENCY_BUCKETS_S: [f64; 12] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 3.0, 5.0, 15.0,
 ];
 
@@ -48,7 +48,7 @@
         let registry = Registry::new_custom(Some("oatdale_relay".to_owned()), None)?;
         let opts = Opts::new("requests_total", "Requests by how they ended");
         let histogram = HistogramOpts::new("first_byte_seconds", "Time to an answer's head")
-            .buckets(LATENCY_BOUNDS.to_vec());
+            .buckets(LATENCY_BUCKETS_S.to_vec());
         let metrics = Metrics {
             requests: IntCounterVec::new(opts, &["end"])?,
             repeats: IntCounter::new("repeats_total", "Attempts beyond the first")?,
@@ -80,7 +80,7 @@
     }
 
     fn register(&self) -> prometheus::Result<()> {
-        let all: [Box<dyn prometheus::core::Collector>; 14] = [
+        let collectors: [Box<dyn prometheus::core::Collector>; 14] = [
             Box::new(self.requests.clone()),
             Box::new(self.repeats.clone()),
             Box::new(self.escalations.clone()),
@@ -96,7 +96,9 @@
             Box::new(self.under_way.clone()),
             Box::new(self.store.clone()),
         ];
-        all.into_iter().try_for_each(|c| self.registry.register(c))
+        collectors
+            .into_iter()
+            .try_for_each(|c| self.registry.register(c))
     }
 
     /// Returns all metrics in the Prometheus text format.
--- a/crates/oatdale-relay/src/node.rs
+++ b/crates/oatdale-relay/src/node.rs
@@ -20,14 +20,14 @@
 use tokio::time::Instant;
 
 /// Interval of the periodic tasks.
-const TICK: Duration = Duration::from_millis(200);
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Fraction of the shutdown time during which new requests are accepted: clients cache addresses
 /// for a while, and their last requests need time to complete.
-const STILL_TAKES: f64 = 0.6;
+const ACCEPT_FRACTION: f64 = 0.6;
 
 /// Time before the end of the shutdown at which remaining in-flight requests are abandoned.
-const LAST: Duration = Duration::from_millis(400);
+const ABANDON_MARGIN: Duration = Duration::from_millis(400);
 
 /// Maximum number of connections waiting to be accepted.
 const BACKLOG: u32 = 1_024;
@@ -67,7 +67,7 @@
         tokio::spawn(front::accept(cx.clone(), callers, stopped));
         tokio::spawn(gossip::listen(cx.clone()));
         tokio::spawn(gossip::share_loads(cx.clone()));
-        tokio::spawn(take_updates(cx.clone(), updates));
+        tokio::spawn(apply_updates(cx.clone(), updates));
         tokio::spawn(tick(cx.clone(), commands.clone()));
         log::info!(
             target: "node",
@@ -80,18 +80,18 @@
     /// Shuts down gracefully: removes the node from the addresses given to clients, keeps serving
     /// for as long as clients may cache them, and drains in-flight requests.
     pub async fn stop(&self) {
-        let began = Instant::now();
-        let time = self.cx.state().bounds.stop();
+        let stop_began = Instant::now();
+        let stop_time = self.cx.state().bounds.stop();
         log::info!(target: "node", "event=stopping under_way={}", self.under_way());
-        self.cx.state().stopping = Some(began);
+        self.cx.state().stopping = Some(stop_began);
         if self.commands.send(Command::Leave).await.is_err() {
             log::warn!(target: "node", "event=leave_not_sent reason=\"platform adapter has stopped\"");
         }
         gossip::leave(&self.cx).await;
-        tokio::time::sleep_until(began + time.mul_f64(STILL_TAKES)).await;
+        tokio::time::sleep_until(stop_began + stop_time.mul_f64(ACCEPT_FRACTION)).await;
         self.stop.send_replace(Stop::Closing);
-        let end = began + time.saturating_sub(LAST);
-        while self.under_way() > 0 && Instant::now() < end {
+        let deadline = stop_began + stop_time.saturating_sub(ABANDON_MARGIN);
+        while self.under_way() > 0 && Instant::now() < deadline {
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
         log::info!(target: "node", "event=stopped under_way={}", self.under_way());
@@ -113,7 +113,7 @@
     }
 }
 
-async fn take_updates<W: Wire>(cx: Arc<Cx<W>>, mut updates: mpsc::Receiver<Update>) {
+async fn apply_updates<W: Wire>(cx: Arc<Cx<W>>, mut updates: mpsc::Receiver<Update>) {
     while let Some(update) = updates.recv().await {
         cx.update(update);
     }
@@ -121,15 +121,15 @@
 }
 
 async fn tick<W: Wire>(cx: Arc<Cx<W>>, commands: mpsc::Sender<Command>) {
-    let mut reported = Instant::now();
+    let mut last_report = Instant::now();
     loop {
-        tokio::time::sleep(TICK).await;
-        let has_news = cx.state().roll_outs.take_news();
-        if has_news || reported.elapsed() >= REPORT_EVERY {
-            reported = Instant::now();
+        tokio::time::sleep(TICK_INTERVAL).await;
+        let has_new_order = cx.state().roll_outs.take_new_order();
+        if has_new_order || last_report.elapsed() >= REPORT_EVERY {
+            last_report = Instant::now();
             gossip::report(&cx).await;
         }
-        for command in due(&cx) {
+        for command in due_commands(&cx) {
             log::info!(target: "node", "event=write {command:?}");
             if commands.try_send(command).is_err() {
                 log::warn!(target: "node", "event=write_postponed reason=\"platform adapter is busy\"");
@@ -138,22 +138,22 @@
     }
 }
 
-fn due<W: Wire>(cx: &Cx<W>) -> Vec<Command> {
+fn due_commands<W: Wire>(cx: &Cx<W>) -> Vec<Command> {
     let now = cx.now();
     let mut guard = cx.state();
     let state = &mut *guard;
-    let session = Duration::from_secs_f64(state.bounds.session_s);
+    let session_ttl = Duration::from_secs_f64(state.bounds.session_s);
     state.directory.tick(now);
-    state.roll_outs.forget_sessions(now, session);
-    state.roll_outs.follow_rates(now, state.bounds.exposure());
-    let own = cx.settings.host.as_str();
+    state.roll_outs.expire_sessions(now, session_ttl);
+    state.roll_outs.update_rates(now, state.bounds.exposure());
+    let own_host = cx.settings.host.as_str();
     let rank = state
         .nodes
         .iter(now)
-        .filter(|n| n.host.as_str() < own)
+        .filter(|n| n.host.as_str() < own_host)
         .count();
     let directory = &state.directory;
-    let ends = state.roll_outs.due(now, rank, |service, target| {
+    let ends = state.roll_outs.due_ends(now, rank, |service, target| {
         directory.has_other_work(service, target)
     });
     let ends = ends.into_iter().map(|(roll_out, end)| Command::EndRollOut {
@@ -161,7 +161,7 @@
         target: roll_out.target,
         end,
     });
-    ends.chain(crashes::due(state, now)).collect()
+    ends.chain(crashes::due_commands(state, now)).collect()
 }
 
 fn bind(addr: SocketAddr) -> Result<TcpListener> {
--- a/crates/oatdale-relay/src/roll_outs.rs
+++ b/crates/oatdale-relay/src/roll_outs.rs
@@ -9,14 +9,14 @@
 
 use crate::state;
 use crate::update::{RollOut, RollOutEnd};
-use active::{Active, Peer};
+use active::{PeerReport, RollOutState};
 use oatdale_policy::relay::{Counts, Exposure, Origin, Phase, Verdict, shows_new};
 use rates::Rates;
 use report::millis;
 use sessions::Sessions;
 use std::collections::HashMap;
 use std::time::Duration;
-use usual::UsualTimes;
+use usual::BaselineTimes;
 
 pub(crate) use active::JUDGES;
 pub use report::{OnOld, Report};
@@ -63,21 +63,21 @@
 /// All rollouts that a node knows of.
 #[derive(Debug, Default)]
 pub struct RollOuts {
-    by_service: HashMap<String, Active>,
+    by_service: HashMap<String, RollOutState>,
     /// Baseline durations of versions that are not on trial, including those from before an order.
-    usual: UsualTimes,
+    baselines: BaselineTimes,
     sessions: Sessions,
     /// Request rates of this node.
     rates: Rates,
     /// Whether a new order has been received that other nodes may not know.
-    has_news: bool,
+    has_new_order: bool,
     /// When the full list of sessions on old versions was last sent to other nodes.
-    told_sessions: Option<Duration>,
+    sessions_sent_at: Option<Duration>,
 }
 
 /// Interval at which the full list of sessions on old versions is sent. Several transmissions fit into a
 /// session's lifetime; with 90 nodes, each receives about 40 datagrams per second during a trial.
-const TELL_SESSIONS: Duration = Duration::from_secs(2);
+const SESSIONS_INTERVAL: Duration = Duration::from_secs(2);
 
 impl RollOuts {
     /// Applies a rollout record written by an operator or a node.
@@ -93,10 +93,11 @@
                     roll_out.service, roll_out.target, roll_out.duration.as_millis(),
                     roll_out.order, roll_out.end
                 );
-                self.has_news = true;
-                self.told_sessions = None;
+                self.has_new_order = true;
+                self.sessions_sent_at = None;
                 let service = roll_out.service.clone();
-                self.by_service.insert(service, Active::new(now, roll_out));
+                self.by_service
+                    .insert(service, RollOutState::new(now, roll_out));
             }
         }
     }
@@ -104,7 +105,7 @@
     /// Handles the loss of the record of how a service's last rollout ended.
     pub fn end_lost(&mut self, now: Duration, service: &str) {
         if let Some(active) = self.by_service.get_mut(service) {
-            active.end_lost(now);
+            active.reschedule_end(now);
         }
     }
 
@@ -130,12 +131,12 @@
             return Allowed::Not(target);
         }
         let phase = active.phase(now);
-        let trial = phase == Phase::Trial;
+        let in_trial = phase == Phase::Trial;
         let is_old = session.is_some_and(|s| self.sessions.is_on_old(s, &target));
         let share = active.share.unwrap_or(0.0);
         match shows_new(phase, share, session.unwrap_or(hash)) {
-            true if trial && is_old => Allowed::Not(target),
-            true if trial => Allowed::Trial {
+            true if in_trial && is_old => Allowed::Not(target),
+            true if in_trial => Allowed::Trial {
                 version: target,
                 seed: state::hash(&(service, &active.roll_out.target)),
                 share,
@@ -153,14 +154,14 @@
     /// Sets the traffic share of each trial that has begun, and adjusts the schedules to the
     /// request rates. All nodes exchange their rates and therefore arrive at about the same shares
     /// and times.
-    pub fn follow_rates(&mut self, now: Duration, allowed: Exposure) {
+    pub fn update_rates(&mut self, now: Duration, exposure: Exposure) {
         let services: Vec<String> = self.by_service.keys().cloned().collect();
         for service in services {
-            let own = self.rates.get(now, &service);
+            let average = self.rates.get(now, &service);
             let recent = self.rates.recent(now, &service);
             if let Some(active) = self.by_service.get_mut(&service) {
-                active.settle_share(now, allowed, own);
-                active.follow_rate(now, recent);
+                active.set_share(now, exposure, average);
+                active.adjust_schedule(now, recent);
             }
         }
     }
@@ -177,39 +178,41 @@
         self.sessions.pin(now, session, version);
         let active = self.by_service.get(service)?;
         let is_old = version != active.roll_out.target;
-        let matters = is_old && active.is_undecided(now) && active.may_try(session);
-        matters.then(|| self.sessions.tell(now, session)).flatten()
+        let must_announce = is_old && active.is_undecided(now) && active.may_join(session);
+        must_announce
+            .then(|| self.sessions.announce(now, session))
+            .flatten()
     }
 
     /// Removes expired sessions.
-    pub fn forget_sessions(&mut self, now: Duration, life: Duration) {
-        self.sessions.forget(now, life);
+    pub fn expire_sessions(&mut self, now: Duration, ttl: Duration) {
+        self.sessions.expire(now, ttl);
     }
 
     /// Records a response head: whether the endpoint failed, and how long it took, where that time
     /// is meaningful.
-    pub fn answered(&mut self, source: &Source<'_>, failed: bool, took: Option<(Pace, Duration)>) {
+    pub fn answered(&mut self, source: &Source<'_>, failed: bool, time: Option<(Pace, Duration)>) {
         if let Some((counts, _)) = self.counts(source) {
             counts.answers += 1;
             counts.failed += u64::from(failed);
         }
-        if let Some((pace, took)) = took {
-            self.timed(source, pace, took);
+        if let Some((pace, time)) = time {
+            self.timed(source, pace, time);
         }
         if let Some(active) = self.by_service.get_mut(source.service) {
-            active.judge();
+            active.update_verdict();
         }
     }
 
     /// Records how long an endpoint took; durations with the same pace are comparable.
-    pub fn timed(&mut self, source: &Source<'_>, pace: Pace, took: Duration) {
-        let bound = self.slow_after(pace);
-        if let Some(bound) = bound {
-            self.judged(source, took > bound);
+    pub fn timed(&mut self, source: &Source<'_>, pace: Pace, time: Duration) {
+        let threshold = self.slow_after(pace);
+        if let Some(threshold) = threshold {
+            self.judged(source, time > threshold);
         }
         let is_new = self.counts(source).is_some_and(|(_, is_new)| is_new);
         if !is_new {
-            self.usual.learn(pace, took);
+            self.baselines.learn(pace, time);
         }
     }
 
@@ -221,13 +224,13 @@
             counts.slow += u64::from(slow);
         }
         if let Some(active) = self.by_service.get_mut(source.service) {
-            active.judge();
+            active.update_verdict();
         }
     }
 
     /// Returns the duration above which a sample of this pace counts as slow, if a baseline exists.
     pub fn slow_after(&self, pace: Pace) -> Option<Duration> {
-        self.usual.slow_after(pace)
+        self.baselines.slow_after(pace)
     }
 
     /// Returns the counters for a response and whether it is from the new version, while a rollout
@@ -242,12 +245,12 @@
         };
         match active.roll_out.end {
             Some(_) => None,
-            None if is_new => Some((active.own.new.at(source.origin), true)),
+            None if is_new => Some((active.own_tally.new.at(source.origin), true)),
             // A faulty endpoint of the old version is excluded from the baseline. Otherwise a new
             // version that fails a third of its requests looks like the old one, and its rollout
             // completes.
             None if source.is_failing => None,
-            None => Some((active.own.old.at(old), false)),
+            None => Some((active.own_tally.old.at(old), false)),
         }
     }
 
@@ -257,28 +260,28 @@
     /// age in this way. Otherwise it would restart the schedule when it receives the order, and
     /// route requests to the old version while other nodes route them to the new one.
     pub fn merge_report(&mut self, now: Duration, report: &Report) {
-        let reported = report.roll_out();
+        let reported_order = report.roll_out();
         let known = self.by_service.get(&report.service).map(|a| &a.roll_out);
-        if known.is_none_or(|known| known.is_overtaken_by(&reported)) {
-            self.update(now, reported.clone());
+        if known.is_none_or(|known| known.is_overtaken_by(&reported_order)) {
+            self.update(now, reported_order.clone());
         }
         let Some(active) = self.by_service.get_mut(&report.service) else {
             return;
         };
-        if !active.roll_out.is_same_order(&reported) {
+        if !active.roll_out.is_same_order(&reported_order) {
             return;
         }
         let age = Duration::from_millis(report.age_ms);
-        active.since = active.since.min(now.saturating_sub(age));
-        let peer = Peer {
+        active.started_at = active.started_at.min(now.saturating_sub(age));
+        let peer = PeerReport {
             tally: report.tally(),
             old_busy: report.old_busy,
             rate: report.rate,
             recent_rate: report.recent_rate,
-            seen: now,
+            received_at: now,
         };
         active.peers.insert(report.host.clone(), peer);
-        active.judge();
+        active.update_verdict();
     }
 
     /// Merges the sessions that another node has on an old version.
@@ -289,8 +292,8 @@
     }
 
     /// Returns whether a new order has to be sent to other nodes at once, and resets the flag.
-    pub fn take_news(&mut self) -> bool {
-        std::mem::take(&mut self.has_news)
+    pub fn take_new_order(&mut self) -> bool {
+        std::mem::take(&mut self.has_new_order)
     }
 
     /// Returns this node's reports on the rollouts in progress.
@@ -312,9 +315,9 @@
                 order: a.roll_out.order,
                 target: a.roll_out.target.clone(),
                 duration_ms: millis(a.roll_out.duration),
-                age_ms: millis(now.saturating_sub(a.since)),
-                new: report::cells(&a.own.new),
-                old: report::cells(&a.own.old),
+                age_ms: millis(now.saturating_sub(a.started_at)),
+                new: report::cells(&a.own_tally.new),
+                old: report::cells(&a.own_tally.old),
                 old_busy: old_busy(&a.roll_out.service, &a.roll_out.target),
                 rate: self.rates.get(now, &a.roll_out.service),
                 recent_rate: self.rates.recent(now, &a.roll_out.service),
@@ -330,26 +333,26 @@
 
     /// Returns the sessions that this node has on old versions and that other nodes need to know of
     /// while rollouts are in progress; empty if the full list was sent less than
-    /// `TELL_SESSIONS` ago.
+    /// `SESSIONS_INTERVAL` ago.
     pub fn on_old(&mut self, now: Duration) -> Vec<OnOld> {
         if self
-            .told_sessions
-            .is_some_and(|told| now < told + TELL_SESSIONS)
+            .sessions_sent_at
+            .is_some_and(|sent_at| now < sent_at + SESSIONS_INTERVAL)
         {
             return Vec::new();
         }
         let active = self.by_service.values();
         let undecided = active.filter(|a| a.is_undecided(now));
-        let all: Vec<OnOld> = undecided
-            .flat_map(|a| self.sessions.to_tell(&a.roll_out.target, |s| a.may_try(s)))
+        let messages: Vec<OnOld> = undecided
+            .flat_map(|a| self.sessions.to_send(&a.roll_out.target, |s| a.may_join(s)))
             .collect();
-        self.told_sessions = Some(now).filter(|_| !all.is_empty());
-        all
+        self.sessions_sent_at = Some(now).filter(|_| !messages.is_empty());
+        messages
     }
 
     /// Returns the outcomes that this node has to write now. `rank` is its position among the live
     /// nodes, sorted by name.
-    pub fn due(
+    pub fn due_ends(
         &mut self,
         now: Duration,
         rank: usize,
@@ -358,7 +361,7 @@
         let mut due = Vec::new();
         for active in self.by_service.values_mut() {
             let busy = old_busy(&active.roll_out.service, &active.roll_out.target);
-            if let Some(end) = active.due(now, rank, busy) {
+            if let Some(end) = active.due_end(now, rank, busy) {
                 due.push((active.roll_out.clone(), end));
             }
         }
--- a/crates/oatdale-relay/src/roll_outs/rates.rs
+++ b/crates/oatdale-relay/src/roll_outs/rates.rs
@@ -5,54 +5,55 @@
 use std::time::Duration;
 
 /// Averaging time of the request rate; long because client traffic comes in waves.
-const MEMORY: Duration = Duration::from_secs(5);
+const AVERAGING_TIME: Duration = Duration::from_secs(5);
 
 /// Averaging time of the recent rate; short enough to show the start of a burst.
-const SHORT_MEMORY: Duration = Duration::from_millis(1_200);
+const RECENT_AVERAGING_TIME: Duration = Duration::from_millis(1_200);
 
 /// Requests per second by service.
 #[derive(Debug, Default)]
 pub(super) struct Rates {
-    by_service: HashMap<String, Requests>,
+    by_service: HashMap<String, ServiceRates>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Requests {
+struct ServiceRates {
     rate: Rate,
     recent: Rate,
-    since: Duration,
+    first_request: Duration,
 }
 
 impl Rates {
     pub(super) fn add(&mut self, now: Duration, service: &str) {
-        let new = || Requests {
-            rate: Rate::new(now, MEMORY),
-            recent: Rate::new(now, SHORT_MEMORY),
-            since: now,
+        let new = || ServiceRates {
+            rate: Rate::new(now, AVERAGING_TIME),
+            recent: Rate::new(now, RECENT_AVERAGING_TIME),
+            first_request: now,
         };
-        let requests = self.by_service.entry(service.to_owned());
-        let requests = requests.or_insert_with(new);
-        requests.rate.add(now);
-        requests.recent.add(now);
+        let rates = self.by_service.entry(service.to_owned());
+        let rates = rates.or_insert_with(new);
+        rates.rate.add(now);
+        rates.recent.add(now);
     }
 
     pub(super) fn get(&self, now: Duration, service: &str) -> f64 {
-        let requests = self.by_service.get(service);
-        requests.map_or(0.0, |r| r.a_second(now))
+        let rates = self.by_service.get(service);
+        rates.map_or(0.0, |r| r.per_second(now))
     }
 
     /// Returns the requests per second within about the last second.
     pub(super) fn recent(&self, now: Duration, service: &str) -> f64 {
-        let requests = self.by_service.get(service);
-        requests.map_or(0.0, |r| r.recent.get(now))
+        let rates = self.by_service.get(service);
+        rates.map_or(0.0, |r| r.recent.get(now))
     }
 }
 
-impl Requests {
+impl ServiceRates {
     /// Returns the average rate, corrected for the time before the first request. Without the
     /// correction, a node that has just started would underestimate the load of its service.
-    fn a_second(&self, now: Duration) -> f64 {
-        let known = now.saturating_sub(self.since).as_secs_f64() / MEMORY.as_secs_f64();
-        self.rate.get(now) / (1.0 - (-known.max(0.05)).exp())
+    fn per_second(&self, now: Duration) -> f64 {
+        let windows =
+            now.saturating_sub(self.first_request).as_secs_f64() / AVERAGING_TIME.as_secs_f64();
+        self.rate.get(now) / (1.0 - (-windows.max(0.05)).exp())
     }
 }
--- a/crates/oatdale-relay/src/roll_outs/report.rs
+++ b/crates/oatdale-relay/src/roll_outs/report.rs
@@ -72,7 +72,7 @@
 
 impl From<(Origin, Counts)> for CellWire {
     fn from((origin, counts): (Origin, Counts)) -> Self {
-        CellWire(origin.route, origin.endpoint, numbers(counts))
+        CellWire(origin.route, origin.endpoint, to_array(counts))
     }
 }
 
@@ -89,7 +89,7 @@
 }
 
 /// Returns the counts of all, failed, timed and slow responses, compact for logs and datagrams.
-pub(super) fn numbers(counts: Counts) -> [u64; 4] {
+pub(super) fn to_array(counts: Counts) -> [u64; 4] {
     [counts.answers, counts.failed, counts.timed, counts.slow]
 }
 
--- a/crates/oatdale-relay/src/roll_outs/sessions.rs
+++ b/crates/oatdale-relay/src/roll_outs/sessions.rs
@@ -13,35 +13,35 @@
 const MAX_SESSIONS: usize = 20_000;
 
 /// Maximum number of sessions in one datagram.
-const TOLD_AT_ONCE: usize = 100;
+const SESSIONS_PER_DATAGRAM: usize = 100;
 
 /// Maximum number of datagrams for the full list. Sessions beyond them may change their version
 /// during a trial; this takes several hundred clients per node.
-const TOLD_TIMES: usize = 3;
+const MAX_DATAGRAMS: usize = 3;
 
 /// Number of recent sessions in each announcement, so that the next datagram makes up for a lost
 /// one.
-const TOLD_AGAIN: usize = 16;
+const RECENT_SESSIONS: usize = 16;
 
 /// Time after which a session is announced again. Other nodes drop it at the end of its lifetime,
 /// which is several times as long.
-const TELL_AGAIN: Duration = Duration::from_millis(1_500);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(1_500);
 
 /// Sessions by hash of their name.
 #[derive(Debug, Default)]
 pub(super) struct Sessions {
     pins: HashMap<u64, Pin>,
     /// Most recently announced sessions, newest first.
-    last_told: VecDeque<u64>,
+    recent: VecDeque<u64>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Pin {
     /// `None` if another node announced that the session is on an old version.
     version: Option<String>,
-    used: Duration,
+    last_used: Duration,
     /// When this node last announced the session.
-    told: Option<Duration>,
+    announced_at: Option<Duration>,
 }
 
 impl Sessions {
@@ -51,32 +51,35 @@
         if is_known || self.pins.len() < MAX_SESSIONS {
             let pin = self.pins.entry(session).or_default();
             pin.version = Some(version.to_owned());
-            pin.used = now;
+            pin.last_used = now;
         }
     }
 
     /// Returns the announcement of a session that this node has just pinned to an old version, or
-    /// `None` if it was announced less than `TELL_AGAIN` ago.
-    pub(super) fn tell(&mut self, now: Duration, session: u64) -> Option<OnOld> {
+    /// `None` if it was announced less than `ANNOUNCE_INTERVAL` ago.
+    pub(super) fn announce(&mut self, now: Duration, session: u64) -> Option<OnOld> {
         let pin = self.pins.get_mut(&session)?;
-        if pin.told.is_some_and(|told| now < told + TELL_AGAIN) {
+        if pin
+            .announced_at
+            .is_some_and(|announced_at| now < announced_at + ANNOUNCE_INTERVAL)
+        {
             return None;
         }
-        pin.told = Some(now);
-        self.last_told.push_front(session);
-        self.last_told.truncate(TOLD_AGAIN);
-        let sessions = self.last_told.iter().copied().collect();
+        pin.announced_at = Some(now);
+        self.recent.push_front(session);
+        self.recent.truncate(RECENT_SESSIONS);
+        let sessions = self.recent.iter().copied().collect();
         Some(OnOld { sessions })
     }
 
     /// Pins a session that another node has on an old version.
     pub(super) fn pin_old(&mut self, now: Duration, session: u64) {
-        self.pins.entry(session).or_default().used = now;
+        self.pins.entry(session).or_default().last_used = now;
     }
 
-    /// Removes sessions whose last request was more than `life` ago.
-    pub(super) fn forget(&mut self, now: Duration, life: Duration) {
-        self.pins.retain(|_, pin| now < pin.used + life);
+    /// Removes sessions whose last request was more than `ttl` ago.
+    pub(super) fn expire(&mut self, now: Duration, ttl: Duration) {
+        self.pins.retain(|_, pin| now < pin.last_used + ttl);
     }
 
     /// Whether a session runs on a version other than `target`.
@@ -87,19 +90,19 @@
 
     /// Returns announcements of the sessions that this node itself has on an old version and that
     /// other nodes might route to the new one because they may be in the trial.
-    pub(super) fn to_tell(&self, target: &str, may_try: impl Fn(u64) -> bool) -> Vec<OnOld> {
+    pub(super) fn to_send(&self, target: &str, may_join: impl Fn(u64) -> bool) -> Vec<OnOld> {
         let on_old = |pin: &Pin| pin.version.as_deref().is_some_and(|v| v != target);
         let all: Vec<u64> = self
             .pins
             .iter()
-            .filter(|(hash, pin)| may_try(**hash) && on_old(pin))
+            .filter(|(hash, pin)| may_join(**hash) && on_old(pin))
             .map(|(hash, _)| *hash)
-            .take(TOLD_AT_ONCE * TOLD_TIMES)
+            .take(SESSIONS_PER_DATAGRAM * MAX_DATAGRAMS)
             .collect();
-        let parts = all.chunks(TOLD_AT_ONCE);
-        parts
-            .map(|part| OnOld {
-                sessions: part.to_vec(),
+        let batches = all.chunks(SESSIONS_PER_DATAGRAM);
+        batches
+            .map(|batch| OnOld {
+                sessions: batch.to_vec(),
             })
             .collect()
     }
--- a/crates/oatdale-relay/src/roll_outs/usual.rs
+++ b/crates/oatdale-relay/src/roll_outs/usual.rs
@@ -9,13 +9,13 @@
 
 /// Baseline durations by pace.
 #[derive(Debug, Default)]
-pub(super) struct UsualTimes {
+pub(super) struct BaselineTimes {
     by_pace: HashMap<Pace, UsualTime>,
 }
 
-impl UsualTimes {
-    pub(super) fn learn(&mut self, pace: Pace, took: Duration) {
-        self.by_pace.entry(pace).or_default().learn(took);
+impl BaselineTimes {
+    pub(super) fn learn(&mut self, pace: Pace, time: Duration) {
+        self.by_pace.entry(pace).or_default().learn(time);
     }
 
     /// Returns the duration above which a sample counts as slow, if a baseline exists.
--- a/crates/oatdale-relay/src/running.rs
+++ b/crates/oatdale-relay/src/running.rs
@@ -11,7 +11,7 @@
 use tokio_util::sync::CancellationToken;
 
 /// Weight of a request whose prompt has been processed.
-const READ_WEIGHT: f64 = 1.0;
+const DECODE_WEIGHT: f64 = 1.0;
 
 /// An in-flight request at an endpoint; dropping it reduces the endpoint's load.
 pub(crate) struct Running<W> {
@@ -27,7 +27,8 @@
     pub(crate) load_before: f64,
     /// Number of candidates among which the endpoint was picked, for the log.
     pub(crate) choices: usize,
-    life: CancellationToken,
+    /// Cancelled when the endpoint restarts.
+    restarted: CancellationToken,
 }
 
 impl<W> Running<W> {
@@ -52,18 +53,18 @@
             is_failing: entry.health.is_failing(),
             load_before,
             choices,
-            life: entry.life.clone(),
+            restarted: entry.life.clone(),
         }
     }
 
     /// Reduces the request's weight once its prompt has been processed: from then on it is one of
     /// several in each decoding step.
     pub(crate) fn prompt_is_read(&mut self) {
-        let rest = self.weight.min(READ_WEIGHT);
+        let remaining = self.weight.min(DECODE_WEIGHT);
         if let Some(entry) = self.cx.state().directory.get_mut(self.key) {
-            entry.load = (entry.load - (self.weight - rest)).max(0.0);
+            entry.load = (entry.load - (self.weight - remaining)).max(0.0);
         }
-        self.weight = rest;
+        self.weight = remaining;
     }
 }
 
@@ -74,10 +75,10 @@
     let Some(entry) = state.directory.get_mut(key) else {
         return;
     };
-    let is_news = entry.unreachable(now);
+    let is_new = entry.unreachable(now);
     let (id, born) = (entry.endpoint.id.clone(), entry.endpoint.born);
     let service = entry.endpoint.service.clone();
-    if !is_news || !state.has_cold_rate(&service) {
+    if !is_new || !state.has_cold_rate(&service) {
         return;
     }
     log::info!(target: "directory", "event=endpoint_unreachable id={id}");
@@ -110,7 +111,7 @@
     /// Its previous process may have ended without closing its connections, which then stay open
     /// and silent. Without this check the request and its client would wait for the timeout.
     pub(crate) async fn started_again(&self) {
-        self.life.cancelled().await;
+        self.restarted.cancelled().await;
     }
 
     /// Whether the endpoint announced that it leaves, or its record is gone: in both cases it stops
@@ -130,10 +131,10 @@
         }
     }
 
-    /// Records a response; `good` is false if the endpoint failed.
-    pub(crate) fn answered(&self, good: bool) {
+    /// Records a response; `is_ok` is false if the endpoint failed.
+    pub(crate) fn answered(&self, is_ok: bool) {
         if let Some(entry) = self.cx.state().directory.get_mut(self.key) {
-            entry.health.answered(good);
+            entry.health.answered(is_ok);
         }
     }
 
@@ -180,22 +181,22 @@
     }
 
     /// Records the remaining cold time that the endpoint announced in a response.
-    pub(crate) fn said_cold(&self, left: Duration) {
+    pub(crate) fn said_cold(&self, cold_time: Duration) {
         let now = self.cx.now();
         let mut state = self.cx.state();
         let Some(entry) = state.directory.get_mut(self.key) else {
             return;
         };
-        let is_news = !entry.says_cold(now) && !left.is_zero();
-        entry.set_cold(now, left);
-        if !is_news {
+        let is_new = !entry.says_cold(now) && !cold_time.is_zero();
+        entry.set_cold(now, cold_time);
+        if !is_new {
             return;
         }
-        log::info!(target: "directory", "event=endpoint_cold id={} left={left:?} from=answer", self.id);
+        log::info!(target: "directory", "event=endpoint_cold id={} left={cold_time:?} from=answer", self.id);
         let message = Message::EndpointCold {
             id: self.id.clone(),
             born: entry.endpoint.born,
-            left_ms: u32::try_from(left.as_millis()).ok(),
+            left_ms: u32::try_from(cold_time.as_millis()).ok(),
         };
         gossip::broadcast(&self.cx, &state, &message);
     }
--- a/crates/oatdale-relay/src/settings.rs
+++ b/crates/oatdale-relay/src/settings.rs
@@ -8,7 +8,7 @@
 
 /// Default confidence below which a response is generated again by the largest model. A lower value
 /// keeps wrong responses of small models, a higher one makes requests wait for the largest model.
-const USUAL_CONFIDENCE: u8 = 46;
+const DEFAULT_LEAST_CONFIDENCE: u8 = 46;
 
 /// The settings of one relay node.
 #[derive(Clone, PartialEq, Debug, Deserialize)]
@@ -54,7 +54,7 @@
 impl Default for Ladder {
     fn default() -> Self {
         Ladder {
-            least_confidence: USUAL_CONFIDENCE,
+            least_confidence: DEFAULT_LEAST_CONFIDENCE,
         }
     }
 }
@@ -170,12 +170,12 @@
 
 /// Bounds of `repeat_window_s`: a shorter window counts nothing, and a longer one exceeds the time
 /// for which a node remembers its requests.
-const LEAST_WINDOW_S: f64 = 0.1;
-const MOST_WINDOW_S: f64 = 600.0;
+const MIN_WINDOW_S: f64 = 0.1;
+const MAX_WINDOW_S: f64 = 600.0;
 
 /// Fraction of the requests that may reach a cold endpoint which nodes plan to send. The rest is a
 /// margin for nodes whose node lists differ.
-const COLD_PART: f64 = 0.8;
+const PLANNED_COLD_FRACTION: f64 = 0.8;
 
 impl Bounds {
     pub(crate) fn exposure(&self) -> Exposure {
@@ -187,14 +187,14 @@
 
     /// Returns the time over which retries and requests are counted.
     pub(crate) fn repeat_window(&self) -> Duration {
-        Duration::from_secs_f64(self.repeat_window_s.clamp(LEAST_WINDOW_S, MOST_WINDOW_S))
+        Duration::from_secs_f64(self.repeat_window_s.clamp(MIN_WINDOW_S, MAX_WINDOW_S))
     }
 
     /// Returns the requests per second that all nodes together plan to send to a cold endpoint that
     /// can handle `rate`.
     pub(crate) fn cold_rate(&self, rate: f64) -> f64 {
-        let bound = rate * self.cold_overshoot.unwrap_or(1.0) + self.cold_slack.unwrap_or(0.0);
-        rate.max(bound * COLD_PART)
+        let limit = rate * self.cold_overshoot.unwrap_or(1.0) + self.cold_slack.unwrap_or(0.0);
+        rate.max(limit * PLANNED_COLD_FRACTION)
     }
 
     /// Returns the time from the stop signal until the process is killed.
--- a/crates/oatdale-relay/src/site.rs
+++ b/crates/oatdale-relay/src/site.rs
@@ -124,11 +124,11 @@
 impl Route {
     /// Picks a service at random, by weight.
     pub(crate) fn pick_service(&self) -> Option<&str> {
-        let sum: u64 = self.services.iter().map(|s| u64::from(s.1)).sum();
-        let mut draw = rand::rng().random_range(0..sum.max(1));
+        let total_weight: u64 = self.services.iter().map(|s| u64::from(s.1)).sum();
+        let mut draw = rand::rng().random_range(0..total_weight.max(1));
         for (name, weight) in &self.services {
             match draw.checked_sub(u64::from(*weight)) {
-                Some(rest) => draw = rest,
+                Some(remaining) => draw = remaining,
                 None => return Some(name),
             }
         }
@@ -139,14 +139,14 @@
 impl Customers {
     /// Adds a customer and its API keys.
     pub fn add(&mut self, customer: Customer, keys: impl IntoIterator<Item = String>) {
-        let at = self.customers.len();
+        let index = self.customers.len();
         self.customers.push(customer);
-        self.by_key.extend(keys.into_iter().map(|key| (key, at)));
+        self.by_key.extend(keys.into_iter().map(|key| (key, index)));
     }
 
     /// Returns the customer that owns an API key.
     pub fn of_key(&self, key: &str) -> Option<&Customer> {
-        self.by_key.get(key).map(|&at| &self.customers[at])
+        self.by_key.get(key).map(|&index| &self.customers[index])
     }
 }
 
@@ -154,9 +154,9 @@
     /// Returns a model's cost per request relative to the most expensive model of the service, from
     /// 0 to 1. Costs are proportional to the time that engines take.
     pub fn relative_cost(&self, model: &str) -> f64 {
-        let most = self.model_costs.values().copied().fold(0.0, f64::max);
+        let max_cost = self.model_costs.values().copied().fold(0.0, f64::max);
         match self.model_costs.get(model) {
-            Some(cost) if most > 0.0 => cost / most,
+            Some(cost) if max_cost > 0.0 => cost / max_cost,
             _ => 1.0,
         }
     }
@@ -172,11 +172,11 @@
         customers: Option<Customers>,
     ) -> Site {
         let mut by_host: HashMap<String, Vec<usize>> = HashMap::new();
-        for (at, route) in routes.iter().enumerate() {
-            by_host.entry(route.host.clone()).or_default().push(at);
+        for (index, route) in routes.iter().enumerate() {
+            by_host.entry(route.host.clone()).or_default().push(index);
         }
-        for list in by_host.values_mut() {
-            list.sort_by_key(|&at| std::cmp::Reverse(routes[at].prefix.len()));
+        for indices in by_host.values_mut() {
+            indices.sort_by_key(|&index| std::cmp::Reverse(routes[index].prefix.len()));
         }
         Site {
             version,
@@ -190,9 +190,10 @@
 
     /// Returns the index of the host's route with the longest prefix of the path.
     pub fn route(&self, host: &str, path: &str) -> Option<usize> {
-        let list = self.by_host.get(host)?;
-        list.iter()
+        let indices = self.by_host.get(host)?;
+        indices
+            .iter()
             .copied()
-            .find(|&at| path.starts_with(&self.routes[at].prefix))
+            .find(|&index| path.starts_with(&self.routes[index].prefix))
     }
 }
