--- a/crates/oatdale-relay/src/roll_outs.rs
+++ b/crates/oatdale-relay/src/roll_outs.rs
@@ -75,8 +75,9 @@
     sessions_sent_at: Option<Duration>,
 }
 
-/// Interval at which the full list of sessions on old versions is sent. Several transmissions fit into a
-/// session's lifetime; with 90 nodes, each receives about 40 datagrams per second during a trial.
+/// Interval at which the full list of sessions on old versions is sent. Several transmissions fit
+/// into a session's lifetime; with 90 nodes, each receives about 40 datagrams per second during a
+/// trial.
 const SESSIONS_INTERVAL: Duration = Duration::from_secs(2);
 
 impl RollOuts {
