--- a/crates/oatdale-relay/src/crashes.rs
+++ b/crates/oatdale-relay/src/crashes.rs
@@ -1,9 +1,11 @@
-//! Requests that crash the endpoints that run them: found by all nodes together, and refused by each.
+//! Quarantine of requests that crash the endpoints that run them. All nodes detect them together,
+//! and each rejects them.
 //!
-//! A connection that breaks may have been reset alone, by the endpoint or on its way; an endpoint that crashed refuses
-//! new connections. Each node reports the requests whose endpoints crashed to a few nodes that are picked by the
-//! request, and these count over all nodes. A request that is held is sent to all nodes at once and recorded at the
-//! platform, for nodes that miss it or start later.
+//! A broken connection alone is no proof of a crash, since the endpoint or the network may have
+//! reset it; an endpoint that crashed refuses new connections. Each node reports the requests whose
+//! endpoints crashed to a few nodes selected by the request's fingerprint, which count the crashes
+//! seen by all nodes. A quarantined request is broadcast to all nodes at once and recorded on the
+//! platform, for nodes that miss the broadcast or start later.
 
 mod check;
 mod records;
@@ -22,14 +24,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Nodes that count the crashes of one request. One may have just started, and a datagram may be lost.
-const COUNTERS: usize = 3;
+/// Number of nodes that count the crashes of one request. There are several because one may have
+/// just started and a datagram may be lost.
+const TALLY_NODES: usize = 3;
 
-/// Requests in one datagram.
-const MAX_REPORTED: usize = 40;
+/// Maximum number of requests in one datagram.
+const MAX_REQUESTS_PER_DATAGRAM: usize = 40;
 
 impl<W: Wire> Cx<W> {
-    /// How much longer a request is refused, if it is.
+    /// Returns the remaining quarantine time of a request, if it is quarantined.
     pub(crate) fn quarantine_left(&self, plan: &Plan) -> Option<Duration> {
         if self.state().quarantine.is_empty() {
             return None;
@@ -38,64 +41,64 @@
         self.state().quarantine.left(self.now(), request)
     }
 
-    /// Whether endpoints crashed under a request, though too few to refuse it.
+    /// Whether endpoints crashed while running a request, but too few to quarantine it.
     fn is_suspected(&self, plan: &Plan) -> bool {
         let request = plan.fingerprint();
         self.state().quarantine.is_suspected(self.now(), request)
     }
 
-    /// Ends when the request is to be refused.
+    /// Resolves when the request is quarantined.
     pub(crate) async fn quarantined(&self, plan: &Plan) {
-        let mut held = self.held.subscribe();
+        let mut changes = self.held.subscribe();
         while self.quarantine_left(plan).is_none() {
-            // The sender lives as long as this.
-            if held.changed().await.is_err() {
+            // Unreachable: `self` owns the sender.
+            if changes.changed().await.is_err() {
                 std::future::pending::<()>().await;
             }
         }
     }
 
-    /// Notes that an endpoint has answered a request to its end.
+    /// Records that an endpoint has completed a request.
     pub(crate) fn note_completed(&self, plan: &Plan) {
         if self.state().quarantine.is_empty() {
             return;
         }
         let request = plan.fingerprint();
         let mut state = self.state();
-        let message = Message::Completed { request: request.0 };
+        let msg = Message::Completed { request: request.0 };
         match state.quarantine.clear(request) {
             Cleared::Unknown => {}
-            Cleared::Suspected => gossip::send_now(self, counters(self, &state, request), &message),
+            Cleared::Suspected => gossip::send_now(self, tally_peers(self, &state, request), &msg),
             Cleared::Quarantined => {
                 log::warn!(target: "quarantine", "event=released request={request} reason=\"a copy completed\"");
                 state.unrecorded.add(self.now(), request, false);
-                gossip::broadcast(self, &state, &message);
+                gossip::broadcast(self, &state, &msg);
             }
         }
     }
 }
 
-/// Reports that an endpoint crashed under these requests.
-fn report<W: Wire>(cx: &Cx<W>, state: &mut State, endpoint: u32, requests: &[Fingerprint]) {
+/// Reports that an endpoint crashed while running these requests.
+fn report_crash<W: Wire>(cx: &Cx<W>, state: &mut State, endpoint: u32, requests: &[Fingerprint]) {
     note_crash(cx, state, endpoint, requests);
     let mut reports: HashMap<SocketAddr, Vec<u128>> = HashMap::new();
     for request in requests {
-        for to in counters(cx, state, *request) {
+        for to in tally_peers(cx, state, *request) {
             reports.entry(to).or_default().push(request.0);
         }
     }
     for (to, requests) in reports {
-        for part in requests.chunks(MAX_REPORTED) {
-            let message = Message::Crashed {
+        for chunk in requests.chunks(MAX_REQUESTS_PER_DATAGRAM) {
+            let msg = Message::Crashed {
                 endpoint,
-                requests: part.to_vec(),
+                requests: chunk.to_vec(),
             };
-            gossip::send_now(cx, [to].into_iter(), &message);
+            gossip::send_now(cx, [to].into_iter(), &msg);
         }
     }
 }
 
-/// Counts a crash for these requests, and holds those for which it was one too many.
+/// Counts a crash for these requests, and quarantines those that reach the limit.
 pub(crate) fn note_crash<W: Wire>(
     cx: &Cx<W>,
     state: &mut State,
@@ -109,7 +112,7 @@
         }
         log::warn!(
             target: "quarantine",
-            "event=quarantined request={request} reason=\"endpoints crashed under it\" endpoint={endpoint}"
+            "event=quarantined request={request} reason=\"endpoints crashed while running it\" endpoint={endpoint}"
         );
         state.unrecorded.add(now, *request, true);
         gossip::broadcast(cx, state, &Message::Quarantined { request: request.0 });
@@ -117,30 +120,30 @@
     }
 }
 
-/// Takes in that another node has just held a request. The nodes that count its crashes see to it that it is recorded,
-/// should that node end before.
+/// Applies another node's decision to quarantine a request. The nodes that count its crashes write
+/// the record if that node stops before it has done so.
 pub(crate) fn take_decision<W: Wire>(cx: &Cx<W>, state: &mut State, request: Fingerprint) {
     let now = cx.now();
-    let own = cx.settings.listen.nodes;
-    let rank = ranked(state, now, request).position(|node| node == own);
-    let is_news = state.quarantine.left(now, request).is_none();
-    match rank.filter(|_| is_news) {
+    let own_addr = cx.settings.listen.nodes;
+    let rank = tally_nodes(state, now, request).position(|node| node == own_addr);
+    let is_new = state.quarantine.left(now, request).is_none();
+    match rank.filter(|_| is_new) {
         Some(rank) => state.unrecorded.add_fallback(now, request, rank),
-        // This node let it go before: endpoints have crashed under it again.
-        None if is_news => state.unrecorded.remove(request),
+        // This node had released the request; endpoints have crashed under it again since.
+        None if is_new => state.unrecorded.remove(request),
         None => {}
     }
     take(cx, state, request, true);
 }
 
-/// Takes in whether a request is held, as its record says.
+/// Applies a quarantine record read from the platform.
 pub(crate) fn take_record<W: Wire>(
     cx: &Cx<W>,
     state: &mut State,
     request: Fingerprint,
     is_held: bool,
 ) {
-    match state.unrecorded.note_record(cx.now(), request, is_held) {
+    match state.unrecorded.handle_record(cx.now(), request, is_held) {
         true => take(cx, state, request, is_held),
         false => log::info!(
             target: "quarantine",
@@ -149,63 +152,64 @@
     }
 }
 
-/// Takes in that another node has let a request go since a copy completed.
+/// Applies another node's release of a request, a copy of which completed.
 pub(crate) fn take_release<W: Wire>(cx: &Cx<W>, state: &mut State, request: Fingerprint) {
-    // Written after the release, the decision would hold the request again.
+    // A decision written after the release would quarantine the request again.
     state.unrecorded.remove(request);
     take(cx, state, request, false);
 }
 
-/// Takes in whether a request is held, as another node or a record says.
+/// Applies whether a request is quarantined, as reported by another node or a record.
 pub(crate) fn take<W: Wire>(cx: &Cx<W>, state: &mut State, request: Fingerprint, is_held: bool) {
     let now = cx.now();
-    let is_news = match is_held {
+    let is_new = match is_held {
         true => state.quarantine.hold(now, request),
         false => state.quarantine.clear(request) != Cleared::Unknown,
     };
-    if is_news {
+    if is_new {
         log::info!(target: "quarantine", "event=learned request={request} held={is_held}");
         cx.note_held(state);
     }
 }
 
-/// Sees to it that the requests that are held are recorded, since their records may be lost. Those that are not cancel
-/// this when they are read.
+/// Schedules writes of all quarantined requests, since their records may be lost. A record that
+/// still exists cancels its write when it is read.
 pub(crate) fn record_again(state: &mut State, now: Duration) {
     let held: Vec<_> = state.quarantine.held(now).collect();
     for request in held {
         state
             .unrecorded
-            .add_fallback(now, request, rand::random_range(0..COUNTERS));
+            .add_fallback(now, request, rand::random_range(0..TALLY_NODES));
     }
 }
 
-/// The writes of this node's decisions that are due.
-pub(crate) fn due(state: &mut State, now: Duration) -> Vec<Command> {
+/// Returns the commands that record this node's decisions and are due.
+pub(crate) fn due_commands(state: &mut State, now: Duration) -> Vec<Command> {
     state.quarantine.expire(now);
-    let due = state.unrecorded.due(now).into_iter();
+    let due = state.unrecorded.due_writes(now).into_iter();
     due.map(|(request, is_held)| Command::RecordQuarantine { request, is_held })
         .collect()
 }
 
-/// The nodes that count the crashes of a request, the most preferred first, this node among them.
-fn ranked(
+/// Returns the nodes that count the crashes of a request, most preferred first; may include this
+/// node.
+fn tally_nodes(
     state: &State,
     now: Duration,
     request: Fingerprint,
 ) -> impl Iterator<Item = SocketAddr> + use<> {
     let mut nodes: Vec<_> = state.nodes.iter(now).collect();
     nodes.sort_by_cached_key(|n| hash(&(request.0, &n.host)));
-    let first: Vec<_> = nodes.iter().take(COUNTERS).map(|n| n.nodes).collect();
-    first.into_iter()
+    let addrs: Vec<_> = nodes.iter().take(TALLY_NODES).map(|n| n.nodes).collect();
+    addrs.into_iter()
 }
 
-/// Those among them that are other nodes.
-fn counters<W: Wire>(
+/// Returns the nodes that count the crashes of a request, without this node.
+fn tally_peers<W: Wire>(
     cx: &Cx<W>,
     state: &State,
     request: Fingerprint,
 ) -> impl Iterator<Item = SocketAddr> + use<W> {
-    let own = cx.settings.listen.nodes;
-    ranked(state, cx.now(), request).filter(move |to| *to != own)
+    let own_addr = cx.settings.listen.nodes;
+    tally_nodes(state, cx.now(), request).filter(move |to| *to != own_addr)
 }
--- a/crates/oatdale-relay/src/crashes/check.rs
+++ b/crates/oatdale-relay/src/crashes/check.rs
@@ -1,4 +1,4 @@
-//! Finds out whether an endpoint crashed.
+//! Detection of endpoint crashes.
 
 use crate::cx::Cx;
 use crate::directory::EndpointKey;
@@ -15,71 +15,74 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// Pauses before the connections by which an endpoint is checked. A process that ends may close its listener
-/// after its connections.
-const CHECK_PAUSES: [Duration; 2] = [Duration::from_millis(20), Duration::from_millis(200)];
+/// Delays before each connection attempt of a check. There is more than one attempt because a
+/// process that exits may close its listener after its connections.
+const PROBE_DELAYS: [Duration; 2] = [Duration::from_millis(20), Duration::from_millis(200)];
 
-/// How long such a connection may take to open.
-const CHECK_TIMEOUT: Duration = Duration::from_millis(400);
+/// Timeout of each connection attempt.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Checks of endpoints that are under way.
+/// Checks in progress, by endpoint.
 #[derive(Debug, Default)]
 pub(crate) struct Checks(HashMap<EndpointKey, Check>);
 
 /// A check of one endpoint.
 #[derive(Debug, Default)]
 struct Check {
-    /// Requests whose connections to it broke.
+    /// Requests whose connections to the endpoint broke.
     requests: Vec<Fingerprint>,
-    /// Closed when the check has ended.
+    /// Closed when the check ends.
     done: watch::Sender<()>,
 }
 
 impl Checks {
-    /// Adds a request, and says whether a check of the endpoint has to be begun.
+    /// Adds a request, and returns whether a check of the endpoint has to be started.
     fn add(&mut self, endpoint: EndpointKey, request: Fingerprint) -> bool {
         let check = self.0.entry(endpoint).or_default();
         check.requests.push(request);
         check.requests.len() == 1
     }
 
-    fn end(&mut self, endpoint: EndpointKey) -> Vec<Fingerprint> {
+    fn finish(&mut self, endpoint: EndpointKey) -> Vec<Fingerprint> {
         self.0
             .remove(&endpoint)
             .map_or_else(Vec::new, |c| c.requests)
     }
 
-    /// A check of one of these endpoints, if one is under way.
-    fn of(&self, endpoints: &[EndpointKey]) -> Option<watch::Receiver<()>> {
+    /// Returns a receiver that closes with the check of one of these endpoints, if one is in
+    /// progress.
+    fn watch_any(&self, endpoints: &[EndpointKey]) -> Option<watch::Receiver<()>> {
         let check = endpoints.iter().find_map(|key| self.0.get(key))?;
         Some(check.done.subscribe())
     }
 }
 
-/// Waits until it is known whether the endpoints that a suspected request was sent to have crashed: one crash more may
-/// be one too many.
+/// Waits until it is known whether the endpoints that a suspected request was sent to have crashed,
+/// since one more crash may quarantine it.
 pub(crate) async fn settle<W: Wire>(cx: &Cx<W>, plan: &Plan) {
     loop {
         let check = {
             let state = cx.state();
             match state.quarantine.is_empty() || plan.sent_to.is_empty() {
                 true => None,
-                false => state.checks.of(&plan.sent_to),
+                false => state.checks.watch_any(&plan.sent_to),
             }
         };
         let Some(mut check) = check else { return };
         if !cx.is_suspected(plan) {
             return;
         }
-        // It ends with its sender.
+        // Ends when the check drops its sender.
         while check.changed().await.is_ok() {}
     }
 }
 
-/// Notes that an endpoint's connection broke while it had the request, and checks whether the endpoint crashed.
+/// Handles a connection that broke while its endpoint had the request: checks whether the endpoint
+/// crashed.
 ///
-/// Endpoints whose answers to the request were dropped before are checked too: nobody was there to see them crash.
-/// One that was about to leave ends by plan, with what it still has.
+/// Endpoints to which the request was sent before are checked too: once their response was dropped,
+/// a crash would go unnoticed. A leaving endpoint is not checked: it stops as planned, even with
+/// requests in flight.
 pub(crate) fn note_broken<W: Wire>(cx: &Arc<Cx<W>>, plan: &Plan, running: &Running<W>) {
     if running.is_leaving() {
         return;
@@ -103,19 +106,19 @@
     }
 }
 
-/// Checks one endpoint for all requests whose connections to it broke.
+/// Checks one endpoint on behalf of all requests whose connections to it broke.
 async fn check<W: Wire>(cx: Arc<Cx<W>>, key: EndpointKey, addr: SocketAddr) {
-    let is_again = cx.state().directory.started_again(key);
-    let reached = match is_again {
-        true => Reached::Refused,
-        false => reach(addr).await,
+    let has_restarted = cx.state().directory.started_again(key);
+    let outcome = match has_restarted {
+        true => ProbeOutcome::Refused,
+        false => probe(addr).await,
     };
-    let has_crashed = reached == Reached::Refused;
+    let has_crashed = outcome == ProbeOutcome::Refused;
     let mut state = cx.state();
-    if reached != Reached::Yes {
+    if outcome != ProbeOutcome::Reachable {
         note_unreachable(&cx, &mut state, key);
     }
-    let requests = state.checks.end(key);
+    let requests = state.checks.finish(key);
     let Some(entry) = state.directory.get(key) else {
         return;
     };
@@ -127,31 +130,31 @@
     );
     if has_crashed {
         cx.metrics.crashes.inc();
-        super::report(&cx, &mut state, endpoint, &requests);
+        super::report_crash(&cx, &mut state, endpoint, &requests);
     }
 }
 
-/// Whether an endpoint can be reached.
+/// Result of probing an endpoint.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Reached {
-    Yes,
-    /// Nobody listens there.
+enum ProbeOutcome {
+    Reachable,
+    /// No process listens at the address.
     Refused,
-    /// Its host does not answer, which says nothing of its process.
-    No,
+    /// The host does not respond, which says nothing about the endpoint's process.
+    Unreachable,
 }
 
-async fn reach(addr: SocketAddr) -> Reached {
-    let mut reached = Reached::Yes;
-    for pause in CHECK_PAUSES {
-        sleep(pause).await;
-        reached = match timeout(CHECK_TIMEOUT, TcpStream::connect(addr)).await {
-            Ok(Ok(_)) => Reached::Yes,
+async fn probe(addr: SocketAddr) -> ProbeOutcome {
+    let mut outcome = ProbeOutcome::Reachable;
+    for delay in PROBE_DELAYS {
+        sleep(delay).await;
+        outcome = match timeout(PROBE_TIMEOUT, TcpStream::connect(addr)).await {
+            Ok(Ok(_)) => ProbeOutcome::Reachable,
             Ok(Err(err)) if err.kind() == io::ErrorKind::ConnectionRefused => {
-                return Reached::Refused;
+                return ProbeOutcome::Refused;
             }
-            Ok(Err(_)) | Err(_) => Reached::No,
+            Ok(Err(_)) | Err(_) => ProbeOutcome::Unreachable,
         };
     }
-    reached
+    outcome
 }
--- a/crates/oatdale-relay/src/crashes/records.rs
+++ b/crates/oatdale-relay/src/crashes/records.rs
@@ -1,58 +1,58 @@
-//! Decisions about requests that are still to be recorded at the platform.
+//! Quarantine decisions not yet recorded on the platform.
 
 use oatdale_policy::relay::Fingerprint;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time between two writes of one decision until the record is read.
+/// Interval between writes of one decision until its record is read back.
 const WRITE_INTERVAL: Duration = Duration::from_millis(1_500);
 
-/// How long a write that was not answered may still be executed.
-const LATE_WRITE_TIME: Duration = Duration::from_secs(10);
+/// How long after an unanswered write it may still be executed.
+const LATE_WRITE_WINDOW: Duration = Duration::from_secs(10);
 
-/// Decisions that this node sees to, and has not read from the platform yet.
+/// Decisions that this node is responsible for writing and has not read back from the platform yet.
 #[derive(Debug, Default)]
 pub(crate) struct Unrecorded(BTreeMap<Fingerprint, Decision>);
 
 #[derive(Debug)]
 struct Decision {
     is_held: bool,
-    since: Duration,
-    /// When it is written next; unset once its record was read.
+    decided_at: Duration,
+    /// Time of the next write; unset once the record has been read back.
     due: Option<Duration>,
 }
 
 impl Unrecorded {
-    /// Adds a decision of this node.
+    /// Adds a decision made by this node.
     pub(crate) fn add(&mut self, now: Duration, request: Fingerprint, is_held: bool) {
         let decision = Decision {
             is_held,
-            since: now,
+            decided_at: now,
             due: Some(now),
         };
         self.0.insert(request, decision);
     }
 
-    /// Adds a request that another node has held and records; `rank` is this node's place among those that do so if
-    /// that node does not.
+    /// Adds a request that another node has quarantined and is to record; `rank` is this node's
+    /// position among those that write the record if that node does not.
     pub(crate) fn add_fallback(&mut self, now: Duration, request: Fingerprint, rank: usize) {
-        let wait = WRITE_INTERVAL * u32::try_from(rank + 1).unwrap_or(u32::MAX);
+        let delay = WRITE_INTERVAL * u32::try_from(rank + 1).unwrap_or(u32::MAX);
         let decision = Decision {
             is_held: true,
-            since: now,
-            due: Some(now + wait),
+            decided_at: now,
+            due: Some(now + delay),
         };
         self.0.insert(request, decision);
     }
 
-    /// Drops a decision that was overtaken.
+    /// Removes a superseded decision.
     pub(crate) fn remove(&mut self, request: Fingerprint) {
         self.0.remove(&request);
     }
 
-    /// Notes what a record says, and says whether it counts: a write of a decision that this node has overtaken may be
-    /// executed late, and is then written over.
-    pub(crate) fn note_record(
+    /// Handles a record, and returns whether it is to be applied. The write of a decision that this
+    /// node has since reversed may be executed late; that record is ignored and overwritten.
+    pub(crate) fn handle_record(
         &mut self,
         now: Duration,
         request: Fingerprint,
@@ -74,10 +74,10 @@
         }
     }
 
-    /// The decisions that are to be written now.
-    pub(crate) fn due(&mut self, now: Duration) -> Vec<(Fingerprint, bool)> {
-        let is_open = |d: &Decision| d.due.is_some() || now < d.since + LATE_WRITE_TIME;
-        self.0.retain(|_, d| is_open(d));
+    /// Returns the decisions to write now.
+    pub(crate) fn due_writes(&mut self, now: Duration) -> Vec<(Fingerprint, bool)> {
+        let is_pending = |d: &Decision| d.due.is_some() || now < d.decided_at + LATE_WRITE_WINDOW;
+        self.0.retain(|_, d| is_pending(d));
         let due = self.0.iter_mut();
         due.filter(|(_, d)| d.due.is_some_and(|due| due <= now))
             .map(|(request, decision)| {
--- a/crates/oatdale-relay/src/node.rs
+++ b/crates/oatdale-relay/src/node.rs
@@ -1,4 +1,4 @@
-//! A relay as a whole: its listeners, its news and its end.
+//! The relay node: start-up, platform updates, periodic tasks and shutdown.
 
 use crate::crashes;
 use crate::cx::Cx;
@@ -19,17 +19,17 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// Time between two looks at what is due.
-const TICK: Duration = Duration::from_millis(200);
+/// Interval of the periodic tasks.
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The part of the time for a stop in which requests are still taken: callers keep addresses for
-/// a while, and what they send last needs time to be answered.
-const STILL_TAKES: f64 = 0.6;
+/// Fraction of the shutdown time during which new requests are accepted: clients cache addresses
+/// for a while, and their last requests need time to complete.
+const ACCEPT_FRACTION: f64 = 0.6;
 
-/// Time before the end of a stop at which what is still under way is given up.
-const LAST: Duration = Duration::from_millis(400);
+/// Time before the end of the shutdown at which remaining in-flight requests are abandoned.
+const ABANDON_MARGIN: Duration = Duration::from_millis(400);
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections waiting to be accepted.
 const BACKLOG: u32 = 1_024;
 
 /// A running relay.
@@ -44,7 +44,7 @@
     ///
     /// # Errors
     ///
-    /// One of its addresses can't be listened on.
+    /// The relay cannot listen on one of its addresses.
     pub async fn start(settings: Settings, wire: W, link: Link) -> Result<Self> {
         let Link {
             updates,
@@ -67,7 +67,7 @@
         tokio::spawn(front::accept(cx.clone(), callers, stopped));
         tokio::spawn(gossip::listen(cx.clone()));
         tokio::spawn(gossip::share_loads(cx.clone()));
-        tokio::spawn(take_updates(cx.clone(), updates));
+        tokio::spawn(apply_updates(cx.clone(), updates));
         tokio::spawn(tick(cx.clone(), commands.clone()));
         log::info!(
             target: "node",
@@ -77,27 +77,28 @@
         Ok(Relay { cx, commands, stop })
     }
 
-    /// Stops in order: leaves the addresses that callers are told, goes on for as long as they
-    /// may keep them, and ends what is under way.
+    /// Shuts down gracefully: removes the node from the addresses given to clients, keeps serving
+    /// for as long as clients may cache them, and drains in-flight requests.
     pub async fn stop(&self) {
-        let began = Instant::now();
-        let time = self.cx.state().bounds.stop();
+        let stop_began = Instant::now();
+        let stop_time = self.cx.state().bounds.stop();
         log::info!(target: "node", "event=stopping under_way={}", self.under_way());
-        self.cx.state().stopping = Some(began);
+        self.cx.state().stopping = Some(stop_began);
         if self.commands.send(Command::Leave).await.is_err() {
-            log::warn!(target: "node", "event=leave_not_sent reason=\"the adapter has ended\"");
+            log::warn!(target: "node", "event=leave_not_sent reason=\"platform adapter has stopped\"");
         }
         gossip::leave(&self.cx).await;
-        tokio::time::sleep_until(began + time.mul_f64(STILL_TAKES)).await;
+        tokio::time::sleep_until(stop_began + stop_time.mul_f64(ACCEPT_FRACTION)).await;
         self.stop.send_replace(Stop::Closing);
-        let end = began + time.saturating_sub(LAST);
-        while self.under_way() > 0 && Instant::now() < end {
+        let deadline = stop_began + stop_time.saturating_sub(ABANDON_MARGIN);
+        while self.under_way() > 0 && Instant::now() < deadline {
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
         log::info!(target: "node", "event=stopped under_way={}", self.under_way());
     }
 
-    /// Takes in changed settings and says whether some of them need a restart: addresses do.
+    /// Applies changed bounds, and returns whether other settings changed, such as addresses, which
+    /// take effect only after a restart.
     pub fn reload(&mut self, settings: &Settings) -> bool {
         let needs_restart = Settings {
             bounds: settings.bounds,
@@ -112,47 +113,47 @@
     }
 }
 
-async fn take_updates<W: Wire>(cx: Arc<Cx<W>>, mut updates: mpsc::Receiver<Update>) {
+async fn apply_updates<W: Wire>(cx: Arc<Cx<W>>, mut updates: mpsc::Receiver<Update>) {
     while let Some(update) = updates.recv().await {
         cx.update(update);
     }
-    log::warn!(target: "node", "event=no_more_news reason=\"the adapter has ended\"");
+    log::warn!(target: "node", "event=updates_ended reason=\"platform adapter has stopped\"");
 }
 
 async fn tick<W: Wire>(cx: Arc<Cx<W>>, commands: mpsc::Sender<Command>) {
-    let mut reported = Instant::now();
+    let mut last_report = Instant::now();
     loop {
-        tokio::time::sleep(TICK).await;
-        let has_news = cx.state().roll_outs.take_news();
-        if has_news || reported.elapsed() >= REPORT_EVERY {
-            reported = Instant::now();
+        tokio::time::sleep(TICK_INTERVAL).await;
+        let has_new_order = cx.state().roll_outs.take_new_order();
+        if has_new_order || last_report.elapsed() >= REPORT_EVERY {
+            last_report = Instant::now();
             gossip::report(&cx).await;
         }
-        for command in due(&cx) {
+        for command in due_commands(&cx) {
             log::info!(target: "node", "event=write {command:?}");
             if commands.try_send(command).is_err() {
-                log::warn!(target: "node", "event=write_postponed reason=\"adapter is busy\"");
+                log::warn!(target: "node", "event=write_postponed reason=\"platform adapter is busy\"");
             }
         }
     }
 }
 
-fn due<W: Wire>(cx: &Cx<W>) -> Vec<Command> {
+fn due_commands<W: Wire>(cx: &Cx<W>) -> Vec<Command> {
     let now = cx.now();
     let mut guard = cx.state();
     let state = &mut *guard;
-    let session = Duration::from_secs_f64(state.bounds.session_s);
+    let session_ttl = Duration::from_secs_f64(state.bounds.session_s);
     state.directory.tick(now);
-    state.roll_outs.forget_sessions(now, session);
-    state.roll_outs.follow_rates(now, state.bounds.exposure());
-    let own = cx.settings.host.as_str();
+    state.roll_outs.expire_sessions(now, session_ttl);
+    state.roll_outs.update_rates(now, state.bounds.exposure());
+    let own_host = cx.settings.host.as_str();
     let rank = state
         .nodes
         .iter(now)
-        .filter(|n| n.host.as_str() < own)
+        .filter(|n| n.host.as_str() < own_host)
         .count();
     let directory = &state.directory;
-    let ends = state.roll_outs.due(now, rank, |service, target| {
+    let ends = state.roll_outs.due_ends(now, rank, |service, target| {
         directory.has_other_work(service, target)
     });
     let ends = ends.into_iter().map(|(roll_out, end)| Command::EndRollOut {
@@ -160,13 +161,13 @@
         target: roll_out.target,
         end,
     });
-    ends.chain(crashes::due(state, now)).collect()
+    ends.chain(crashes::due_commands(state, now)).collect()
 }
 
 fn bind(addr: SocketAddr) -> Result<TcpListener> {
     let open = || {
         let socket = TcpSocket::new_v4()?;
-        // A node that is started again takes its port although old connections linger there.
+        // Lets a restarted node bind its port while old connections linger on it.
         socket.set_reuseaddr(true)?;
         socket.bind(addr)?;
         socket.listen(BACKLOG)
--- a/crates/oatdale-relay/src/roll_outs.rs
+++ b/crates/oatdale-relay/src/roll_outs.rs
@@ -1,5 +1,5 @@
-//! Roll-outs of endpoint pools: which software version a request may use, what was seen of the
-//! new one by all nodes, and when the end is to be written.
+//! Rollouts of endpoint pools: which software version a request may use, the evidence that all
+//! nodes have collected about the new version, and when to record the outcome.
 
 mod active;
 mod rates;
@@ -9,43 +9,45 @@
 
 use crate::state;
 use crate::update::{RollOut, RollOutEnd};
-use active::{Active, Peer};
+use active::{PeerReport, RollOutState};
 use oatdale_policy::relay::{Counts, Exposure, Origin, Phase, Verdict, shows_new};
 use rates::Rates;
 use report::millis;
 use sessions::Sessions;
 use std::collections::HashMap;
 use std::time::Duration;
-use usual::UsualTimes;
+use usual::BaselineTimes;
 
 pub(crate) use active::JUDGES;
 pub use report::{OnOld, Report};
 pub use usual::Pace;
 
-/// Which software versions a request may use.
+/// The software versions that a request may use.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Allowed {
-    /// Any.
+    /// Any version.
     All,
-    /// This one; others only if it has no endpoint.
+    /// This version; others only if it has no endpoint.
     Prefer(String),
-    /// A part of this one's endpoints, the same on all nodes; others only if there is none.
+    /// A subset of this version's endpoints, the same on all nodes; other versions only if it has
+    /// none.
     ///
-    /// A version may be bad only under load, and the few requests of a trial are no load for a
-    /// whole pool. For so many endpoints as would have this share they are the usual load.
+    /// A version may be faulty only under load, and the few requests of a trial would not load a
+    /// whole pool. Concentrated on a fraction of the endpoints equal to their share of the traffic,
+    /// they are a normal load for each.
     Trial {
         /// The version.
         version: String,
-        /// Picks the endpoints.
+        /// Seed that selects the endpoints.
         seed: u64,
-        /// The part.
+        /// The share of requests in the trial, and the fraction of endpoints that serve them.
         share: f64,
     },
-    /// Any but this one.
+    /// Any version but this one.
     Not(String),
 }
 
-/// Where an answer came from.
+/// The origin of a response.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Source<'a> {
     /// The service.
@@ -54,31 +56,32 @@
     pub version: &'a str,
     /// The route and the endpoint.
     pub origin: Origin,
-    /// Whether the endpoint fails much of what it gets.
+    /// Whether the endpoint has a high failure rate.
     pub is_failing: bool,
 }
 
-/// All roll-outs that a node knows of.
+/// All rollouts that a node knows of.
 #[derive(Debug, Default)]
 pub struct RollOuts {
-    by_service: HashMap<String, Active>,
-    /// Usual times of versions that are not on trial, also from before an order.
-    usual: UsualTimes,
+    by_service: HashMap<String, RollOutState>,
+    /// Baseline durations of versions that are not on trial, including those from before an order.
+    baselines: BaselineTimes,
     sessions: Sessions,
-    /// This node's requests.
+    /// Request rates of this node.
     rates: Rates,
-    /// An order has been heard of that other nodes may not know.
-    has_news: bool,
-    /// When other nodes were last told of all sessions on old versions.
-    told_sessions: Option<Duration>,
+    /// Whether a new order has been received that other nodes may not know.
+    has_new_order: bool,
+    /// When the full list of sessions on old versions was last sent to other nodes.
+    sessions_sent_at: Option<Duration>,
 }
 
-/// Time between two tellings of all sessions on old versions: some lives of a session have several, and a
-/// site of ninety nodes sends each of them some forty datagrams a second while a trial lasts.
-const TELL_SESSIONS: Duration = Duration::from_secs(2);
+/// Interval at which the full list of sessions on old versions is sent. Several transmissions fit
+/// into a session's lifetime; with 90 nodes, each receives about 40 datagrams per second during a
+/// trial.
+const SESSIONS_INTERVAL: Duration = Duration::from_secs(2);
 
 impl RollOuts {
-    /// Takes in a roll-out as the operator and the nodes wrote it.
+    /// Applies a rollout record written by an operator or a node.
     pub fn update(&mut self, now: Duration, roll_out: RollOut) {
         let known = self.by_service.get_mut(&roll_out.service);
         match known {
@@ -91,22 +94,24 @@
                     roll_out.service, roll_out.target, roll_out.duration.as_millis(),
                     roll_out.order, roll_out.end
                 );
-                self.has_news = true;
-                self.told_sessions = None;
+                self.has_new_order = true;
+                self.sessions_sent_at = None;
                 let service = roll_out.service.clone();
-                self.by_service.insert(service, Active::new(now, roll_out));
+                self.by_service
+                    .insert(service, RollOutState::new(now, roll_out));
             }
         }
     }
 
-    /// Notes that the record of how a service's last roll-out ended is lost.
+    /// Handles the loss of the record of how a service's last rollout ended.
     pub fn end_lost(&mut self, now: Duration, service: &str) {
         if let Some(active) = self.by_service.get_mut(service) {
-            active.end_lost(now);
+            active.reschedule_end(now);
         }
     }
 
-    /// Which versions a request may use. `hash` is of its session or, without one, of itself.
+    /// Returns the versions that a request may use. `hash` is the hash of the request, used if it
+    /// has no session.
     pub fn allowed(
         &self,
         now: Duration,
@@ -127,12 +132,12 @@
             return Allowed::Not(target);
         }
         let phase = active.phase(now);
-        let trial = phase == Phase::Trial;
+        let in_trial = phase == Phase::Trial;
         let is_old = session.is_some_and(|s| self.sessions.is_on_old(s, &target));
         let share = active.share.unwrap_or(0.0);
         match shows_new(phase, share, session.unwrap_or(hash)) {
-            true if trial && is_old => Allowed::Not(target),
-            true if trial => Allowed::Trial {
+            true if in_trial && is_old => Allowed::Not(target),
+            true if in_trial => Allowed::Trial {
                 version: target,
                 seed: state::hash(&(service, &active.roll_out.target)),
                 share,
@@ -142,27 +147,28 @@
         }
     }
 
-    /// Notes a request for a service.
+    /// Counts a request for a service.
     pub fn count_request(&mut self, now: Duration, service: &str) {
         self.rates.add(now, service);
     }
 
-    /// Settles the share of each trial that has begun, and follows the requests that come: what nodes
-    /// told each other of theirs gives about the same share and times on all of them.
-    pub fn follow_rates(&mut self, now: Duration, allowed: Exposure) {
+    /// Sets the traffic share of each trial that has begun, and adjusts the schedules to the
+    /// request rates. All nodes exchange their rates and therefore arrive at about the same shares
+    /// and times.
+    pub fn update_rates(&mut self, now: Duration, exposure: Exposure) {
         let services: Vec<String> = self.by_service.keys().cloned().collect();
         for service in services {
-            let own = self.rates.get(now, &service);
+            let average = self.rates.get(now, &service);
             let recent = self.rates.recent(now, &service);
             if let Some(active) = self.by_service.get_mut(&service) {
-                active.settle_share(now, allowed, own);
-                active.follow_rate(now, recent);
+                active.set_share(now, exposure, average);
+                active.adjust_schedule(now, recent);
             }
         }
     }
 
-    /// Notes which version a session's request goes to, and returns what other nodes have to know at
-    /// once: that it is on an old version, where they would try the new one with it.
+    /// Pins a session to the version that its request goes to. Returns a message to send to other
+    /// nodes at once if the session is on an old version and they might route it to the new one.
     pub fn pin(
         &mut self,
         now: Duration,
@@ -173,123 +179,128 @@
         self.sessions.pin(now, session, version);
         let active = self.by_service.get(service)?;
         let is_old = version != active.roll_out.target;
-        let matters = is_old && active.is_undecided(now) && active.may_try(session);
-        matters.then(|| self.sessions.tell(now, session)).flatten()
+        let must_announce = is_old && active.is_undecided(now) && active.may_join(session);
+        must_announce
+            .then(|| self.sessions.announce(now, session))
+            .flatten()
     }
 
-    /// Forgets sessions that ended.
-    pub fn forget_sessions(&mut self, now: Duration, life: Duration) {
-        self.sessions.forget(now, life);
+    /// Removes expired sessions.
+    pub fn expire_sessions(&mut self, now: Duration, ttl: Duration) {
+        self.sessions.expire(now, ttl);
     }
 
-    /// Notes an answer's head: whether the endpoint failed it, and how long it took, if that says
-    /// anything.
-    pub fn answered(&mut self, source: &Source<'_>, failed: bool, took: Option<(Pace, Duration)>) {
+    /// Records a response head: whether the endpoint failed, and how long it took, where that time
+    /// is meaningful.
+    pub fn answered(&mut self, source: &Source<'_>, failed: bool, time: Option<(Pace, Duration)>) {
         if let Some((counts, _)) = self.counts(source) {
             counts.answers += 1;
             counts.failed += u64::from(failed);
         }
-        if let Some((pace, took)) = took {
-            self.timed(source, pace, took);
+        if let Some((pace, time)) = time {
+            self.timed(source, pace, time);
         }
         if let Some(active) = self.by_service.get_mut(source.service) {
-            active.judge();
+            active.update_verdict();
         }
     }
 
-    /// Notes a time that an endpoint took; those of one pace should be about as long.
-    pub fn timed(&mut self, source: &Source<'_>, pace: Pace, took: Duration) {
-        let bound = self.slow_after(pace);
-        if let Some(bound) = bound {
-            self.judged(source, took > bound);
+    /// Records how long an endpoint took; durations with the same pace are comparable.
+    pub fn timed(&mut self, source: &Source<'_>, pace: Pace, time: Duration) {
+        let threshold = self.slow_after(pace);
+        if let Some(threshold) = threshold {
+            self.judged(source, time > threshold);
         }
         let is_new = self.counts(source).is_some_and(|(_, is_new)| is_new);
         if !is_new {
-            self.usual.learn(pace, took);
+            self.baselines.learn(pace, time);
         }
     }
 
-    /// Notes whether an endpoint was slow, where its time is not known: it may not be over.
+    /// Records whether an endpoint was slow when the duration is not known, for example because the
+    /// response is still outstanding.
     pub fn judged(&mut self, source: &Source<'_>, slow: bool) {
         if let Some((counts, _)) = self.counts(source) {
             counts.timed += 1;
             counts.slow += u64::from(slow);
         }
         if let Some(active) = self.by_service.get_mut(source.service) {
-            active.judge();
+            active.update_verdict();
         }
     }
 
-    /// The time from which on something of a pace counts as slow, if there is a usual one.
+    /// Returns the duration above which a sample of this pace counts as slow, if a baseline exists.
     pub fn slow_after(&self, pace: Pace) -> Option<Duration> {
-        self.usual.slow_after(pace)
+        self.baselines.slow_after(pace)
     }
 
-    /// Where to count a version's answer, and whether it is the new one, while a roll-out is under
-    /// way.
+    /// Returns the counters for a response and whether it is from the new version, while a rollout
+    /// is in progress.
     fn counts(&mut self, source: &Source<'_>) -> Option<(&mut Counts, bool)> {
         let active = self.by_service.get_mut(source.service)?;
         let is_new = active.roll_out.target == source.version;
-        // The old version's endpoints are not told apart: they are what is usual.
+        // The endpoints of the old version are counted together: they form the baseline.
         let old = Origin {
             endpoint: 0,
             ..source.origin
         };
         match active.roll_out.end {
             Some(_) => None,
-            None if is_new => Some((active.own.new.at(source.origin), true)),
-            // An old endpoint that fails by itself is not what is usual. With its answers a version
-            // that fails a third of its own looked like the old one, and was completed.
+            None if is_new => Some((active.own_tally.new.at(source.origin), true)),
+            // A faulty endpoint of the old version is excluded from the baseline. Otherwise a new
+            // version that fails a third of its requests looks like the old one, and its rollout
+            // completes.
             None if source.is_failing => None,
-            None => Some((active.own.old.at(old), false)),
+            None => Some((active.own_tally.old.at(old), false)),
         }
     }
 
-    /// Takes in what another node saw.
+    /// Merges another node's report.
     ///
-    /// A node that the key-value service turns away, or that started late, learns of an order and
-    /// of its age in this way. Otherwise it would begin the plan anew when it hears of the order,
-    /// and send to the old version what others send to the new one.
+    /// A node that the key-value service rejects, or that started late, learns of an order and its
+    /// age in this way. Otherwise it would restart the schedule when it receives the order, and
+    /// route requests to the old version while other nodes route them to the new one.
     pub fn merge_report(&mut self, now: Duration, report: &Report) {
-        let reported = report.roll_out();
+        let reported_order = report.roll_out();
         let known = self.by_service.get(&report.service).map(|a| &a.roll_out);
-        if known.is_none_or(|known| known.is_overtaken_by(&reported)) {
-            self.update(now, reported.clone());
+        if known.is_none_or(|known| known.is_overtaken_by(&reported_order)) {
+            self.update(now, reported_order.clone());
         }
         let Some(active) = self.by_service.get_mut(&report.service) else {
             return;
         };
-        if !active.roll_out.is_same_order(&reported) {
+        if !active.roll_out.is_same_order(&reported_order) {
             return;
         }
         let age = Duration::from_millis(report.age_ms);
-        active.since = active.since.min(now.saturating_sub(age));
-        let peer = Peer {
+        active.started_at = active.started_at.min(now.saturating_sub(age));
+        let peer = PeerReport {
             tally: report.tally(),
             old_busy: report.old_busy,
             rate: report.rate,
             recent_rate: report.recent_rate,
-            seen: now,
+            received_at: now,
         };
         active.peers.insert(report.host.clone(), peer);
-        active.judge();
+        active.update_verdict();
     }
 
-    /// Takes in which sessions another node has on an old version.
+    /// Merges the sessions that another node has on an old version.
     pub fn merge_old_sessions(&mut self, now: Duration, on_old: &OnOld) {
         for &session in &on_old.sessions {
             self.sessions.pin_old(now, session);
         }
     }
 
-    /// Whether there is an order that others should hear of at once; asked once for each.
-    pub fn take_news(&mut self) -> bool {
-        std::mem::take(&mut self.has_news)
+    /// Returns whether a new order has to be sent to other nodes at once, and resets the flag.
+    pub fn take_new_order(&mut self) -> bool {
+        std::mem::take(&mut self.has_new_order)
     }
 
-    /// What this node tells others of the roll-outs that are under way.
+    /// Returns this node's reports on the rollouts in progress.
     ///
-    /// `old_busy` says whether this node has work on another version of a service than the target.
+    /// `old_busy` returns whether this node has requests in flight on a version of a service other
+    /// than the target.
     pub fn reports(
         &self,
         now: Duration,
@@ -305,9 +316,9 @@
                 order: a.roll_out.order,
                 target: a.roll_out.target.clone(),
                 duration_ms: millis(a.roll_out.duration),
-                age_ms: millis(now.saturating_sub(a.since)),
-                new: report::cells(&a.own.new),
-                old: report::cells(&a.own.old),
+                age_ms: millis(now.saturating_sub(a.started_at)),
+                new: report::cells(&a.own_tally.new),
+                old: report::cells(&a.own_tally.old),
                 old_busy: old_busy(&a.roll_out.service, &a.roll_out.target),
                 rate: self.rates.get(now, &a.roll_out.service),
                 recent_rate: self.rates.recent(now, &a.roll_out.service),
@@ -315,32 +326,34 @@
             .collect()
     }
 
-    /// The roll-outs that have ended.
+    /// Returns the rollouts that have ended.
     pub fn ended(&self) -> Vec<RollOut> {
         let all = self.by_service.values().map(|a| &a.roll_out);
         all.filter(|r| r.end.is_some()).cloned().collect()
     }
 
-    /// The sessions that this node has on old versions and of which others have to know while
-    /// roll-outs are under way; nothing if it told them of all a moment ago.
+    /// Returns the sessions that this node has on old versions and that other nodes need to know of
+    /// while rollouts are in progress; empty if the full list was sent less than
+    /// `SESSIONS_INTERVAL` ago.
     pub fn on_old(&mut self, now: Duration) -> Vec<OnOld> {
         if self
-            .told_sessions
-            .is_some_and(|told| now < told + TELL_SESSIONS)
+            .sessions_sent_at
+            .is_some_and(|sent_at| now < sent_at + SESSIONS_INTERVAL)
         {
             return Vec::new();
         }
         let active = self.by_service.values();
         let undecided = active.filter(|a| a.is_undecided(now));
-        let all: Vec<OnOld> = undecided
-            .flat_map(|a| self.sessions.to_tell(&a.roll_out.target, |s| a.may_try(s)))
+        let messages: Vec<OnOld> = undecided
+            .flat_map(|a| self.sessions.to_send(&a.roll_out.target, |s| a.may_join(s)))
             .collect();
-        self.told_sessions = Some(now).filter(|_| !all.is_empty());
-        all
+        self.sessions_sent_at = Some(now).filter(|_| !messages.is_empty());
+        messages
     }
 
-    /// The ends that this node is to write now. `rank` is its place among the live nodes by name.
-    pub fn due(
+    /// Returns the outcomes that this node has to write now. `rank` is its position among the live
+    /// nodes, sorted by name.
+    pub fn due_ends(
         &mut self,
         now: Duration,
         rank: usize,
@@ -349,7 +362,7 @@
         let mut due = Vec::new();
         for active in self.by_service.values_mut() {
             let busy = old_busy(&active.roll_out.service, &active.roll_out.target);
-            if let Some(end) = active.due(now, rank, busy) {
+            if let Some(end) = active.due_end(now, rank, busy) {
                 due.push((active.roll_out.clone(), end));
             }
         }
--- a/crates/oatdale-relay/src/roll_outs/sessions.rs
+++ b/crates/oatdale-relay/src/roll_outs/sessions.rs
@@ -1,102 +1,108 @@
-//! Which version each session runs on.
+//! Session pinning: the version that each session runs on.
 //!
-//! A caller's next connection may be to another node. During a trial that node would take the session
-//! for a new one and send it to the new version; so nodes tell each other of the sessions for which
-//! this matters: each new one at once, since its next request may follow within a second, and all of
-//! them again and again, for nodes that missed it or started later.
+//! A client's next connection may go to another node. During a trial that node would treat the
+//! session as a new one and route it to the new version. Nodes therefore announce the affected
+//! sessions to each other: each new one at once, since its next request may follow within a second,
+//! and all of them periodically, for nodes that missed the first message or started later.
 
 use super::report::OnOld;
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// Sessions that are remembered at most. More are not pinned, which counts only in a trial.
+/// Maximum number of sessions kept. Further ones are not pinned, which matters only during a trial.
 const MAX_SESSIONS: usize = 20_000;
 
-/// Sessions that one datagram names, and how many datagrams there are at the most. More sessions
-/// may change their version in a trial, which needs some hundred callers a node.
-const TOLD_AT_ONCE: usize = 100;
-const TOLD_TIMES: usize = 3;
+/// Maximum number of sessions in one datagram.
+const SESSIONS_PER_DATAGRAM: usize = 100;
 
-/// Sessions that a datagram about a new one names again, so that a lost one is made up for by the next.
-const TOLD_AGAIN: usize = 16;
+/// Maximum number of datagrams for the full list. Sessions beyond them may change their version
+/// during a trial; this takes several hundred clients per node.
+const MAX_DATAGRAMS: usize = 3;
 
-/// Time after which other nodes are told of a session again. They forget one after its life, which is
-/// several times as long.
-const TELL_AGAIN: Duration = Duration::from_millis(1_500);
+/// Number of recent sessions in each announcement, so that the next datagram makes up for a lost
+/// one.
+const RECENT_SESSIONS: usize = 16;
 
-/// Sessions by the hash of their names.
+/// Time after which a session is announced again. Other nodes drop it at the end of its lifetime,
+/// which is several times as long.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(1_500);
+
+/// Sessions by hash of their name.
 #[derive(Debug, Default)]
 pub(super) struct Sessions {
     pins: HashMap<u64, Pin>,
-    /// Those that others were told of last.
-    last_told: VecDeque<u64>,
+    /// Most recently announced sessions, newest first.
+    recent: VecDeque<u64>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Pin {
-    /// `None` if another node said that it is an old one.
+    /// `None` if another node announced that the session is on an old version.
     version: Option<String>,
-    used: Duration,
-    /// When this node last told others of it.
-    told: Option<Duration>,
+    last_used: Duration,
+    /// When this node last announced the session.
+    announced_at: Option<Duration>,
 }
 
 impl Sessions {
-    /// Notes which version a session's request went to.
+    /// Pins a session to the version that its request went to.
     pub(super) fn pin(&mut self, now: Duration, session: u64, version: &str) {
         let is_known = self.pins.contains_key(&session);
         if is_known || self.pins.len() < MAX_SESSIONS {
             let pin = self.pins.entry(session).or_default();
             pin.version = Some(version.to_owned());
-            pin.used = now;
+            pin.last_used = now;
         }
     }
 
-    /// What to tell others of a session that this node has just pinned to an old version, unless it did
-    /// so a moment ago.
-    pub(super) fn tell(&mut self, now: Duration, session: u64) -> Option<OnOld> {
+    /// Returns the announcement of a session that this node has just pinned to an old version, or
+    /// `None` if it was announced less than `ANNOUNCE_INTERVAL` ago.
+    pub(super) fn announce(&mut self, now: Duration, session: u64) -> Option<OnOld> {
         let pin = self.pins.get_mut(&session)?;
-        if pin.told.is_some_and(|told| now < told + TELL_AGAIN) {
+        if pin
+            .announced_at
+            .is_some_and(|announced_at| now < announced_at + ANNOUNCE_INTERVAL)
+        {
             return None;
         }
-        pin.told = Some(now);
-        self.last_told.push_front(session);
-        self.last_told.truncate(TOLD_AGAIN);
-        let sessions = self.last_told.iter().copied().collect();
+        pin.announced_at = Some(now);
+        self.recent.push_front(session);
+        self.recent.truncate(RECENT_SESSIONS);
+        let sessions = self.recent.iter().copied().collect();
         Some(OnOld { sessions })
     }
 
-    /// Notes that another node has a session on an old version.
+    /// Pins a session that another node has on an old version.
     pub(super) fn pin_old(&mut self, now: Duration, session: u64) {
-        self.pins.entry(session).or_default().used = now;
+        self.pins.entry(session).or_default().last_used = now;
     }
 
-    /// Forgets sessions whose last request was longer ago than `life`.
-    pub(super) fn forget(&mut self, now: Duration, life: Duration) {
-        self.pins.retain(|_, pin| now < pin.used + life);
+    /// Removes sessions whose last request was more than `ttl` ago.
+    pub(super) fn expire(&mut self, now: Duration, ttl: Duration) {
+        self.pins.retain(|_, pin| now < pin.last_used + ttl);
     }
 
-    /// Whether a session runs on another version than `target`.
+    /// Whether a session runs on a version other than `target`.
     pub(super) fn is_on_old(&self, session: u64, target: &str) -> bool {
         let pin = self.pins.get(&session);
         pin.is_some_and(|pin| pin.version.as_deref() != Some(target))
     }
 
-    /// Sessions that this node itself sees on an old version and that may try the new one, so that
-    /// other nodes would send them there.
-    pub(super) fn to_tell(&self, target: &str, may_try: impl Fn(u64) -> bool) -> Vec<OnOld> {
+    /// Returns announcements of the sessions that this node itself has on an old version and that
+    /// other nodes might route to the new one because they may be in the trial.
+    pub(super) fn to_send(&self, target: &str, may_join: impl Fn(u64) -> bool) -> Vec<OnOld> {
         let on_old = |pin: &Pin| pin.version.as_deref().is_some_and(|v| v != target);
         let all: Vec<u64> = self
             .pins
             .iter()
-            .filter(|(hash, pin)| may_try(**hash) && on_old(pin))
+            .filter(|(hash, pin)| may_join(**hash) && on_old(pin))
             .map(|(hash, _)| *hash)
-            .take(TOLD_AT_ONCE * TOLD_TIMES)
+            .take(SESSIONS_PER_DATAGRAM * MAX_DATAGRAMS)
             .collect();
-        let parts = all.chunks(TOLD_AT_ONCE);
-        parts
-            .map(|part| OnOld {
-                sessions: part.to_vec(),
+        let batches = all.chunks(SESSIONS_PER_DATAGRAM);
+        batches
+            .map(|batch| OnOld {
+                sessions: batch.to_vec(),
             })
             .collect()
     }
