--- a/crates/oatdale-policy/src/average.rs
+++ b/crates/oatdale-policy/src/average.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Rate {
     value: f64,
-    at: Duration,
+    updated_at: Duration,
     tau: f64,
 }
 
@@ -15,7 +15,7 @@
     pub fn new(now: Duration, tau: Duration) -> Self {
         Rate {
             value: 0.0,
-            at: now,
+            updated_at: now,
             tau: tau.as_secs_f64(),
         }
     }
@@ -23,13 +23,13 @@
     /// Notes an event.
     pub fn add(&mut self, now: Duration) {
         self.value = self.get(now) + 1.0 / self.tau;
-        self.at = self.at.max(now);
+        self.updated_at = self.updated_at.max(now);
     }
 
     /// Events a second.
     pub fn get(&self, now: Duration) -> f64 {
-        let spent = now.saturating_sub(self.at).as_secs_f64();
-        self.value * (-spent / self.tau).exp()
+        let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.value * (-elapsed / self.tau).exp()
     }
 }
 
@@ -38,22 +38,22 @@
 pub struct Mean {
     value: f64,
     samples: f64,
-    memory: f64,
+    max_samples: f64,
 }
 
 impl Mean {
     /// A mean that remembers about `memory` samples.
-    pub fn new(memory: f64) -> Self {
+    pub fn new(max_samples: f64) -> Self {
         Mean {
             value: 0.0,
             samples: 0.0,
-            memory,
+            max_samples,
         }
     }
 
     /// Notes a sample.
     pub fn add(&mut self, sample: f64) {
-        self.samples = (self.samples + 1.0).min(self.memory);
+        self.samples = (self.samples + 1.0).min(self.max_samples);
         self.value += (sample - self.value) / self.samples;
     }
 
--- a/crates/oatdale-policy/src/bucket.rs
+++ b/crates/oatdale-policy/src/bucket.rs
@@ -3,21 +3,21 @@
 use std::time::Duration;
 
 /// How much unused rate may be saved up.
-const BURST: Duration = Duration::from_secs(2);
+const BURST_WINDOW: Duration = Duration::from_secs(2);
 
 /// Tokens that refill at a rate which may change at any time.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Bucket {
+pub(crate) struct TokenBucket {
     tokens: f64,
-    at: Duration,
+    refilled_at: Duration,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full bucket.
     pub(crate) fn new(now: Duration, rate: f64) -> Self {
-        Bucket {
-            tokens: burst(rate),
-            at: now,
+        TokenBucket {
+            tokens: capacity(rate),
+            refilled_at: now,
         }
     }
 
@@ -36,13 +36,13 @@
     }
 
     fn refill(&mut self, now: Duration, rate: f64) {
-        let spent = now.saturating_sub(self.at).as_secs_f64();
-        self.tokens = (self.tokens + spent * rate).min(burst(rate));
-        self.at = self.at.max(now);
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.tokens = (self.tokens + elapsed * rate).min(capacity(rate));
+        self.refilled_at = self.refilled_at.max(now);
     }
 }
 
-/// At least one token, or a rate below one request in [`BURST`] would never let any through.
-fn burst(rate: f64) -> f64 {
-    (rate * BURST.as_secs_f64()).max(1.0)
+/// At least one token, or a rate below one request in [`BURST_WINDOW`] would never let any through.
+fn capacity(rate: f64) -> f64 {
+    (rate * BURST_WINDOW.as_secs_f64()).max(1.0)
 }
--- a/crates/oatdale-policy/src/cascade/sequence.rs
+++ b/crates/oatdale-policy/src/cascade/sequence.rs
@@ -6,19 +6,19 @@
 use smallvec::SmallVec;
 
 /// Versions that are combined into sequences.
-const COMBINED: usize = 6;
+const MAX_COMBINED_VERSIONS: usize = 6;
 
 /// A version may always have become better by this much since it was last rated.
-const LEAST_HOPE: f64 = 0.1;
+const MIN_MARGIN_SHARE: f64 = 0.1;
 
 /// What one version is expected to do for one request.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Expected {
+pub(super) struct VersionForecast {
     pub(super) version: VersionKey,
     /// The share of accepted answers.
-    pub(super) first: f64,
+    pub(super) direct_acceptance: f64,
     /// The same after another version's answer was rejected.
-    pub(super) after: f64,
+    pub(super) escalated_acceptance: f64,
     /// Currency.
     pub(super) cost: f64,
     /// Seconds to the first byte the caller sees, if the answer is not kept back.
@@ -29,7 +29,7 @@
 
 /// What a sequence is expected to do.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Value {
+pub(super) struct SequenceForecast {
     pub(super) quality: f64,
     pub(super) cost: f64,
     pub(super) seconds: f64,
@@ -39,118 +39,132 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Weights {
     /// What an accepted answer is worth, over the dearest version's cost.
-    pub(super) price: f64,
+    pub(super) quality_price: f64,
     pub(super) latency: f64,
     pub(super) cost_scale: f64,
     pub(super) seconds_scale: f64,
 }
 
 impl Weights {
-    pub(super) fn worth(&self, value: Value) -> f64 {
-        let cost = value.cost / self.cost_scale;
-        let seconds = value.seconds / self.seconds_scale;
-        self.price * value.quality - (1.0 - self.latency) * cost - self.latency * seconds
+    pub(super) fn utility(&self, forecast: SequenceForecast) -> f64 {
+        let cost = forecast.cost / self.cost_scale;
+        let seconds = forecast.seconds / self.seconds_scale;
+        self.quality_price * forecast.quality - (1.0 - self.latency) * cost - self.latency * seconds
     }
 }
 
-pub(super) fn most(expected: &[Expected], f: impl Fn(&Expected) -> f64) -> f64 {
-    expected.iter().map(f).fold(0.0, f64::max)
+pub(super) fn max_of(forecasts: &[VersionForecast], f: impl Fn(&VersionForecast) -> f64) -> f64 {
+    forecasts.iter().map(f).fold(0.0, f64::max)
 }
 
 /// Versions of which none is dearer and worse than another, cheapest first.
-pub(super) fn undominated(expected: &[Expected]) -> SmallVec<[Expected; 8]> {
-    let mut sorted: SmallVec<[Expected; 64]> = SmallVec::from_slice(expected);
+pub(super) fn pareto_front(forecasts: &[VersionForecast]) -> SmallVec<[VersionForecast; 8]> {
+    let mut sorted: SmallVec<[VersionForecast; 64]> = SmallVec::from_slice(forecasts);
     sorted.sort_unstable_by(|a, b| {
         let by_cost = a.cost.total_cmp(&b.cost);
         by_cost
-            .then(b.first.total_cmp(&a.first))
+            .then(b.direct_acceptance.total_cmp(&a.direct_acceptance))
             .then(a.version.cmp(&b.version))
     });
-    let mut few: SmallVec<[Expected; 8]> = SmallVec::new();
-    for e in sorted {
-        let useful = few.last().is_none_or(|last| {
-            e.first > last.first || e.after > last.after || e.first_byte < last.first_byte
+    let mut front: SmallVec<[VersionForecast; 8]> = SmallVec::new();
+    for v in sorted {
+        let is_useful = front.last().is_none_or(|last| {
+            v.direct_acceptance > last.direct_acceptance
+                || v.escalated_acceptance > last.escalated_acceptance
+                || v.first_byte < last.first_byte
         });
-        if useful {
-            few.push(e);
+        if is_useful {
+            front.push(v);
         }
     }
-    while few.len() > COMBINED {
-        let least = (1..few.len() - 1)
-            .min_by(|&i, &j| gain(&few, i).total_cmp(&gain(&few, j)))
+    while front.len() > MAX_COMBINED_VERSIONS {
+        let least_useful = (1..front.len() - 1)
+            .min_by(|&i, &j| quality_gain(&front, i).total_cmp(&quality_gain(&front, j)))
             .unwrap_or(0);
-        few.remove(least);
+        front.remove(least_useful);
     }
-    few
+    front
 }
 
 /// What a version adds to the quality of the next cheaper one.
-pub(super) fn gain(few: &[Expected], at: usize) -> f64 {
-    few[at].first - few[at - 1].first
+pub(super) fn quality_gain(front: &[VersionForecast], at: usize) -> f64 {
+    front[at].direct_acceptance - front[at - 1].direct_acceptance
 }
 
 /// The sequence of greatest worth; a single version unless `may_cascade`.
-pub(super) fn best(few: &[Expected], weights: Weights, may_cascade: bool) -> (Versions, Value) {
-    let mut best: Option<(f64, SmallVec<[usize; 3]>, Value)> = None;
+pub(super) fn best_sequence(
+    front: &[VersionForecast],
+    weights: Weights,
+    may_cascade: bool,
+) -> (Versions, SequenceForecast) {
+    let mut best: Option<(f64, SmallVec<[usize; 3]>, SequenceForecast)> = None;
     let mut consider = |steps: &[usize]| {
-        let value = value(few, steps);
-        let worth = weights.worth(value);
-        if best.as_ref().is_none_or(|(most, ..)| worth > *most) {
-            best = Some((worth, SmallVec::from_slice(steps), value));
+        let forecast = forecast(front, steps);
+        let utility = weights.utility(forecast);
+        if best
+            .as_ref()
+            .is_none_or(|(best_utility, ..)| utility > *best_utility)
+        {
+            best = Some((utility, SmallVec::from_slice(steps), forecast));
         }
     };
-    for a in 0..few.len() {
+    for a in 0..front.len() {
         consider(&[a]);
         if !may_cascade {
             continue;
         }
-        for b in a + 1..few.len() {
+        for b in a + 1..front.len() {
             consider(&[a, b]);
-            for c in b + 1..few.len() {
+            for c in b + 1..front.len() {
                 consider(&[a, b, c]);
             }
         }
     }
-    let (_, steps, value) = best.expect("at least one version may serve the request");
-    (steps.iter().map(|&i| few[i].version).collect(), value)
+    let (_, steps, forecast) = best.expect("at least one version may serve the request");
+    (steps.iter().map(|&i| front[i].version).collect(), forecast)
 }
 
 /// As good a share as ratings leave possible.
-pub(super) fn hope(share: f64, weight: f64) -> f64 {
+pub(super) fn optimistic_share(share: f64, ratings: f64) -> f64 {
     let variance = (share * (1.0 - share)).max(0.02);
-    let chance = 2.0 * (variance / (weight + 1.0)).sqrt();
-    (share + chance.max(LEAST_HOPE)).min(1.0)
+    let margin = 2.0 * (variance / (ratings + 1.0)).sqrt();
+    (share + margin.max(MIN_MARGIN_SHARE)).min(1.0)
 }
 
 /// What a sequence is expected to do.
-pub(super) fn value(few: &[Expected], steps: &[usize]) -> Value {
-    let mut value = Value {
+pub(super) fn forecast(front: &[VersionForecast], steps: &[usize]) -> SequenceForecast {
+    let mut forecast = SequenceForecast {
         quality: 0.0,
         cost: 0.0,
         seconds: 0.0,
     };
-    let mut reached = 1.0;
-    for (place, &i) in steps.iter().enumerate() {
-        let e = &few[i];
-        let accepted = if place == 0 { e.first } else { e.after };
-        let is_last = place + 1 == steps.len();
-        value.quality += reached * accepted;
-        value.cost += reached * e.cost;
-        value.seconds += reached * if is_last { e.first_byte } else { e.total };
-        reached *= 1.0 - accepted;
+    let mut reach_probability = 1.0;
+    for (position, &i) in steps.iter().enumerate() {
+        let v = &front[i];
+        let accepted = if position == 0 {
+            v.direct_acceptance
+        } else {
+            v.escalated_acceptance
+        };
+        let is_last = position + 1 == steps.len();
+        forecast.quality += reach_probability * accepted;
+        forecast.cost += reach_probability * v.cost;
+        forecast.seconds += reach_probability * if is_last { v.first_byte } else { v.total };
+        reach_probability *= 1.0 - accepted;
     }
-    value
+    forecast
 }
 
 /// Single versions to fall back on when the preferred plan's endpoints are full.
-pub(super) fn others(plans: &[Plan], few: &[Expected], weights: Weights) -> Plans {
+pub(super) fn fallback_plans(plans: &[Plan], front: &[VersionForecast], weights: Weights) -> Plans {
     let preferred = plans.last().map(|p| p.steps[0]);
-    let mut rest: SmallVec<[(f64, VersionKey); 8]> = (0..few.len())
-        .filter(|&i| Some(few[i].version) != preferred)
-        .map(|i| (weights.worth(value(few, &[i])), few[i].version))
+    let mut ranked: SmallVec<[(f64, VersionKey); 8]> = (0..front.len())
+        .filter(|&i| Some(front[i].version) != preferred)
+        .map(|i| (weights.utility(forecast(front, &[i])), front[i].version))
         .collect();
-    rest.sort_unstable_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-    rest.iter()
+    ranked.sort_unstable_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
+    ranked
+        .iter()
         .map(|&(_, version)| Plan::single(version, VersionReason::Cheapest))
         .collect()
 }
--- a/crates/oatdale-policy/src/choice.rs
+++ b/crates/oatdale-policy/src/choice.rs
@@ -56,27 +56,27 @@
 pub(crate) struct Catalogue {
     by_price: Vec<Versions>,
     /// Stops that are recorded beside the text.
-    recorded: Vec<bool>,
+    recorded_stops: Vec<bool>,
     /// Stops that this router decided and that no record covers yet.
-    decided: Vec<bool>,
+    local_stops: Vec<bool>,
 }
 
 impl Catalogue {
     pub(crate) fn new(cfg: &Config) -> Self {
         Catalogue {
             by_price: cfg.services.keys().map(|s| by_price(cfg, s)).collect(),
-            recorded: vec![false; cfg.versions.len()],
-            decided: vec![false; cfg.versions.len()],
+            recorded_stops: vec![false; cfg.versions.len()],
+            local_stops: vec![false; cfg.versions.len()],
         }
     }
 
     /// The versions of all models of a service, cheapest first.
-    pub(crate) fn of(&self, service: ServiceKey) -> &[VersionKey] {
+    pub(crate) fn versions_of(&self, service: ServiceKey) -> &[VersionKey] {
         &self.by_price[service.index()]
     }
 
     pub(crate) fn is_stopped(&self, version: VersionKey) -> bool {
-        self.recorded[version.index()] || self.decided[version.index()]
+        self.recorded_stops[version.index()] || self.local_stops[version.index()]
     }
 
     /// Takes in whether a stop is recorded.
@@ -85,15 +85,15 @@
     /// record yet says nothing against the decision: the record may still be on its way, and a
     /// node that took this for the stop's end would let callers have the bad version again.
     pub(crate) fn set_recorded(&mut self, version: VersionKey, recorded: bool) {
-        self.recorded[version.index()] = recorded;
+        self.recorded_stops[version.index()] = recorded;
         if recorded {
-            self.decided[version.index()] = false;
+            self.local_stops[version.index()] = false;
         }
     }
 
     /// Stops a version by this router's own decision.
     pub(crate) fn decide(&mut self, version: VersionKey) {
-        self.decided[version.index()] = true;
+        self.local_stops[version.index()] = true;
     }
 
     /// Takes over a version's stops from an earlier configuration; a decision ends if the text
@@ -102,11 +102,11 @@
         &mut self,
         version: VersionKey,
         old: (&Catalogue, VersionKey),
-        spoken_of: bool,
+        has_changed: bool,
     ) {
         let (catalogue, key) = old;
-        self.recorded[version.index()] = catalogue.recorded[key.index()];
-        self.decided[version.index()] = catalogue.decided[key.index()] && !spoken_of;
+        self.recorded_stops[version.index()] = catalogue.recorded_stops[key.index()];
+        self.local_stops[version.index()] = catalogue.local_stops[key.index()] && !has_changed;
     }
 
     /// Whether a version may serve this request now, by its state, its stop and the customer.
@@ -123,13 +123,13 @@
         };
         admits(item.state, self.is_stopped(version), work)
             && cfg.allows(ask.customer, version)
-            && self.of(ask.service).contains(&version)
+            && self.versions_of(ask.service).contains(&version)
     }
 
     /// Versions in state `serving` that may serve this new request, cheapest first.
     pub(crate) fn serving(&self, cfg: &Config, ask: &Ask) -> impl Iterator<Item = VersionKey> {
         let customer = ask.customer;
-        self.of(ask.service)
+        self.versions_of(ask.service)
             .iter()
             .copied()
             .filter(|&v| cfg.versions[v].state == VersionState::Serving)
@@ -147,8 +147,8 @@
         instead_of: Option<VersionKey>,
     ) -> Option<VersionKey> {
         let model = instead_of.map(|v| cfg.versions[v].model);
-        let mut bands: SmallVec<[(oatdale_config::ModelKey, f64); 4]> = SmallVec::new();
-        for &version in self.of(ask.service) {
+        let mut allocated: SmallVec<[(oatdale_config::ModelKey, f64); 4]> = SmallVec::new();
+        for &version in self.versions_of(ask.service) {
             let item = &cfg.versions[version];
             let VersionState::Canary { share } = item.state else {
                 continue;
@@ -156,13 +156,13 @@
             if model.is_some_and(|m| m != item.model) {
                 continue;
             }
-            let used = bands.iter().find(|(m, _)| *m == item.model);
-            let from = used.map_or(0.0, |(_, to)| *to);
-            bands.retain(|(m, _)| *m != item.model);
-            bands.push((item.model, from + share));
-            let place = place(ask.draw, item.model.index());
-            let inside = place >= from && place < from + share;
-            if inside && self.permits(cfg, ask, version) {
+            let used = allocated.iter().find(|(m, _)| *m == item.model);
+            let start = used.map_or(0.0, |(_, end)| *end);
+            allocated.retain(|(m, _)| *m != item.model);
+            allocated.push((item.model, start + share));
+            let position = position(ask.draw, item.model.index());
+            let is_in_share = position >= start && position < start + share;
+            if is_in_share && self.permits(cfg, ask, version) {
                 return Some(version);
             }
         }
@@ -173,32 +173,32 @@
     ///
     /// Stopping a customer's last version would turn some bad answers into none at all. A canary
     /// is stopped in any case: it was never meant to carry its model alone.
-    pub(crate) fn can_do_without(&self, cfg: &Config, version: VersionKey) -> bool {
+    pub(crate) fn can_stop(&self, cfg: &Config, version: VersionKey) -> bool {
         if let VersionState::Canary { .. } = cfg.versions[version].state {
             return true;
         }
         cfg.customers
             .keys()
             .filter(|&customer| cfg.allows(customer, version))
-            .all(|customer| self.customer_can_do_without(cfg, customer, version))
+            .all(|customer| self.customer_has_alternative(cfg, customer, version))
     }
 
-    fn customer_can_do_without(
+    fn customer_has_alternative(
         &self,
         cfg: &Config,
         customer: CustomerKey,
         version: VersionKey,
     ) -> bool {
-        let is_other = |v: VersionKey| {
+        let is_alternative = |v: VersionKey| {
             let serves = cfg.versions[v].state == VersionState::Serving;
             v != version && serves && !self.is_stopped(v) && cfg.allows(customer, v)
         };
         cfg.customers[customer]
             .services
             .iter()
-            .map(|&service| self.of(service))
+            .map(|&service| self.versions_of(service))
             .filter(|versions| versions.contains(&version))
-            .all(|versions| versions.iter().any(|&v| is_other(v)))
+            .all(|versions| versions.iter().any(|&v| is_alternative(v)))
     }
 
     /// What may serve a request now.
@@ -237,9 +237,9 @@
 }
 
 /// The place of a request in its model's shares, from 0 to 1.
-fn place(draw: u64, model: usize) -> f64 {
-    let spread = mix(draw ^ mix(model as u64));
-    (spread >> 11) as f64 / (1_u64 << 53) as f64
+fn position(draw: u64, model: usize) -> f64 {
+    let hash = mix(draw ^ mix(model as u64));
+    (hash >> 11) as f64 / (1_u64 << 53) as f64
 }
 
 fn by_price(cfg: &Config, service: ServiceKey) -> Versions {
--- a/crates/oatdale-policy/src/endpoint.rs
+++ b/crates/oatdale-policy/src/endpoint.rs
@@ -6,19 +6,19 @@
 use std::time::Duration;
 
 /// How many changes of the own load are kept to correct lagging reports.
-const HISTORY: usize = 64;
+const MAX_HISTORY_ENTRIES: usize = 64;
 
 /// Failures in a row after which an endpoint is left alone for a while.
-const TOLERATED: u32 = 2;
+const MAX_TOLERATED_FAILURES: u32 = 2;
 
 /// The first pause after failures; each further failure doubles it.
-const PAUSE: Duration = Duration::from_millis(500);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
 
 /// The longest pause after failures.
-const LONGEST_PAUSE: Duration = Duration::from_secs(16);
+const MAX_BACKOFF: Duration = Duration::from_secs(16);
 
 /// The weight of a new answer in the moving averages.
-const WEIGHT: f64 = 0.2;
+const SAMPLE_WEIGHT: f64 = 0.2;
 
 /// Load, health and pace of one endpoint, as far as this node has seen.
 #[derive(Clone, Debug, Default)]
@@ -30,28 +30,28 @@
     /// Requests of this node that run there.
     pub(crate) running: u32,
     /// Requests of other nodes, worked out from the last report.
-    others: f64,
+    others_load: f64,
     /// Whether the last report told of requests waiting there.
     pub(crate) queued: bool,
     /// Requests of this node that ran there when the last report was made.
-    own_then: Option<u32>,
+    own_at_report: Option<u32>,
     /// Rounds this node's part of free room up or down, anew with each report; from 0 to 1.
     dither: f64,
-    history: VecDeque<(Duration, u32)>,
-    failures: u32,
-    paused_until: Duration,
+    running_history: VecDeque<(Duration, u32)>,
+    consecutive_failures: u32,
+    backoff_until: Duration,
     failure_share: f64,
-    pace: Option<f64>,
+    relative_latency: Option<f64>,
 }
 
 impl EndpointState {
     /// Requests of other nodes there, by the last report.
-    pub(crate) fn others(&self) -> f64 {
-        self.others
+    pub(crate) fn others_load(&self) -> f64 {
+        self.others_load
     }
 
     /// Whether it may get one more request now.
-    pub(crate) fn is_fit(&self, now: Duration, concurrency: u32) -> bool {
+    pub(crate) fn has_room(&self, now: Duration, concurrency: u32) -> bool {
         self.is_live(now) && self.load() + 1.0 <= f64::from(concurrency)
     }
 
@@ -60,74 +60,79 @@
     /// `share` is this node's part of all the load on the pool. Every node sees the same free
     /// room in a report; if each filled it, the endpoint would get as many requests too many as
     /// there are nodes. So a node refills what it frees itself and takes its part of the rest.
-    pub(crate) fn is_fit_for_surge(&self, now: Duration, places: u32, share: f64) -> bool {
-        let Some(own_then) = self.own_then else {
-            return self.is_fit(now, places);
+    pub(crate) fn has_room_for_surge(&self, now: Duration, capacity: u32, share: f64) -> bool {
+        let Some(own_at_report) = self.own_at_report else {
+            return self.has_room(now, capacity);
         };
-        let reported = self.others + f64::from(own_then);
-        let part = (f64::from(places) - reported) * share + self.dither;
-        let allowed = f64::from(own_then) + part.floor();
-        self.is_fit(now, places) && f64::from(self.running + 1) <= allowed
+        let reported = self.others_load + f64::from(own_at_report);
+        let room_share = (f64::from(capacity) - reported) * share + self.dither;
+        let allowed = f64::from(own_at_report) + room_share.floor();
+        self.has_room(now, capacity) && f64::from(self.running + 1) <= allowed
     }
 
     /// Whether it is worth asking at all; after a pause a single request tries it.
     pub(crate) fn is_live(&self, now: Duration) -> bool {
         !self.leaving
-            && match self.failures {
-                failures if failures <= TOLERATED => true,
-                _ => now >= self.paused_until && self.running == 0,
+            && match self.consecutive_failures {
+                consecutive_failures if consecutive_failures <= MAX_TOLERATED_FAILURES => true,
+                _ => now >= self.backoff_until && self.running == 0,
             }
     }
 
     /// When its pause after failures ends, if it is in one.
-    pub(crate) fn pause_end(&self, now: Duration) -> Option<Duration> {
-        let paused = !self.leaving && self.failures > TOLERATED && now < self.paused_until;
-        paused.then_some(self.paused_until)
+    pub(crate) fn backoff_end(&self, now: Duration) -> Option<Duration> {
+        let is_backing_off = !self.leaving
+            && self.consecutive_failures > MAX_TOLERATED_FAILURES
+            && now < self.backoff_until;
+        is_backing_off.then_some(self.backoff_until)
     }
 
     /// Requests that it runs, by its last report and what this node did since.
     pub(crate) fn load(&self) -> f64 {
-        self.others + f64::from(self.running)
+        self.others_load + f64::from(self.running)
     }
 
     /// The expected time to the first byte of one more request, in seconds of no fixed scale.
     ///
     /// `usual` stands in for an endpoint that has not answered yet.
-    pub(crate) fn score(&self, concurrency: u32, usual: f64) -> f64 {
-        let crowding = 1.0 + self.load() / f64::from(concurrency.max(1));
-        let pace = self.pace.unwrap_or(usual);
-        let failing = 1.0 + 10.0 * self.failure_share;
-        pace * crowding * failing
+    pub(crate) fn score(&self, concurrency: u32, default_latency: f64) -> f64 {
+        let load_factor = 1.0 + self.load() / f64::from(concurrency.max(1));
+        let relative_latency = self.relative_latency.unwrap_or(default_latency);
+        let failure_factor = 1.0 + 10.0 * self.failure_share;
+        relative_latency * load_factor * failure_factor
     }
 
     /// Notes that this node sent it a request.
     pub(crate) fn sent(&mut self, now: Duration) {
         self.running += 1;
-        self.remember(now);
+        self.record_running(now);
     }
 
     /// Notes that one of this node's requests is over there.
     pub(crate) fn over(&mut self, now: Duration) {
         self.running = self.running.saturating_sub(1);
-        self.remember(now);
+        self.record_running(now);
     }
 
     /// Notes an answer and how its time to the first byte compares to the usual one.
     pub(crate) fn answered(&mut self, relative: Option<f64>) {
-        self.failures = 0;
-        self.failure_share *= 1.0 - WEIGHT;
+        self.consecutive_failures = 0;
+        self.failure_share *= 1.0 - SAMPLE_WEIGHT;
         if let Some(relative) = relative {
-            let old = self.pace.unwrap_or(relative);
-            self.pace = Some(old + WEIGHT * (relative - old));
+            let old = self.relative_latency.unwrap_or(relative);
+            self.relative_latency = Some(old + SAMPLE_WEIGHT * (relative - old));
         }
     }
 
     /// Notes a failure.
     pub(crate) fn failed(&mut self, now: Duration) {
-        self.failures += 1;
-        self.failure_share += WEIGHT * (1.0 - self.failure_share);
-        let doublings = self.failures.saturating_sub(TOLERATED + 1).min(8);
-        self.paused_until = now + (PAUSE * (1 << doublings)).min(LONGEST_PAUSE);
+        self.consecutive_failures += 1;
+        self.failure_share += SAMPLE_WEIGHT * (1.0 - self.failure_share);
+        let doublings = self
+            .consecutive_failures
+            .saturating_sub(MAX_TOLERATED_FAILURES + 1)
+            .min(8);
+        self.backoff_until = now + (INITIAL_BACKOFF * (1 << doublings)).min(MAX_BACKOFF);
     }
 
     /// Takes in a report, less what this node itself had there when the report was made.
@@ -135,28 +140,32 @@
     /// A report that counted this node's own requests twice, or requests that have ended since,
     /// would make each node flee and return to an endpoint in step with the reports.
     pub(crate) fn report(&mut self, now: Duration, report: LoadReport, dither: f64) {
-        let made = now.saturating_sub(report.age);
-        let own = self.running_at(made);
+        let reported_at = now.saturating_sub(report.age);
+        let own = self.running_at(reported_at);
         let total = f64::from(report.running + report.waiting);
-        self.others = (total - f64::from(own)).max(0.0);
+        self.others_load = (total - f64::from(own)).max(0.0);
         self.queued = report.waiting > 0;
-        self.own_then = Some(own);
+        self.own_at_report = Some(own);
         self.dither = dither;
     }
 
     fn running_at(&self, time: Duration) -> u32 {
-        let later = self.history.iter().rev().find(|(at, _)| *at <= time);
-        match (later, self.history.front()) {
+        let previous = self
+            .running_history
+            .iter()
+            .rev()
+            .find(|(at, _)| *at <= time);
+        match (previous, self.running_history.front()) {
             (Some(&(_, running)), _) => running,
             (None, Some(_)) => 0,
             (None, None) => self.running,
         }
     }
 
-    fn remember(&mut self, now: Duration) {
-        if self.history.len() == HISTORY {
-            self.history.pop_front();
+    fn record_running(&mut self, now: Duration) {
+        if self.running_history.len() == MAX_HISTORY_ENTRIES {
+            self.running_history.pop_front();
         }
-        self.history.push_back((now, self.running));
+        self.running_history.push_back((now, self.running));
     }
 }
--- a/crates/oatdale-policy/src/endpoints.rs
+++ b/crates/oatdale-policy/src/endpoints.rs
@@ -12,19 +12,19 @@
 ///
 /// The fleet may have thousands; a node that spoke to each would hold a connection and a view of
 /// load for each, and would hear of each too rarely to judge it.
-pub(crate) const SUBSET: usize = 64;
+pub(crate) const SUBSET_SIZE: usize = 64;
 
 /// An endpoint chosen by its prefix cache may be this much worse than the other choice.
-const AFFINITY_SLACK: f64 = 2.0;
+const AFFINITY_SCORE_FACTOR: f64 = 2.0;
 
 /// A surging service leaves one place in this many free at each endpoint.
-const ROOM_PART: u32 = 8;
+const SURGE_RESERVE_DIVISOR: u32 = 8;
 
 /// An endpoint is nearly full from this part of its places on.
-const NEARLY_FULL: f64 = 0.9;
+const NEARLY_FULL_FRACTION: f64 = 0.9;
 
 /// Some of the endpoints that this node uses.
-type Keys = SmallVec<[EndpointKey; SUBSET]>;
+type EndpointKeys = SmallVec<[EndpointKey; SUBSET_SIZE]>;
 
 /// What a choice has to heed.
 #[derive(Clone, Copy)]
@@ -82,10 +82,10 @@
         self.versions = cfg.versions.len();
         self.subsets = vec![Vec::new(); cfg.pools.len() * (self.versions + 1)];
         for (pool, item) in cfg.pools.iter() {
-            let at = self.place(pool, None);
-            self.subsets[at] = self.subset(item.endpoints.iter().copied());
+            let index = self.subset_index(pool, None);
+            self.subsets[index] = self.select_subset(item.endpoints.iter().copied());
             for version in cfg.versions.keys() {
-                self.rebuild_one(cfg, pool, version);
+                self.rebuild_subset(cfg, pool, version);
             }
         }
     }
@@ -100,32 +100,32 @@
         e: EndpointKey,
         holds: Option<Vec<VersionKey>>,
     ) {
-        let held = |endpoints: &Self| -> Vec<VersionKey> {
+        let held_versions = |endpoints: &Self| -> Vec<VersionKey> {
             cfg.versions
                 .keys()
                 .filter(|&v| endpoints.holds(cfg, e, v))
                 .collect()
         };
-        let before = held(self);
+        let before = held_versions(self);
         self.states[e.index()].holds = holds;
-        let after = held(self);
+        let after = held_versions(self);
         let changed = cfg
             .versions
             .keys()
             .filter(|v| before.contains(v) != after.contains(v));
         for version in changed {
-            self.rebuild_one(cfg, cfg.endpoints[e].pool, version);
+            self.rebuild_subset(cfg, cfg.endpoints[e].pool, version);
         }
     }
 
-    fn rebuild_one(&mut self, cfg: &Config, pool: PoolKey, version: VersionKey) {
+    fn rebuild_subset(&mut self, cfg: &Config, pool: PoolKey, version: VersionKey) {
         let all = cfg.pools[pool].endpoints.iter().copied();
-        let subset = self.subset(all.filter(|&e| self.holds(cfg, e, version)));
-        let at = self.place(pool, Some(version));
-        self.subsets[at] = subset;
+        let subset = self.select_subset(all.filter(|&e| self.holds(cfg, e, version)));
+        let index = self.subset_index(pool, Some(version));
+        self.subsets[index] = subset;
     }
 
-    fn place(&self, pool: PoolKey, version: Option<VersionKey>) -> usize {
+    fn subset_index(&self, pool: PoolKey, version: Option<VersionKey>) -> usize {
         let offset = version.map_or(0, |v| v.index() + 1);
         pool.index() * (self.versions + 1) + offset
     }
@@ -133,7 +133,7 @@
     /// The endpoints that this node uses for a pool and version; all versions for `None`.
     pub(crate) fn used(&self, pool: PoolKey, version: Option<VersionKey>) -> &[EndpointKey] {
         self.subsets
-            .get(self.place(pool, version))
+            .get(self.subset_index(pool, version))
             .map_or(&[], Vec::as_slice)
     }
 
@@ -152,16 +152,16 @@
     /// This node's part of all requests at the pool's endpoints.
     pub(crate) fn share(&self, pool: PoolKey, running: u32) -> f64 {
         let used = self.used(pool, None).iter();
-        let others: f64 = used.map(|e| self.states[e.index()].others()).sum();
+        let others_load: f64 = used.map(|e| self.states[e.index()].others_load()).sum();
         let own = f64::from(running) + 1.0;
-        own / (own + others)
+        own / (own + others_load)
     }
 
     /// The earliest end of a pause after failures.
     pub(crate) fn next_pause_end(&self, now: Duration, pool: PoolKey) -> Option<Duration> {
         self.used(pool, None)
             .iter()
-            .filter_map(|e| self.states[e.index()].pause_end(now))
+            .filter_map(|e| self.states[e.index()].backoff_end(now))
             .min()
     }
 
@@ -174,26 +174,29 @@
         &self,
         now: Duration,
         cfg: &Config,
-        wish: Wish<'_>,
+        query: Wish<'_>,
         rng: &mut Pcg64Mcg,
     ) -> Option<Pick> {
-        let (fit, considered) = self.fit(now, cfg, wish);
-        let near = filtered(&fit, |e| Some(cfg.endpoints[e].domain) == self.domain);
-        let failed_in = wish.tried.last().map(|e| cfg.endpoints[*e].domain);
-        let elsewhere = filtered(&fit, |e| Some(cfg.endpoints[e].domain) != failed_in);
-        let (from, why): (&[EndpointKey], _) = match () {
-            () if fit.is_empty() => return None,
-            () if considered == 1 => (&fit, EndpointReason::Only),
-            () if failed_in.is_some() && !elsewhere.is_empty() => {
-                (&elsewhere, EndpointReason::Retry)
+        let (usable, considered) = self.usable(now, cfg, query);
+        let in_own_domain = filtered(&usable, |e| Some(cfg.endpoints[e].domain) == self.domain);
+        let failed_domain = query.tried.last().map(|e| cfg.endpoints[*e].domain);
+        let other_domains = filtered(&usable, |e| Some(cfg.endpoints[e].domain) != failed_domain);
+        let (candidates, why): (&[EndpointKey], _) = match () {
+            () if usable.is_empty() => return None,
+            () if considered == 1 => (&usable, EndpointReason::Only),
+            () if failed_domain.is_some() && !other_domains.is_empty() => {
+                (&other_domains, EndpointReason::Retry)
             }
-            () if failed_in.is_some() => (&fit, EndpointReason::Retry),
-            () if !near.is_empty() => (&near, EndpointReason::OwnDomain),
-            () => (&fit, EndpointReason::Spill),
+            () if failed_domain.is_some() => (&usable, EndpointReason::Retry),
+            () if !in_own_domain.is_empty() => (&in_own_domain, EndpointReason::OwnDomain),
+            () => (&usable, EndpointReason::Spill),
         };
-        let chosen = self.better_of_two(cfg, from, rng);
-        let home = wish.prefix.and_then(|p| self.home(cfg, &fit, p, chosen));
-        let (endpoint, why) = home.map_or((chosen, why), |e| (e, EndpointReason::Prefix));
+        let chosen = self.better_of_two(cfg, candidates, rng);
+        let affinity_endpoint = query
+            .prefix
+            .and_then(|p| self.affinity_endpoint(cfg, &usable, p, chosen));
+        let (endpoint, why) =
+            affinity_endpoint.map_or((chosen, why), |e| (e, EndpointReason::Prefix));
         Some(Pick {
             endpoint,
             why,
@@ -204,35 +207,38 @@
     /// Endpoints with room and how many there are; those that are nearly full are left out while
     /// there are others, and all but the least loaded if there are none, since by now another
     /// node may have taken their last places.
-    fn fit(&self, now: Duration, cfg: &Config, wish: Wish<'_>) -> (Keys, u16) {
-        let used = self.used(wish.pool, wish.version);
-        let mut fit = Keys::new();
-        let mut easy = Keys::new();
+    fn usable(&self, now: Duration, cfg: &Config, query: Wish<'_>) -> (EndpointKeys, u16) {
+        let used = self.used(query.pool, query.version);
+        let mut usable = EndpointKeys::new();
+        let mut uncrowded = EndpointKeys::new();
         for &e in used {
             let state = &self.states[e.index()];
-            let places = cfg.endpoints[e].concurrency;
-            let is_fit = match wish.leave_room {
+            let capacity = cfg.endpoints[e].concurrency;
+            let has_room = match query.leave_room {
                 Some(share) => {
-                    let room = places.div_ceil(ROOM_PART).min(places - 1);
-                    state.is_fit_for_surge(now, places - room, share)
+                    let reserve = capacity.div_ceil(SURGE_RESERVE_DIVISOR).min(capacity - 1);
+                    state.has_room_for_surge(now, capacity - reserve, share)
                 }
-                None => state.is_fit(now, places),
+                None => state.has_room(now, capacity),
             };
-            if !is_fit || wish.tried.contains(&e) {
+            if !has_room || query.tried.contains(&e) {
                 continue;
             }
-            fit.push(e);
-            if state.load() + 1.0 <= NEARLY_FULL * f64::from(places) {
-                easy.push(e);
+            usable.push(e);
+            if state.load() + 1.0 <= NEARLY_FULL_FRACTION * f64::from(capacity) {
+                uncrowded.push(e);
             }
         }
-        let considered = fit.len() as u16;
-        if !easy.is_empty() {
-            return (easy, considered);
+        let considered = usable.len() as u16;
+        if !uncrowded.is_empty() {
+            return (uncrowded, considered);
         }
         let load = |e: EndpointKey| self.states[e.index()].load();
-        let least = fit.iter().map(|&e| load(e)).fold(f64::MAX, f64::min);
-        (filtered(&fit, |e| load(e) < least + 1.0), considered)
+        let least_load = usable.iter().map(|&e| load(e)).fold(f64::MAX, f64::min);
+        (
+            filtered(&usable, |e| load(e) < least_load + 1.0),
+            considered,
+        )
     }
 
     /// The live endpoint with the best score, whether or not it has room.
@@ -258,15 +264,20 @@
         })
     }
 
-    fn better_of_two(&self, cfg: &Config, from: &[EndpointKey], rng: &mut Pcg64Mcg) -> EndpointKey {
+    fn better_of_two(
+        &self,
+        cfg: &Config,
+        candidates: &[EndpointKey],
+        rng: &mut Pcg64Mcg,
+    ) -> EndpointKey {
         let draw = rng.next_u64();
-        let n = from.len() as u64;
+        let n = candidates.len() as u64;
         let first = (draw & 0xffff_ffff) % n;
-        let a = from[first as usize];
+        let a = candidates[first as usize];
         if n == 1 {
             return a;
         }
-        let b = from[((first + 1 + (draw >> 32) % (n - 1)) % n) as usize];
+        let b = candidates[((first + 1 + (draw >> 32) % (n - 1)) % n) as usize];
         match self.score(cfg, a) <= self.score(cfg, b) {
             true => a,
             false => b,
@@ -274,19 +285,19 @@
     }
 
     /// The endpoint that requests of this prefix go to, unless it is much worse than `other`.
-    fn home(
+    fn affinity_endpoint(
         &self,
         cfg: &Config,
-        fit: &[EndpointKey],
+        usable: &[EndpointKey],
         prefix: u64,
         other: EndpointKey,
     ) -> Option<EndpointKey> {
-        let home = fit
+        let affinity_endpoint = usable
             .iter()
             .copied()
             .max_by_key(|e| mix(prefix ^ mix(e.index() as u64 + 1)))?;
-        let bound = AFFINITY_SLACK * self.score(cfg, other);
-        (self.score(cfg, home) <= bound).then_some(home)
+        let bound = AFFINITY_SCORE_FACTOR * self.score(cfg, other);
+        (self.score(cfg, affinity_endpoint) <= bound).then_some(affinity_endpoint)
     }
 
     fn score(&self, cfg: &Config, e: EndpointKey) -> f64 {
@@ -301,11 +312,11 @@
     }
 
     /// Rendezvous hashing: an endpoint that comes or goes changes one place of the subset.
-    fn subset(&self, from: impl Iterator<Item = EndpointKey>) -> Vec<EndpointKey> {
-        let mut ranked: Vec<_> = from.map(|e| (self.ranks[e.index()], e)).collect();
-        if ranked.len() > SUBSET {
-            ranked.select_nth_unstable(SUBSET);
-            ranked.truncate(SUBSET);
+    fn select_subset(&self, candidates: impl Iterator<Item = EndpointKey>) -> Vec<EndpointKey> {
+        let mut ranked: Vec<_> = candidates.map(|e| (self.ranks[e.index()], e)).collect();
+        if ranked.len() > SUBSET_SIZE {
+            ranked.select_nth_unstable(SUBSET_SIZE);
+            ranked.truncate(SUBSET_SIZE);
         }
         let mut subset: Vec<_> = ranked.into_iter().map(|(_, e)| e).collect();
         subset.sort_unstable();
@@ -313,7 +324,7 @@
     }
 }
 
-fn filtered(keys: &[EndpointKey], keep: impl Fn(EndpointKey) -> bool) -> Keys {
+fn filtered(keys: &[EndpointKey], keep: impl Fn(EndpointKey) -> bool) -> EndpointKeys {
     keys.iter().copied().filter(|&e| keep(e)).collect()
 }
 
--- a/crates/oatdale-policy/src/evidence.rs
+++ b/crates/oatdale-policy/src/evidence.rs
@@ -63,7 +63,7 @@
 /// This node's counts, the newest that other nodes reported, and the sums.
 pub(crate) struct Evidence {
     own: Vec<VersionCounters>,
-    others: BTreeMap<u64, Vec<VersionCounters>>,
+    remote: BTreeMap<u64, Vec<VersionCounters>>,
     totals: Vec<VersionCounters>,
 }
 
@@ -73,7 +73,7 @@
         Evidence {
             totals: own.clone(),
             own,
-            others: BTreeMap::new(),
+            remote: BTreeMap::new(),
         }
     }
 
@@ -83,8 +83,8 @@
 
     /// Counts something at this node.
     pub(crate) fn record(&mut self, version: VersionKey, f: impl Fn(&mut VersionCounters)) {
-        let at = version.index();
-        if let (Some(own), Some(total)) = (self.own.get_mut(at), self.totals.get_mut(at)) {
+        let index = version.index();
+        if let (Some(own), Some(total)) = (self.own.get_mut(index), self.totals.get_mut(index)) {
             f(own);
             f(total);
         }
@@ -92,21 +92,21 @@
 
     /// Takes in another node's counts; a report that comes twice or late changes nothing.
     pub(crate) fn merge(&mut self, node: u64, counters: &[VersionCounters]) {
-        let known = self.others.entry(node).or_default();
+        let reported = self.remote.entry(node).or_default();
         for new in counters {
             let Some(total) = self.totals.get_mut(new.version.index()) else {
                 continue;
             };
-            let at = match known.iter().position(|c| c.version == new.version) {
-                Some(at) => at,
+            let index = match reported.iter().position(|c| c.version == new.version) {
+                Some(index) => index,
                 None => {
-                    known.push(VersionCounters::zero(new.version));
-                    known.len() - 1
+                    reported.push(VersionCounters::zero(new.version));
+                    reported.len() - 1
                 }
             };
-            let merged = known[at].max(new);
-            *total = total.plus(&merged.since(&known[at]));
-            known[at] = merged;
+            let merged = reported[index].max(new);
+            *total = total.plus(&merged.since(&reported[index]));
+            reported[index] = merged;
         }
     }
 
@@ -131,7 +131,7 @@
                 self.record(version, |c| *c = c.plus(&moved));
             }
         }
-        for (node, counters) in old.others {
+        for (node, counters) in old.remote {
             let moved: Vec<_> = counters
                 .iter()
                 .filter_map(|c| {
--- a/crates/oatdale-policy/src/limit.rs
+++ b/crates/oatdale-policy/src/limit.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 /// What a congested answer leaves of the limit.
-const DECREASE: f64 = 0.98;
+const DECREASE_FACTOR: f64 = 0.98;
 
 /// The least time between two decreases, so that one burst of bad news counts once.
-const DECREASE_EVERY: Duration = Duration::from_millis(1000);
+const MIN_DECREASE_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// The limit never falls below this.
-const FLOOR: f64 = 2.0;
+const MIN_LIMIT_REQUESTS: f64 = 2.0;
 
 /// Additive increase, multiplicative decrease between a floor and what the endpoints can run.
 ///
@@ -20,7 +20,7 @@
 pub(crate) struct Limit {
     limit: f64,
     ceiling: f64,
-    decreased: Option<Duration>,
+    last_decrease: Option<Duration>,
 }
 
 impl Limit {
@@ -28,7 +28,7 @@
         Limit {
             limit: ceiling,
             ceiling,
-            decreased: None,
+            last_decrease: None,
         }
     }
 
@@ -39,23 +39,25 @@
 
     /// Takes in what the endpoints can run now.
     pub(crate) fn set_ceiling(&mut self, ceiling: f64) {
-        let ceiling = ceiling.max(FLOOR);
+        let ceiling = ceiling.max(MIN_LIMIT_REQUESTS);
         if self.ceiling > 0.0 {
             self.limit *= ceiling / self.ceiling;
         }
         self.ceiling = ceiling;
-        self.limit = self.limit.clamp(FLOOR, ceiling);
+        self.limit = self.limit.clamp(MIN_LIMIT_REQUESTS, ceiling);
     }
 
     /// Takes in one answer; `full` says whether the limit was in use.
-    pub(crate) fn observe(&mut self, now: Duration, congested: bool, full: bool) {
-        let recently = self.decreased.is_some_and(|at| now < at + DECREASE_EVERY);
+    pub(crate) fn observe(&mut self, now: Duration, congested: bool, near_limit: bool) {
+        let decreased_recently = self
+            .last_decrease
+            .is_some_and(|at| now < at + MIN_DECREASE_INTERVAL);
         match congested {
-            true if !recently => {
-                self.limit = (self.limit * DECREASE).max(FLOOR);
-                self.decreased = Some(now);
+            true if !decreased_recently => {
+                self.limit = (self.limit * DECREASE_FACTOR).max(MIN_LIMIT_REQUESTS);
+                self.last_decrease = Some(now);
             }
-            false if full => self.limit = (self.limit + 1.0 / self.limit).min(self.ceiling),
+            false if near_limit => self.limit = (self.limit + 1.0 / self.limit).min(self.ceiling),
             _ => {}
         }
     }
--- a/crates/oatdale-policy/src/queue.rs
+++ b/crates/oatdale-policy/src/queue.rs
@@ -21,8 +21,8 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FairQueue {
     flows: Vec<Flow>,
-    busy: Vec<usize>,
-    now: f64,
+    backlogged: Vec<usize>,
+    virtual_now: f64,
     len: usize,
 }
 
@@ -53,23 +53,24 @@
         }
         let entry = &mut self.flows[flow];
         if entry.waiting.is_empty() {
-            entry.virtual_time = entry.virtual_time.max(self.now);
-            self.busy.push(flow);
+            entry.virtual_time = entry.virtual_time.max(self.virtual_now);
+            self.backlogged.push(flow);
         }
-        let behind = entry
+        let lower_priority_count = entry
             .waiting
             .iter()
             .rev()
             .take_while(|w| w.priority < item.priority)
             .count();
-        let at = entry.waiting.len() - behind;
-        entry.waiting.insert(at, item);
+        let index = entry.waiting.len() - lower_priority_count;
+        entry.waiting.insert(index, item);
         self.len += 1;
     }
 
     /// The flows with a request waiting, least virtual time first.
     pub(crate) fn order(&self) -> smallvec::SmallVec<[usize; 16]> {
-        let mut order: smallvec::SmallVec<[usize; 16]> = smallvec::SmallVec::from_slice(&self.busy);
+        let mut order: smallvec::SmallVec<[usize; 16]> =
+            smallvec::SmallVec::from_slice(&self.backlogged);
         order.sort_unstable_by(|&a, &b| {
             let (x, y) = (&self.flows[a], &self.flows[b]);
             x.virtual_time.total_cmp(&y.virtual_time).then(a.cmp(&b))
@@ -86,10 +87,10 @@
     pub(crate) fn pop(&mut self, flow: usize, weight: f64) -> Option<Waiting> {
         let entry = self.flows.get_mut(flow)?;
         let item = entry.waiting.pop_front()?;
-        self.now = self.now.max(entry.virtual_time);
+        self.virtual_now = self.virtual_now.max(entry.virtual_time);
         entry.virtual_time += item.cost / weight.max(1e-3);
         self.len -= 1;
-        self.settle(flow);
+        self.remove_if_empty(flow);
         Some(item)
     }
 
@@ -98,17 +99,17 @@
         let Some(entry) = self.flows.get_mut(flow) else {
             return;
         };
-        let Some(at) = entry.waiting.iter().position(|w| w.ticket == ticket) else {
+        let Some(index) = entry.waiting.iter().position(|w| w.ticket == ticket) else {
             return;
         };
-        entry.waiting.remove(at);
+        entry.waiting.remove(index);
         self.len -= 1;
-        self.settle(flow);
+        self.remove_if_empty(flow);
     }
 
-    fn settle(&mut self, flow: usize) {
+    fn remove_if_empty(&mut self, flow: usize) {
         if self.flows[flow].waiting.is_empty() {
-            self.busy.retain(|&f| f != flow);
+            self.backlogged.retain(|&f| f != flow);
         }
     }
 }
--- a/crates/oatdale-policy/src/rekey.rs
+++ b/crates/oatdale-policy/src/rekey.rs
@@ -18,27 +18,27 @@
 impl Rekey {
     pub(crate) fn new(old: &Config, new: &Config) -> Self {
         Rekey {
-            customers: map(
+            customers: match_names(
                 old.customers.iter().map(|(_, c)| c.name.clone()),
                 new.customers.iter().map(|(k, c)| (c.name.clone(), k)),
             ),
-            services: map(
+            services: match_names(
                 old.services.iter().map(|(_, s)| s.name.clone()),
                 new.services.iter().map(|(k, s)| (s.name.clone(), k)),
             ),
-            versions: map(
+            versions: match_names(
                 old.versions.keys().map(|k| old.version_name(k)),
                 new.versions.keys().map(|k| (new.version_name(k), k)),
             ),
-            endpoints: map(
+            endpoints: match_names(
                 old.endpoints.keys().map(|k| endpoint_name(old, k)),
                 new.endpoints.keys().map(|k| (endpoint_name(new, k), k)),
             ),
-            domains: map(
+            domains: match_names(
                 old.domains.iter().map(|(_, d)| d.name.clone()),
                 new.domains.iter().map(|(k, d)| (d.name.clone(), k)),
             ),
-            pools: map(
+            pools: match_names(
                 old.pools.iter().map(|(_, p)| p.name.clone()),
                 new.pools.iter().map(|(k, p)| (p.name.clone(), k)),
             ),
@@ -77,7 +77,7 @@
     (pool, endpoint.name.clone(), endpoint.address)
 }
 
-fn map<N: Eq + std::hash::Hash, K: Copy>(
+fn match_names<N: Eq + std::hash::Hash, K: Copy>(
     old: impl Iterator<Item = N>,
     new: impl Iterator<Item = (N, K)>,
 ) -> Vec<Option<K>> {
--- a/crates/oatdale-policy/src/state.rs
+++ b/crates/oatdale-policy/src/state.rs
@@ -1,8 +1,8 @@
 //! What the router keeps of requests, services, pools and customers.
 
 use crate::average::{Mean, Rate};
-use crate::bucket::Bucket;
-use crate::budget::Budget;
+use crate::bucket::TokenBucket;
+use crate::budget::RetryBudget;
 use crate::cascade::Learner;
 use crate::choice::Plan;
 use crate::limit::Limit;
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 /// How long a customer's demand is remembered.
-const DEMAND_MEMORY: Duration = Duration::from_secs(5);
+const DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(5);
 
 /// A request that the router knows.
 #[derive(Debug)]
@@ -64,9 +64,9 @@
     /// Seconds that an attempt takes.
     pub(crate) total: Mean,
     /// The same by class of requests.
-    pub(crate) totals: BTreeMap<u8, Mean>,
+    pub(crate) total_by_class: BTreeMap<u8, Mean>,
     pub(crate) first_byte: Mean,
-    pub(crate) budget: Budget,
+    pub(crate) budget: RetryBudget,
     pub(crate) learner: Learner,
     /// Its place among the services of its pool.
     pub(crate) virtual_time: f64,
@@ -78,9 +78,9 @@
             queue: FairQueue::default(),
             running: 0,
             total: Mean::new(100.0),
-            totals: BTreeMap::new(),
+            total_by_class: BTreeMap::new(),
             first_byte: Mean::new(100.0),
-            budget: Budget::default(),
+            budget: RetryBudget::default(),
             learner: Learner::new(),
             virtual_time: 0.0,
         }
@@ -88,17 +88,20 @@
 
     /// Seconds that an attempt of a class is expected to take.
     pub(crate) fn expected_total(&self, class: u8) -> f64 {
-        let service = self.total.get_or(0.0);
-        self.totals
+        let service_mean = self.total.get_or(0.0);
+        self.total_by_class
             .get(&class)
-            .map_or(service, |t| t.get_or(service))
+            .map_or(service_mean, |t| t.get_or(service_mean))
     }
 
     /// Takes in how long an attempt took.
     pub(crate) fn took(&mut self, class: u8, seconds: f64) {
         self.total.add(seconds);
-        let memory = || Mean::new(100.0);
-        self.totals.entry(class).or_insert_with(memory).add(seconds);
+        let new_mean = || Mean::new(100.0);
+        self.total_by_class
+            .entry(class)
+            .or_insert_with(new_mean)
+            .add(seconds);
     }
 }
 
@@ -111,7 +114,7 @@
 
 /// A customer's use.
 pub(crate) struct CustomerState {
-    pub(crate) bucket: Bucket,
+    pub(crate) bucket: TokenBucket,
     pub(crate) under_way: u32,
     pub(crate) share: f64,
     pub(crate) demand: Rate,
@@ -120,10 +123,10 @@
 impl CustomerState {
     pub(crate) fn new(now: Duration, rate: f64) -> Self {
         CustomerState {
-            bucket: Bucket::new(now, rate),
+            bucket: TokenBucket::new(now, rate),
             under_way: 0,
             share: 1.0,
-            demand: Rate::new(now, DEMAND_MEMORY),
+            demand: Rate::new(now, DEMAND_TIME_CONSTANT),
         }
     }
 }
--- a/crates/oatdale-policy/src/tickets.rs
+++ b/crates/oatdale-policy/src/tickets.rs
@@ -25,7 +25,7 @@
     }
 
     pub(crate) fn insert(&mut self, item: T) -> Ticket {
-        let slot = self.free.pop().unwrap_or_else(|| self.grow());
+        let slot = self.free.pop().unwrap_or_else(|| self.add_slot());
         let entry = &mut self.slots[slot as usize];
         entry.item = Some(item);
         Ticket {
@@ -69,7 +69,7 @@
         })
     }
 
-    fn grow(&mut self) -> u32 {
+    fn add_slot(&mut self) -> u32 {
         self.slots.push(Slot {
             generation: 0,
             item: None,
--- a/crates/oatdale-policy/src/trial.rs
+++ b/crates/oatdale-policy/src/trial.rs
@@ -13,19 +13,19 @@
 
 /// The logarithm of the bound that evidence must pass: one false stop in 1,000 healthy trials,
 /// shared by three faults.
-const BOUND: f64 = 8.006_367_567_650_246;
+const LOG_EVIDENCE_BOUND: f64 = 8.006_367_567_650_246;
 
 /// Odds, relative to the usual ones, that the test looks for.
-const ODDS: [f64; 6] = [1.5, 2.0, 3.0, 5.0, 10.0, 30.0];
+const ODDS_RATIOS: [f64; 6] = [1.5, 2.0, 3.0, 5.0, 10.0, 30.0];
 
 /// Cases of other versions from which their share of bad ones can be told.
-const REFERENCE: u64 = 100;
+const MIN_REFERENCE_SAMPLES: u64 = 100;
 
 /// Standard deviations by which the other versions' share may be underestimated.
-const CAUTION: f64 = 1.0;
+const REFERENCE_STD_ERRORS: f64 = 1.0;
 
 /// Requests after which a trial begins anew, so that a long good past does not hide a change.
-const LENGTH: u64 = 4_000;
+const MAX_TRIAL_REQUESTS: u64 = 4_000;
 
 /// What makes a version bad.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -78,9 +78,9 @@
     /// Bad cases seen since the trial's start.
     pub bad: u64,
     /// All cases seen since the trial's start.
-    pub of: u64,
+    pub samples: u64,
     /// The share of bad cases that would have been all right.
-    pub usual: f64,
+    pub baseline_share: f64,
 }
 
 /// The trials of all versions.
@@ -92,7 +92,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Trial {
     own: VersionCounters,
-    others: VersionCounters,
+    reference_total: VersionCounters,
 }
 
 impl Trials {
@@ -100,7 +100,7 @@
     pub(crate) fn new(cfg: &Config) -> Self {
         let zero = |version| Trial {
             own: VersionCounters::zero(version),
-            others: VersionCounters::zero(version),
+            reference_total: VersionCounters::zero(version),
         };
         Trials {
             trials: cfg.versions.keys().map(zero).collect(),
@@ -111,7 +111,7 @@
     pub(crate) fn restart(&mut self, version: VersionKey, cfg: &Config, evidence: &Evidence) {
         self.trials[version.index()] = Trial {
             own: evidence.total(version),
-            others: others(version, cfg, evidence),
+            reference_total: reference_total(version, cfg, evidence),
         };
     }
 
@@ -134,12 +134,12 @@
             let Some(version) = rekey.version(trial.own.version) else {
                 continue;
             };
-            let same_model = same_reference(trial.own.version, version, old_cfg, cfg, rekey);
-            if same_model {
-                let rename = |c| VersionCounters { version, ..c };
+            let is_unchanged = has_same_references(trial.own.version, version, old_cfg, cfg, rekey);
+            if is_unchanged {
+                let with_version = |c| VersionCounters { version, ..c };
                 self.trials[version.index()] = Trial {
-                    own: rename(trial.own),
-                    others: rename(trial.others),
+                    own: with_version(trial.own),
+                    reference_total: with_version(trial.reference_total),
                 };
             }
         }
@@ -157,25 +157,25 @@
             if !is_on_trial(cfg, version) || catalogue.is_stopped(version) {
                 continue;
             }
-            let found = Fault::ALL
+            let decision = Fault::ALL
                 .iter()
-                .find_map(|&fault| self.judge_one(version, fault, cfg, evidence));
-            match found {
-                Some(stop) if catalogue.can_do_without(cfg, version) => stops.push(stop),
+                .find_map(|&fault| self.test_fault(version, fault, cfg, evidence));
+            match decision {
+                Some(stop) if catalogue.can_stop(cfg, version) => stops.push(stop),
                 Some(_) => {}
-                None if self.is_long(version, evidence) => self.restart(version, cfg, evidence),
+                None if self.is_complete(version, evidence) => self.restart(version, cfg, evidence),
                 None => {}
             }
         }
         stops
     }
 
-    fn is_long(&self, version: VersionKey, evidence: &Evidence) -> bool {
+    fn is_complete(&self, version: VersionKey, evidence: &Evidence) -> bool {
         let start = &self.trials[version.index()].own;
-        evidence.total(version).since(start).requests >= LENGTH
+        evidence.total(version).since(start).requests >= MAX_TRIAL_REQUESTS
     }
 
-    fn judge_one(
+    fn test_fault(
         &self,
         version: VersionKey,
         fault: Fault,
@@ -183,16 +183,16 @@
         evidence: &Evidence,
     ) -> Option<StopDecision> {
         let trial = &self.trials[version.index()];
-        let (bad, of) = fault.cases(&evidence.total(version).since(&trial.own));
-        let others = others(version, cfg, evidence).since(&trial.others);
-        let usual = usual(fault, &others, &trial.own);
-        let found = log_evidence(bad, of, usual) > BOUND;
-        found.then_some(StopDecision {
+        let (bad, samples) = fault.cases(&evidence.total(version).since(&trial.own));
+        let reference_total = reference_total(version, cfg, evidence).since(&trial.reference_total);
+        let baseline_share = baseline_share(fault, &reference_total, &trial.own);
+        let is_bad = log_evidence(bad, samples, baseline_share) > LOG_EVIDENCE_BOUND;
+        is_bad.then_some(StopDecision {
             version,
             fault,
             bad,
-            of,
-            usual,
+            samples,
+            baseline_share,
         })
     }
 }
@@ -206,7 +206,7 @@
 }
 
 /// The counts of the model's other serving versions together.
-fn others(version: VersionKey, cfg: &Config, evidence: &Evidence) -> VersionCounters {
+fn reference_total(version: VersionKey, cfg: &Config, evidence: &Evidence) -> VersionCounters {
     references(version, cfg)
         .map(|other| evidence.total(other))
         .fold(VersionCounters::zero(version), |sum, c| sum.plus(&c))
@@ -226,7 +226,7 @@
 }
 
 /// Whether a version has the state and the versions to compare with that it had before.
-fn same_reference(
+fn has_same_references(
     old: VersionKey,
     new: VersionKey,
     old_cfg: &Config,
@@ -244,29 +244,34 @@
 
 /// The share of bad cases that is all right: the other versions' since the trial began, else the
 /// version's own before it, else a fixed one.
-fn usual(fault: Fault, others: &VersionCounters, past: &VersionCounters) -> f64 {
-    let known = [others, past]
+fn baseline_share(
+    fault: Fault,
+    reference_total: &VersionCounters,
+    previous: &VersionCounters,
+) -> f64 {
+    let reference_cases = [reference_total, previous]
         .into_iter()
         .map(|c| fault.cases(c))
-        .find(|&(_, of)| of >= REFERENCE);
-    let Some((bad, of)) = known else {
+        .find(|&(_, samples)| samples >= MIN_REFERENCE_SAMPLES);
+    let Some((bad, samples)) = reference_cases else {
         return fault.default_share();
     };
-    let (bad, of) = (bad as f64 + 1.0, of as f64 + 2.0);
-    let share = bad / of;
-    let error = (share * (1.0 - share) / of).sqrt();
-    (share + CAUTION * error + fault.tolerance()).min(0.99)
+    let (bad, samples) = (bad as f64 + 1.0, samples as f64 + 2.0);
+    let share = bad / samples;
+    let std_error = (share * (1.0 - share) / samples).sqrt();
+    (share + REFERENCE_STD_ERRORS * std_error + fault.tolerance()).min(0.99)
 }
 
 /// The logarithm of the mean likelihood ratio of worse shares against the usual one.
-pub(crate) fn log_evidence(bad: u64, of: u64, usual: f64) -> f64 {
-    let (bad, good) = (bad as f64, of.saturating_sub(bad) as f64);
-    let odds = usual / (1.0 - usual);
-    let ratios = ODDS.map(|times| {
-        let worse = odds * times / (1.0 + odds * times);
-        bad * (worse / usual).ln() + good * ((1.0 - worse) / (1.0 - usual)).ln()
+pub(crate) fn log_evidence(bad: u64, samples: u64, baseline_share: f64) -> f64 {
+    let (bad, good) = (bad as f64, samples.saturating_sub(bad) as f64);
+    let odds = baseline_share / (1.0 - baseline_share);
+    let log_ratios = ODDS_RATIOS.map(|odds_ratio| {
+        let alternative = odds * odds_ratio / (1.0 + odds * odds_ratio);
+        bad * (alternative / baseline_share).ln()
+            + good * ((1.0 - alternative) / (1.0 - baseline_share)).ln()
     });
-    let most = ratios.into_iter().fold(f64::MIN, f64::max);
-    let sum: f64 = ratios.iter().map(|r| (r - most).exp()).sum();
-    most + (sum / ODDS.len() as f64).ln()
+    let largest = log_ratios.into_iter().fold(f64::MIN, f64::max);
+    let sum: f64 = log_ratios.iter().map(|r| (r - largest).exp()).sum();
+    largest + (sum / ODDS_RATIOS.len() as f64).ln()
 }
--- a/crates/oatdale-policy/src/version_rule.rs
+++ b/crates/oatdale-policy/src/version_rule.rs
@@ -35,6 +35,6 @@
 ///
 /// A node that has not seen the newer revision keeps the stop. A node that has not seen the stop
 /// can't end it, since only a revision above the stop's does.
-pub fn stop_holds(stopped_at: Revision, spoken_at: Revision) -> bool {
-    spoken_at <= stopped_at
+pub fn stop_holds(stopped_at: Revision, changed_at: Revision) -> bool {
+    changed_at <= stopped_at
 }
--- a/crates/oatdale-policy/tests/router/learning.rs
+++ b/crates/oatdale-policy/tests/router/learning.rs
@@ -11,19 +11,19 @@
 
 const CANARY: VersionState = VersionState::Canary { share: 0.5 };
 
-fn canary_shape() -> Shape {
+fn shape_with_canary() -> Shape {
     Shape {
         states: [VersionState::Serving, CANARY, VersionState::Withdrawn],
         ..Shape::default()
     }
 }
 
-fn with_canary() -> Router {
-    canary_shape().router()
+fn router_with_canary() -> Router {
+    shape_with_canary().router()
 }
 
 /// Counts of a node that saw a version fail in `errors` of 400 requests.
-fn failed(index: usize, errors: u64) -> VersionCounters {
+fn counters_with_errors(index: usize, errors: u64) -> VersionCounters {
     VersionCounters {
         requests: 400,
         errors,
@@ -35,7 +35,7 @@
 // rated, nothing would be seen until the whole draft was there: a second and a half in place of a
 // twentieth.
 #[test]
-fn a_stream_of_a_service_that_weighs_latency_first_is_never_kept_back() {
+fn streamed_answer_is_not_buffered_if_latency_outweighs_cost() {
     let mut router = Shape {
         quality: 0.95,
         latency_weight: 0.8,
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_rejected_answer_is_followed_by_a_better_version() {
+fn rejected_answer_is_escalated_to_a_better_version() {
     let mut router = Shape {
         quality: 0.95,
         ..Shape::default()
@@ -92,7 +92,7 @@
 
 /// A licence summary must not run twice, so its first answer is its last, however it is rated.
 #[test]
-fn a_non_idempotent_request_never_cascades() {
+fn non_idempotent_request_is_never_escalated() {
     let mut router = Shape {
         quality: 0.95,
         ..Shape::default()
@@ -100,11 +100,11 @@
     .router();
     for i in 0..200_u32 {
         let now = secs(f64::from(i));
-        let asked = Ask {
+        let request = Ask {
             idempotent: false,
             ..ask(now, i.into())
         };
-        let dispatch = run(router.offer(now, &asked));
+        let dispatch = run(router.offer(now, &request));
         assert!(!dispatch.judge);
         let next = router.finish(now, dispatch.ticket, &complete(Some(0.0)));
         assert_eq!(next, Next::Done);
@@ -114,9 +114,12 @@
 /// A canary fails in a third of its requests at two other nodes while this one has seen nothing.
 /// Callers there get errors; no operator is awake. The nodes' counts together must stop it.
 #[test]
-fn counts_of_other_nodes_stop_a_bad_canary() {
-    let mut router = with_canary();
-    router.merge_evidence(1, &[failed(0, 4), failed(1, 130)]);
+fn evidence_of_other_nodes_stops_a_bad_canary() {
+    let mut router = router_with_canary();
+    router.merge_evidence(
+        1,
+        &[counters_with_errors(0, 4), counters_with_errors(1, 130)],
+    );
     let stops = router.take_stops(secs(1.0));
     assert_eq!(stops.len(), 1, "{stops:?}");
     assert_eq!(
@@ -134,16 +137,16 @@
 /// as long. The endpoints and versions are sound. Counted against them, a few such requests would
 /// stop the canary on every node and leave all customers without an endpoint.
 #[test]
-fn timeouts_that_no_answer_could_meet_say_nothing() {
-    let mut router = with_canary();
+fn timeouts_far_below_the_usual_latency_are_no_evidence() {
+    let mut router = router_with_canary();
     let mut now = secs(0.0);
     for i in 0..60_u64 {
         now += secs(0.1);
-        let hasty = Ask {
+        let short_deadline = Ask {
             deadline: now + secs(0.02),
             ..ask(now, i * 7919)
         };
-        let offer = router.offer(now, &hasty);
+        let offer = router.offer(now, &short_deadline);
         let Offer::Run(dispatch) = offer else {
             panic!("request {i} got {offer:?}");
         };
@@ -164,20 +167,20 @@
 /// A canary hangs, and callers wait for five seconds where answers take 0.2 s. They gave it time
 /// enough: it must be stopped, although the service's own deadline is twice that.
 #[test]
-fn a_version_that_hangs_is_stopped_by_callers_with_timeouts_of_their_own() {
-    let mut router = with_canary();
+fn hanging_version_is_stopped_by_timeouts_below_the_service_deadline() {
+    let mut router = router_with_canary();
     let mut now = secs(0.0);
     for i in 0..200_u64 {
         now += secs(6.0);
-        let asked = Ask {
+        let request = Ask {
             deadline: now + secs(5.0),
             ..ask(now, i * 7919)
         };
-        let Offer::Run(dispatch) = router.offer(now, &asked) else {
+        let Offer::Run(dispatch) = router.offer(now, &request) else {
             continue;
         };
-        let hangs = dispatch.version == Some(version(1));
-        let ended = match hangs {
+        let is_canary = dispatch.version == Some(version(1));
+        let attempt_outcome = match is_canary {
             true => Outcome {
                 total: secs(5.0),
                 first_byte: None,
@@ -185,7 +188,7 @@
             },
             false => complete(None),
         };
-        router.finish(now, dispatch.ticket, &ended);
+        router.finish(now, dispatch.ticket, &attempt_outcome);
     }
     let stops = router.take_stops(now);
     assert_eq!(stops.len(), 1, "{stops:?}");
@@ -195,22 +198,28 @@
 /// Everything fails alike because a rack is down. Stopping the canary would blame the wrong cause
 /// and hold up a healthy roll-out.
 #[test]
-fn a_canary_that_fails_no_more_than_the_others_goes_on() {
-    let mut router = with_canary();
-    router.merge_evidence(1, &[failed(0, 120), failed(1, 130)]);
+fn canary_is_not_stopped_if_all_versions_fail_alike() {
+    let mut router = router_with_canary();
+    router.merge_evidence(
+        1,
+        &[counters_with_errors(0, 120), counters_with_errors(1, 130)],
+    );
     assert!(router.take_stops(secs(1.0)).is_empty());
 }
 
 /// Gossip delivers a report twice and an older one last. Counting them again would double the
 /// errors and stop a healthy version.
 #[test]
-fn repeated_and_late_reports_change_nothing() {
-    let mut router = with_canary();
+fn duplicate_and_outdated_reports_are_ignored() {
+    let mut router = router_with_canary();
     for _ in 0..100 {
-        router.merge_evidence(1, &[failed(0, 4), failed(1, 18)]);
+        router.merge_evidence(
+            1,
+            &[counters_with_errors(0, 4), counters_with_errors(1, 18)],
+        );
         let older = VersionCounters {
             requests: 100,
-            ..failed(1, 5)
+            ..counters_with_errors(1, 5)
         };
         router.merge_evidence(1, &[older]);
         assert!(router.take_stops(secs(1.0)).is_empty());
@@ -220,14 +229,17 @@
 /// The only version that customer 1 may use turns bad. Stopping it would leave that customer
 /// without any answer, so it stays until an operator decides.
 #[test]
-fn a_customers_last_version_is_not_stopped() {
+fn last_version_of_a_customer_is_not_stopped() {
     let mut router = Shape::default().router();
-    router.merge_evidence(1, &[failed(0, 200), failed(1, 4)]);
+    router.merge_evidence(
+        1,
+        &[counters_with_errors(0, 200), counters_with_errors(1, 4)],
+    );
     assert!(router.take_stops(secs(1.0)).is_empty());
 }
 
 #[test]
-fn requests_under_way_outlive_a_new_configuration() {
+fn in_flight_and_queued_requests_survive_reconfiguration() {
     let mut router = Shape::default().router();
     let mut running = Vec::new();
     let waiting = loop {
@@ -250,7 +262,7 @@
 /// An operator removes a service while requests wait for it. They must get their answer now and
 /// not wait for a turn that never comes.
 #[test]
-fn requests_of_a_removed_service_are_refused() {
+fn queued_requests_of_a_removed_service_are_refused() {
     let mut router = Shape::default().router();
     let waiting = loop {
         if let Offer::Wait(ticket) = router.offer(secs(0.0), &ask(secs(0.0), 1)) {
@@ -278,14 +290,14 @@
 /// Nothing finishes for a while and callers keep coming. Whoever could not be served in time is
 /// told at once when to come back, while the queue stays short enough to be served.
 #[test]
-fn callers_who_cannot_be_served_in_time_are_refused_at_once() {
+fn requests_that_cannot_meet_their_deadline_are_refused_immediately() {
     let mut router = Shape::default().router();
-    let warm = run(router.offer(secs(0.0), &ask(secs(0.0), 0)));
+    let warm_up = run(router.offer(secs(0.0), &ask(secs(0.0), 0)));
     let slow = oatdale_policy::Outcome {
         total: secs(2.0),
         ..complete(None)
     };
-    router.finish(secs(2.0), warm.ticket, &slow);
+    router.finish(secs(2.0), warm_up.ticket, &slow);
     let mut waiting = 0;
     for draw in 0..500 {
         match router.offer(secs(2.0), &ask(secs(2.0), draw)) {
@@ -305,16 +317,16 @@
 /// All endpoints of the session's version fail it. The session must not go on with another
 /// version, not even to save the request.
 #[test]
-fn a_failed_session_request_does_not_change_its_version() {
+fn retries_of_a_pinned_request_keep_its_version() {
     let mut router = Shape::default().router();
-    let asked = Ask {
+    let request = Ask {
         session: Session::Pinned {
             version: version(0),
             step: 2,
         },
         ..ask(secs(0.0), 1)
     };
-    let mut dispatch = run(router.offer(secs(0.0), &asked));
+    let mut dispatch = run(router.offer(secs(0.0), &request));
     loop {
         assert_eq!(dispatch.version, Some(version(0)));
         let broken = outcome(AttemptResult::Broken);
@@ -330,39 +342,48 @@
 /// exists yet. Then an operator changes something else. The node sets the recorded stops anew,
 /// and if that cleared the router's own decision, callers would get the bad version again.
 #[test]
-fn a_stop_that_is_not_recorded_yet_outlives_other_changes() {
-    let mut router = with_canary();
-    router.merge_evidence(1, &[failed(0, 4), failed(1, 130)]);
+fn unrecorded_stop_survives_unrelated_configuration_changes() {
+    let mut router = router_with_canary();
+    router.merge_evidence(
+        1,
+        &[counters_with_errors(0, 4), counters_with_errors(1, 130)],
+    );
     assert_eq!(router.take_stops(secs(1.0)).len(), 1);
-    router.reconfigure(secs(2.0), canary_shape().config());
+    router.reconfigure(secs(2.0), shape_with_canary().config());
     router.set_stopped(version(1), false);
-    assert_eq!(opened_on_canary(&mut router), 0);
+    assert_eq!(count_sessions_on_canary(&mut router), 0);
 }
 
 #[test]
-fn a_recorded_stop_ends_with_its_record() {
-    let mut router = with_canary();
-    router.merge_evidence(1, &[failed(0, 4), failed(1, 130)]);
+fn recorded_stop_ends_when_its_record_is_removed() {
+    let mut router = router_with_canary();
+    router.merge_evidence(
+        1,
+        &[counters_with_errors(0, 4), counters_with_errors(1, 130)],
+    );
     assert_eq!(router.take_stops(secs(1.0)).len(), 1);
     router.set_stopped(version(1), true);
     router.set_stopped(version(1), false);
-    assert!(opened_on_canary(&mut router) > 0);
+    assert!(count_sessions_on_canary(&mut router) > 0);
 }
 
 #[test]
-fn a_stop_ends_with_a_text_that_speaks_of_the_version() {
-    let mut router = with_canary();
-    router.merge_evidence(1, &[failed(0, 4), failed(1, 130)]);
+fn stop_ends_when_a_configuration_changes_the_version() {
+    let mut router = router_with_canary();
+    router.merge_evidence(
+        1,
+        &[counters_with_errors(0, 4), counters_with_errors(1, 130)],
+    );
     assert_eq!(router.take_stops(secs(1.0)).len(), 1);
-    let mut shape = canary_shape();
+    let mut shape = shape_with_canary();
     shape.states[1] = VersionState::Canary { share: 0.6 };
     router.reconfigure(secs(2.0), shape.config());
     assert!(router.take_stops(secs(2.0)).is_empty(), "old evidence");
-    assert!(opened_on_canary(&mut router) > 0);
+    assert!(count_sessions_on_canary(&mut router) > 0);
 }
 
 /// Sessions of a hundred that open on the canary.
-fn opened_on_canary(router: &mut Router) -> usize {
+fn count_sessions_on_canary(router: &mut Router) -> usize {
     let opened = |i| router.open_session(secs(3.0), customer(0), planner(), i);
     let versions = (0..100).map(opened).filter_map(Result::ok);
     versions.filter(|(v, _)| *v == version(1)).count()
@@ -371,7 +392,7 @@
 /// Only the cheap version is loaded anywhere. Holding its answers back for a rating would cost
 /// time for nothing, since no better version can follow.
 #[test]
-fn an_answer_is_not_held_back_for_a_version_that_no_engine_holds() {
+fn answer_is_not_buffered_if_no_engine_has_a_better_version() {
     let mut router = Shape {
         states: [
             VersionState::Serving,
@@ -399,7 +420,7 @@
 /// An operator renames a service while its requests run. If the places that these requests held
 /// at the endpoints were never given back, the new service would find the pool full for ever.
 #[test]
-fn requests_of_a_removed_service_give_their_places_back() {
+fn requests_of_a_removed_service_release_their_slots() {
     let mut router = Shape::default().router();
     let mut running = Vec::new();
     while let Offer::Run(dispatch) = router.offer(secs(0.0), &ask(secs(0.0), 1)) {
