--- a/crates/oatdale-policy/src/average.rs
+++ b/crates/oatdale-policy/src/average.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// Events a second, averaged over a time constant.
+/// Exponential moving average of events per second.
 #[derive(Clone, Copy, Debug)]
 pub struct Rate {
     value: f64,
@@ -11,7 +11,7 @@
 }
 
 impl Rate {
-    /// A rate that forgets with the time constant `tau`.
+    /// Creates a rate that decays with the time constant `tau`.
     pub fn new(now: Duration, tau: Duration) -> Self {
         Rate {
             value: 0.0,
@@ -20,20 +20,20 @@
         }
     }
 
-    /// Notes an event.
+    /// Records an event.
     pub fn add(&mut self, now: Duration) {
         self.value = self.get(now) + 1.0 / self.tau;
         self.updated_at = self.updated_at.max(now);
     }
 
-    /// Events a second.
+    /// Returns the events per second.
     pub fn get(&self, now: Duration) -> f64 {
         let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
         self.value * (-elapsed / self.tau).exp()
     }
 }
 
-/// A mean over samples that forgets old ones; the first samples count in full.
+/// Moving mean over samples: the plain mean of the first ones, then an exponential moving average.
 #[derive(Clone, Copy, Debug)]
 pub struct Mean {
     value: f64,
@@ -42,7 +42,7 @@
 }
 
 impl Mean {
-    /// A mean that remembers about `memory` samples.
+    /// Creates a mean over about the last `max_samples` samples.
     pub fn new(max_samples: f64) -> Self {
         Mean {
             value: 0.0,
@@ -51,13 +51,13 @@
         }
     }
 
-    /// Notes a sample.
+    /// Records a sample.
     pub fn add(&mut self, sample: f64) {
         self.samples = (self.samples + 1.0).min(self.max_samples);
         self.value += (sample - self.value) / self.samples;
     }
 
-    /// The mean, or `default` before the first sample.
+    /// Returns the mean, or `default` before the first sample.
     pub fn get_or(&self, default: f64) -> f64 {
         match self.samples > 0.0 {
             true => self.value,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// How many samples it rests on.
+    /// Returns the number of samples in the mean, at most `max_samples`.
     pub fn samples(&self) -> f64 {
         self.samples
     }
--- a/crates/oatdale-policy/src/bucket.rs
+++ b/crates/oatdale-policy/src/bucket.rs
@@ -1,11 +1,11 @@
-//! A token bucket for a customer's rate.
+//! Token bucket for a customer's request rate.
 
 use std::time::Duration;
 
-/// How much unused rate may be saved up.
+/// Time for which unused rate accumulates; bounds the size of a burst.
 const BURST_WINDOW: Duration = Duration::from_secs(2);
 
-/// Tokens that refill at a rate which may change at any time.
+/// Token bucket whose refill rate may change at any time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TokenBucket {
     tokens: f64,
@@ -13,7 +13,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub(crate) fn new(now: Duration, rate: f64) -> Self {
         TokenBucket {
             tokens: capacity(rate),
@@ -21,7 +21,7 @@
         }
     }
 
-    /// How long until a token is there; zero when it is there now.
+    /// Returns the time until a token is available; zero if one is available now.
     pub(crate) fn wait(&mut self, now: Duration, rate: f64) -> Duration {
         self.refill(now, rate);
         match 1.0 - self.tokens {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Takes one token, which [`Bucket::wait`] found to be there.
+    /// Takes one token, which [`TokenBucket::wait`] found to be available.
     pub(crate) fn take(&mut self) {
         self.tokens -= 1.0;
     }
@@ -42,7 +42,8 @@
     }
 }
 
-/// At least one token, or a rate below one request in [`BURST_WINDOW`] would never let any through.
+/// Returns the largest number of tokens: at least one, or a rate below one request per
+/// [`BURST_WINDOW`] would never admit any.
 fn capacity(rate: f64) -> f64 {
     (rate * BURST_WINDOW.as_secs_f64()).max(1.0)
 }
--- a/crates/oatdale-policy/src/cascade.rs
+++ b/crates/oatdale-policy/src/cascade.rs
@@ -1,8 +1,9 @@
-//! Learns which versions to ask, one after the other, to meet the quality target at least cost.
+//! Learns which versions to try, one after the other, to meet the quality target at the lowest
+//! cost.
 //!
-//! For each class of requests the learner keeps how often each version's answers are accepted,
-//! by itself and after another version's answer was rejected. A price of quality, in currency for
-//! one more accepted answer, turns the target into a choice for each request: the sequence of
+//! For each class of requests, the learner tracks how often each version's answers are accepted, by
+//! itself and after another version's answer was rejected. A price of quality, in currency per
+//! additional accepted answer, turns the target into a choice for each request: the sequence of
 //! versions whose expected quality is worth most above its expected cost. The price rises while
 //! answers fall short of the target and falls while they exceed it.
 
@@ -22,81 +23,83 @@
 use smallvec::SmallVec;
 use std::collections::BTreeMap;
 
-/// How fast the price of quality follows the shortfall.
+/// Step size with which the price of quality follows the shortfall.
 const PRICE_STEP: f64 = 0.01;
 
-/// How far above the target the price aims, as a share of answers.
+/// Margin above the target at which the price aims, as a share of answers.
 const TARGET_MARGIN_SHARE: f64 = 0.001;
 
-/// The price of quality stays within these multiples of the dearest version's cost.
+/// Bounds of the price of quality, as multiples of the most expensive version's cost.
 const PRICE_RANGE: (f64, f64) = (1e-3, 100.0);
 
-/// A shortfall of this many accepted answers raises the aim by one point in a hundred.
+/// Shortfall, in accepted answers, that raises the aim by one percentage point.
 const CATCH_UP_ANSWERS: f64 = 10.0;
 
-/// How far a shortfall may raise the aim, and an excess lower it, as a share of answers.
+/// Bounds of the offset by which an excess lowers the aim and a shortfall raises it, as a share of
+/// answers.
 const AIM_OFFSET_RANGE: (f64, f64) = (-0.01, 0.03);
 
-/// Accepted answers above the target that may be made up for by worse ones later; callers who
-/// come later have no use for more.
+/// Accepted answers above the target that worse answers may offset later; more would not benefit
+/// the later callers.
 const MAX_EXCESS_ANSWERS: f64 = 2.0;
 
-/// Requests after which a shortfall is forgotten.
+/// Requests over which a shortfall decays.
 const SHORTFALL_MEMORY_REQUESTS: f64 = 4_000.0;
 
 /// Answers over which the share of late ratings is averaged.
 const SAMPLING_MEMORY_ANSWERS: f64 = 1_000.0;
 
-/// Answers, all rated, that are taken for granted at the start, or the first rating would count
-/// for all answers before it.
+/// Answers, all of them rated, that are assumed at the start, or the first rating would count for
+/// all answers before it.
 const SAMPLING_PRIOR_ANSWERS: f64 = 50.0;
 
-/// The latency weight above which a service's callers read along first of all. An answer that is
-/// kept back for a rating begins when it ends, so their streams are never kept back.
+/// Latency weight above which streaming has priority. A buffered answer reaches its caller only
+/// once it is complete and rated, so streams of such a service are never buffered.
 const LATENCY_FIRST: f64 = 0.5;
 
-/// The share of requests that try a version to learn its quality.
+/// Share of requests that try a version to learn its quality.
 const EXPLORE_SHARE: f64 = 0.01;
 
-/// Answers from which the usual time to the first byte can be told.
+/// Answers that are needed to know the usual time to the first byte.
 const MIN_TIMED_ANSWERS: f64 = 10.0;
 
 /// Ratings below which a version is tried more often.
 const MIN_KNOWN_RATINGS: f64 = 30.0;
 
-/// The share of requests that try a version of which little is known.
+/// Share of requests that try a version with few ratings.
 const EXPLORE_UNKNOWN_SHARE: f64 = 0.2;
 
-/// The accepted shares believed of the cheapest and the dearest version before anyone rated them.
+/// Assumed shares of accepted answers of the cheapest and the most expensive version before the
+/// first rating.
 const PRIOR_ACCEPTANCE: (f64, f64) = (0.6, 0.9);
 
-/// Requests over which costs and times are averaged to bring them to one scale.
+/// Requests over which costs and times are averaged to normalize them.
 const SCALE_MEMORY_REQUESTS: f64 = 300.0;
 
-/// What a service has learned.
+/// Learned state of a service.
 #[derive(Clone, Debug)]
 pub(crate) struct Learner {
     classes: BTreeMap<u8, ClassStats>,
-    /// Currency that one more accepted answer is worth, over the dearest version's cost.
+    /// Value of one more accepted answer, as a multiple of the most expensive version's cost.
     quality_price: f64,
-    /// What a request costs at the dearest version, in currency.
+    /// Mean cost of a request at the most expensive version, in currency.
     mean_max_cost: Mean,
-    /// What a request takes at the slowest version, in seconds.
+    /// Mean time to the first byte at the slowest version, in seconds.
     mean_max_seconds: Mean,
-    /// Accepted answers that are missing to the target, as far as ratings tell.
+    /// Accepted answers that are missing to the target, according to the ratings.
     shortfall: f64,
-    /// Answers lately that were not kept back, and how many of them were rated later.
+    /// Recent answers that were not buffered, and how many of them were rated later.
     unbuffered: f64,
     late_rated: f64,
 }
 
-/// What is known of one class of requests, by version.
+/// Statistics of one class of requests, by version.
 #[derive(Clone, Debug, Default)]
 struct ClassStats {
     versions: Vec<VersionStats>,
 }
 
-/// What is known of one version in one class.
+/// Statistics of one version in one class.
 #[derive(Clone, Copy, Debug)]
 struct VersionStats {
     direct_acceptance: AcceptanceEstimate,
@@ -118,7 +121,7 @@
     }
 }
 
-/// Whether an answer may be kept back to be rated before its caller sees any of it.
+/// Whether an answer may be buffered until it is rated, before its caller receives any of it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Buffering {
     Allowed,
@@ -138,9 +141,10 @@
         }
     }
 
-    /// Plans for a request, the preferred one first, and the preferred one's expected quality.
+    /// Returns plans for a request, the preferred one first, and the expected quality without
+    /// exploration.
     ///
-    /// `versions` may all serve the request and are not empty.
+    /// All `versions` may serve the request; there is at least one.
     pub(crate) fn plans(
         &mut self,
         cfg: &Config,
@@ -176,12 +180,12 @@
         (plans, forecast.quality)
     }
 
-    /// The expected quality of one version for a request that has no choice.
+    /// Returns the expected quality of one version for a request that can use no other.
     pub(crate) fn quality(&self, cfg: &Config, ask: &Ask, version: VersionKey) -> f64 {
         self.forecasts(cfg, ask, &[version])[0].direct_acceptance
     }
 
-    /// Moves the price of quality after a request was given a plan of this expected quality.
+    /// Adjusts the price of quality after a request got a plan of this expected quality.
     pub(crate) fn planned(&mut self, target: f64, quality: f64) {
         let catch_up = 0.01 * self.shortfall * self.late_rating_share() / CATCH_UP_ANSWERS;
         let aim =
@@ -190,10 +194,11 @@
         self.quality_price = (self.quality_price * step.exp()).clamp(PRICE_RANGE.0, PRICE_RANGE.1);
     }
 
-    /// Takes in that an answer went to the caller, with its rating if it was kept back for one.
+    /// Records that an answer was sent to the caller, with its rating if it was buffered for one.
     ///
-    /// The estimates alone would flatter the sequences that are chosen: one is chosen because it
-    /// seems good, by chance among other things. What was really accepted corrects this.
+    /// The estimates alone are biased in favour of the chosen sequences: a sequence is chosen
+    /// because its estimate is high, partly by chance. The answers that were actually accepted
+    /// correct this.
     pub(crate) fn delivered(
         &mut self,
         target: f64,
@@ -213,7 +218,7 @@
         }
     }
 
-    /// Takes in a rating of a version's answer.
+    /// Records a rating of a version's answer.
     pub(crate) fn rated(
         &mut self,
         class: u8,
@@ -228,8 +233,8 @@
         }
     }
 
-    /// Takes in a rating that came after the answer had gone to the caller; it stands for the
-    /// answers that are not rated too.
+    /// Records a rating that arrived after the answer was sent to the caller; it also represents
+    /// the answers that are not rated.
     pub(crate) fn rated_late(
         &mut self,
         class: u8,
@@ -243,12 +248,12 @@
         self.rated(class, version, is_escalation, rating);
     }
 
-    /// The share of answers not kept back that is rated later.
+    /// Returns the share of unbuffered answers that are rated later.
     fn late_rating_share(&self) -> f64 {
         (self.late_rated / self.unbuffered).clamp(0.02, 1.0)
     }
 
-    /// Takes in a whole answer's size and times, in tokens and seconds.
+    /// Records the size and times of a complete answer, in tokens and seconds.
     pub(crate) fn answered(
         &mut self,
         class: u8,
@@ -263,13 +268,14 @@
         stats.first_byte.add(first_byte.unwrap_or(total));
     }
 
-    /// The usual time to the first byte in a class, in seconds, once enough answers came.
+    /// Returns the usual time to the first byte in a class, in seconds, once there are enough
+    /// answers.
     pub(crate) fn usual_first_byte(&self, class: u8, version: VersionKey) -> Option<f64> {
         let stats = self.stats(class, version);
         (stats.first_byte.samples() >= MIN_TIMED_ANSWERS).then(|| stats.first_byte.get_or(0.0))
     }
 
-    /// Moves what was learned to a new configuration's keys.
+    /// Moves the learned state to the keys of a new configuration.
     pub(crate) fn rekey(&mut self, map: impl Fn(VersionKey) -> Option<VersionKey>) {
         for class in self.classes.values_mut() {
             let old = std::mem::take(&mut class.versions);
@@ -356,11 +362,13 @@
         }
     }
 
-    /// A version to try before the usual steps, on a few requests.
+    /// Returns a plan that tries a version outside the preferred sequence, for a few requests.
     ///
-    /// The usual last step follows if its answer is rejected, so that trying costs money and time
-    /// but not quality. An answer that may not be held back is tried alone. A version that would not be chosen even if it were as good as can be hoped
-    /// is not tried: trying the dearest one on the longest requests costs more than it teaches.
+    /// The last step of the preferred sequence follows if the answer is rejected, so that
+    /// exploration costs money and time but not quality. If the answer may not be buffered, the
+    /// version is tried alone. A version that would not be chosen even at its optimistic share of
+    /// accepted answers is not tried: exploring the most expensive version on the longest requests
+    /// costs more than it teaches.
     fn explore(
         &self,
         ask: &Ask,
--- a/crates/oatdale-policy/src/cascade/sequence.rs
+++ b/crates/oatdale-policy/src/cascade/sequence.rs
@@ -1,33 +1,34 @@
-//! Weighs sequences of versions against one another.
+//! Forecasts of sequences of versions and the choice between them.
 
 use crate::choice::{Plan, Plans, Versions};
 use crate::request::VersionReason;
 use oatdale_config::VersionKey;
 use smallvec::SmallVec;
 
-/// Versions that are combined into sequences.
+/// Maximum number of versions that are combined into sequences.
 const MAX_COMBINED_VERSIONS: usize = 6;
 
-/// A version may always have become better by this much since it was last rated.
+/// Minimum margin of an optimistic share: a version may have improved by this much since it was
+/// last rated.
 const MIN_MARGIN_SHARE: f64 = 0.1;
 
-/// What one version is expected to do for one request.
+/// Forecast for one version and one request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct VersionForecast {
     pub(super) version: VersionKey,
-    /// The share of accepted answers.
+    /// Share of accepted answers if no answer came before.
     pub(super) direct_acceptance: f64,
-    /// The same after another version's answer was rejected.
+    /// Share of accepted answers after another version's answer was rejected.
     pub(super) escalated_acceptance: f64,
-    /// Currency.
+    /// Cost in currency.
     pub(super) cost: f64,
-    /// Seconds to the first byte the caller sees, if the answer is not kept back.
+    /// Seconds until the caller receives the first byte, if the answer is not buffered.
     pub(super) first_byte: f64,
-    /// Seconds to the end.
+    /// Seconds until the answer is complete.
     pub(super) total: f64,
 }
 
-/// What a sequence is expected to do.
+/// Forecast for a sequence of versions.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SequenceForecast {
     pub(super) quality: f64,
@@ -35,10 +36,10 @@
     pub(super) seconds: f64,
 }
 
-/// Everything a plan is weighed by.
+/// Weights of quality, cost and latency in the choice of a plan.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Weights {
-    /// What an accepted answer is worth, over the dearest version's cost.
+    /// Value of an accepted answer, as a multiple of the most expensive version's cost.
     pub(super) quality_price: f64,
     pub(super) latency: f64,
     pub(super) cost_scale: f64,
@@ -46,6 +47,7 @@
 }
 
 impl Weights {
+    /// Returns the value of a sequence less its normalized cost and time.
     pub(super) fn utility(&self, forecast: SequenceForecast) -> f64 {
         let cost = forecast.cost / self.cost_scale;
         let seconds = forecast.seconds / self.seconds_scale;
@@ -57,7 +59,8 @@
     forecasts.iter().map(f).fold(0.0, f64::max)
 }
 
-/// Versions of which none is dearer and worse than another, cheapest first.
+/// Returns the versions of which none is both more expensive and worse than another, cheapest
+/// first.
 pub(super) fn pareto_front(forecasts: &[VersionForecast]) -> SmallVec<[VersionForecast; 8]> {
     let mut sorted: SmallVec<[VersionForecast; 64]> = SmallVec::from_slice(forecasts);
     sorted.sort_unstable_by(|a, b| {
@@ -86,12 +89,12 @@
     front
 }
 
-/// What a version adds to the quality of the next cheaper one.
+/// Returns the quality that a version adds to that of the next cheaper one.
 pub(super) fn quality_gain(front: &[VersionForecast], at: usize) -> f64 {
     front[at].direct_acceptance - front[at - 1].direct_acceptance
 }
 
-/// The sequence of greatest worth; a single version unless `may_cascade`.
+/// Returns the sequence with the highest utility; a single version unless `may_cascade`.
 pub(super) fn best_sequence(
     front: &[VersionForecast],
     weights: Weights,
@@ -124,14 +127,14 @@
     (steps.iter().map(|&i| front[i].version).collect(), forecast)
 }
 
-/// As good a share as ratings leave possible.
+/// Returns the highest share that is plausible by this number of ratings.
 pub(super) fn optimistic_share(share: f64, ratings: f64) -> f64 {
     let variance = (share * (1.0 - share)).max(0.02);
     let margin = 2.0 * (variance / (ratings + 1.0)).sqrt();
     (share + margin.max(MIN_MARGIN_SHARE)).min(1.0)
 }
 
-/// What a sequence is expected to do.
+/// Returns the forecast for a sequence.
 pub(super) fn forecast(front: &[VersionForecast], steps: &[usize]) -> SequenceForecast {
     let mut forecast = SequenceForecast {
         quality: 0.0,
@@ -155,7 +158,7 @@
     forecast
 }
 
-/// Single versions to fall back on when the preferred plan's endpoints are full.
+/// Returns plans of single versions for the case that the endpoints of the preferred plan are full.
 pub(super) fn fallback_plans(plans: &[Plan], front: &[VersionForecast], weights: Weights) -> Plans {
     let preferred = plans.last().map(|p| p.steps[0]);
     let mut ranked: SmallVec<[(f64, VersionKey); 8]> = (0..front.len())
--- a/crates/oatdale-policy/src/choice.rs
+++ b/crates/oatdale-policy/src/choice.rs
@@ -1,4 +1,4 @@
-//! Which versions may serve a request, and in which order to try them.
+//! Selection of the versions that may serve a request, and the order in which they are tried.
 
 use crate::endpoints::mix;
 use crate::request::{Ask, RefusalReason, Session, VersionReason};
@@ -9,20 +9,20 @@
 /// Versions in some order.
 pub(crate) type Versions = SmallVec<[VersionKey; 8]>;
 
-/// Plans in the order of preference.
+/// Plans in order of preference.
 pub(crate) type Plans = SmallVec<[Plan; 4]>;
 
-/// Versions to ask one after the other until an answer is good enough.
+/// Versions to try one after the other until an answer is accepted.
 #[derive(Clone, PartialEq, Debug)]
 pub(crate) struct Plan {
     /// The steps; empty for plain services.
     pub(crate) steps: Versions,
-    /// Why it starts with its first step.
+    /// Reason for the version of the first step.
     pub(crate) why: VersionReason,
 }
 
 impl Plan {
-    /// The plan of a request to a plain service.
+    /// Creates the plan of a request to a plain service.
     pub(crate) fn plain() -> Self {
         Plan {
             steps: Versions::new(),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// A plan of one version.
+    /// Creates a plan of one version.
     pub(crate) fn single(version: VersionKey, why: VersionReason) -> Self {
         Plan {
             steps: SmallVec::from_slice(&[version]),
@@ -39,25 +39,25 @@
     }
 }
 
-/// What may serve a request.
+/// Versions that may serve a request.
 #[derive(Clone, PartialEq, Debug)]
 pub(crate) enum Candidates {
     /// Any endpoint of a plain service.
     Plain,
     /// The session's version.
     Pinned(VersionKey),
-    /// A canary whose share the request falls into, where nothing else takes new work.
+    /// A canary whose share includes the request, if no serving version admits new work.
     Canary(VersionKey),
-    /// What [`Catalogue::serving`] gives; never empty.
+    /// The versions that [`Catalogue::serving`] returns; at least one.
     Serving,
 }
 
 /// Versions of each service, cheapest first, and which of them are stopped.
 pub(crate) struct Catalogue {
     by_price: Vec<Versions>,
-    /// Stops that are recorded beside the text.
+    /// Whether a stop is recorded beside the configuration, by version.
     recorded_stops: Vec<bool>,
-    /// Stops that this router decided and that no record covers yet.
+    /// Whether this router decided a stop that no record covers yet, by version.
     local_stops: Vec<bool>,
 }
 
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The versions of all models of a service, cheapest first.
+    /// Returns the versions of all models of a service, cheapest first.
     pub(crate) fn versions_of(&self, service: ServiceKey) -> &[VersionKey] {
         &self.by_price[service.index()]
     }
@@ -79,11 +79,11 @@
         self.recorded_stops[version.index()] || self.local_stops[version.index()]
     }
 
-    /// Takes in whether a stop is recorded.
+    /// Sets whether a stop is recorded.
     ///
-    /// A record takes the place of this router's own decision and ends with it. That there is no
-    /// record yet says nothing against the decision: the record may still be on its way, and a
-    /// node that took this for the stop's end would let callers have the bad version again.
+    /// A record replaces this router's own decision, which then ends with the record. A missing
+    /// record does not revoke the decision: it may still be in flight, and a node that took its
+    /// absence for the end of the stop would serve the bad version again.
     pub(crate) fn set_recorded(&mut self, version: VersionKey, recorded: bool) {
         self.recorded_stops[version.index()] = recorded;
         if recorded {
@@ -96,8 +96,8 @@
         self.local_stops[version.index()] = true;
     }
 
-    /// Takes over a version's stops from an earlier configuration; a decision ends if the text
-    /// says something else of the version now.
+    /// Takes over a version's stops from an earlier configuration; the router's own decision ends
+    /// if the version's configuration has changed.
     pub(crate) fn take_over(
         &mut self,
         version: VersionKey,
@@ -109,10 +109,11 @@
         self.local_stops[version.index()] = catalogue.local_stops[key.index()] && !has_changed;
     }
 
-    /// Whether a version may serve this request now, by its state, its stop and the customer.
+    /// Whether a version may serve this request now, by its state, its stop and the customer's
+    /// permissions.
     ///
-    /// Every path that sends a request asks here: first choice, cascade, retry, turn from the
-    /// queue and session.
+    /// Every path that sends a request checks this or [`Catalogue::serving`]: first choice,
+    /// cascade, retry, dequeueing and session.
     pub(crate) fn permits(&self, cfg: &Config, ask: &Ask, version: VersionKey) -> bool {
         let Some(item) = cfg.versions.get(version) else {
             return false;
@@ -126,7 +127,7 @@
             && self.versions_of(ask.service).contains(&version)
     }
 
-    /// Versions in state `serving` that may serve this new request, cheapest first.
+    /// Returns the versions in state `serving` that may serve this new request, cheapest first.
     pub(crate) fn serving(&self, cfg: &Config, ask: &Ask) -> impl Iterator<Item = VersionKey> {
         let customer = ask.customer;
         self.versions_of(ask.service)
@@ -136,9 +137,9 @@
             .filter(move |&v| !self.is_stopped(v) && cfg.allows(customer, v))
     }
 
-    /// The canary whose share the request falls into, if any.
+    /// Returns the canary whose share includes the request, if any.
     ///
-    /// With `instead_of`, only canaries of that version's model are looked at, since a share is a
+    /// With `instead_of`, only canaries of that version's model are considered, since a share is a
     /// share of its model's new work.
     pub(crate) fn canary(
         &self,
@@ -169,10 +170,10 @@
         None
     }
 
-    /// Whether every customer keeps a serving version for each service if this one is stopped.
+    /// Whether a version may be stopped: every customer keeps a serving version for each service.
     ///
     /// Stopping a customer's last version would turn some bad answers into none at all. A canary
-    /// is stopped in any case: it was never meant to carry its model alone.
+    /// may always be stopped, since it is not meant to serve its model alone.
     pub(crate) fn can_stop(&self, cfg: &Config, version: VersionKey) -> bool {
         if let VersionState::Canary { .. } = cfg.versions[version].state {
             return true;
@@ -201,11 +202,11 @@
             .all(|versions| versions.iter().any(|&v| is_alternative(v)))
     }
 
-    /// What may serve a request now.
+    /// Returns the versions that may serve a request now.
     ///
     /// # Errors
     ///
-    /// Says why nothing may.
+    /// Returns the reason if none may.
     pub(crate) fn candidates(&self, cfg: &Config, ask: &Ask) -> Result<Candidates, RefusalReason> {
         if let ServiceKind::Plain = cfg.services[ask.service].kind {
             return Ok(Candidates::Plain);
@@ -236,7 +237,7 @@
     }
 }
 
-/// The place of a request in its model's shares, from 0 to 1.
+/// Returns the position of a request in its model's canary shares, from 0 to 1.
 fn position(draw: u64, model: usize) -> f64 {
     let hash = mix(draw ^ mix(model as u64));
     (hash >> 11) as f64 / (1_u64 << 53) as f64
--- a/crates/oatdale-policy/src/endpoint.rs
+++ b/crates/oatdale-policy/src/endpoint.rs
@@ -1,65 +1,68 @@
-//! What this node knows of one endpoint.
+//! A node's view of one endpoint.
 
 use crate::request::LoadReport;
 use oatdale_config::VersionKey;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How many changes of the own load are kept to correct lagging reports.
+/// Changes of this node's own load that are kept to correct lagging reports.
 const MAX_HISTORY_ENTRIES: usize = 64;
 
-/// Failures in a row after which an endpoint is left alone for a while.
+/// Consecutive failures up to which an endpoint still gets requests; further ones cause a back-off.
 const MAX_TOLERATED_FAILURES: u32 = 2;
 
-/// The first pause after failures; each further failure doubles it.
+/// First back-off time; each further failure doubles it.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
 
-/// The longest pause after failures.
+/// Longest back-off time.
 const MAX_BACKOFF: Duration = Duration::from_secs(16);
 
-/// The weight of a new answer in the moving averages.
+/// Weight of a new answer in the moving averages.
 const SAMPLE_WEIGHT: f64 = 0.2;
 
-/// Load, health and pace of one endpoint, as far as this node has seen.
+/// Load, health and latency of one endpoint, as observed by this node.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EndpointState {
-    /// Takes nothing new.
+    /// Whether the endpoint is leaving and accepts no new requests.
     pub(crate) leaving: bool,
-    /// Versions it reports as loaded; `None` trusts the configuration.
+    /// Versions that it reports as loaded; `None` stands for those of the configuration.
     pub(crate) holds: Option<Vec<VersionKey>>,
-    /// Requests of this node that run there.
+    /// In-flight requests of this node.
     pub(crate) running: u32,
-    /// Requests of other nodes, worked out from the last report.
+    /// In-flight requests of other nodes, derived from the last report.
     others_load: f64,
-    /// Whether the last report told of requests waiting there.
+    /// Whether requests were queued there at the last report.
     pub(crate) queued: bool,
-    /// Requests of this node that ran there when the last report was made.
+    /// In-flight requests of this node when the last report was made.
     own_at_report: Option<u32>,
-    /// Rounds this node's part of free room up or down, anew with each report; from 0 to 1.
+    /// Random number from 0 to 1, new with each report, by which this node's share of the free
+    /// capacity is rounded up or down.
     dither: f64,
+    /// Changes of `running`, oldest first.
     running_history: VecDeque<(Duration, u32)>,
     consecutive_failures: u32,
     backoff_until: Duration,
     failure_share: f64,
+    /// Moving average of the time to the first byte, relative to the usual one.
     relative_latency: Option<f64>,
 }
 
 impl EndpointState {
-    /// Requests of other nodes there, by the last report.
+    /// Returns the in-flight requests of other nodes by the last report.
     pub(crate) fn others_load(&self) -> f64 {
         self.others_load
     }
 
-    /// Whether it may get one more request now.
+    /// Whether the endpoint can take one more request now.
     pub(crate) fn has_room(&self, now: Duration, concurrency: u32) -> bool {
         self.is_live(now) && self.load() + 1.0 <= f64::from(concurrency)
     }
 
-    /// Whether a request that must leave room for others may go there.
+    /// Whether a request that must leave room for other services can go there.
     ///
-    /// `share` is this node's part of all the load on the pool. Every node sees the same free
-    /// room in a report; if each filled it, the endpoint would get as many requests too many as
-    /// there are nodes. So a node refills what it frees itself and takes its part of the rest.
+    /// `share` is this node's share of all the load on the pool. Every node sees the same free
+    /// capacity in a report; if each filled it, the excess requests would multiply by the number of
+    /// nodes. So a node refills what its own requests free and takes its share of the rest.
     pub(crate) fn has_room_for_surge(&self, now: Duration, capacity: u32, share: f64) -> bool {
         let Some(own_at_report) = self.own_at_report else {
             return self.has_room(now, capacity);
@@ -70,7 +73,7 @@
         self.has_room(now, capacity) && f64::from(self.running + 1) <= allowed
     }
 
-    /// Whether it is worth asking at all; after a pause a single request tries it.
+    /// Whether the endpoint is available at all; after a back-off, a single request probes it.
     pub(crate) fn is_live(&self, now: Duration) -> bool {
         !self.leaving
             && match self.consecutive_failures {
@@ -79,7 +82,7 @@
             }
     }
 
-    /// When its pause after failures ends, if it is in one.
+    /// Returns the end of the back-off after failures, if the endpoint is in one.
     pub(crate) fn backoff_end(&self, now: Duration) -> Option<Duration> {
         let is_backing_off = !self.leaving
             && self.consecutive_failures > MAX_TOLERATED_FAILURES
@@ -87,14 +90,14 @@
         is_backing_off.then_some(self.backoff_until)
     }
 
-    /// Requests that it runs, by its last report and what this node did since.
+    /// Returns the in-flight requests, by the last report and this node's changes since.
     pub(crate) fn load(&self) -> f64 {
         self.others_load + f64::from(self.running)
     }
 
-    /// The expected time to the first byte of one more request, in seconds of no fixed scale.
+    /// Returns the expected time to the first byte of one more request, on an arbitrary scale.
     ///
-    /// `usual` stands in for an endpoint that has not answered yet.
+    /// `default_latency` stands in for an endpoint that has not answered yet.
     pub(crate) fn score(&self, concurrency: u32, default_latency: f64) -> f64 {
         let load_factor = 1.0 + self.load() / f64::from(concurrency.max(1));
         let relative_latency = self.relative_latency.unwrap_or(default_latency);
@@ -102,19 +105,19 @@
         relative_latency * load_factor * failure_factor
     }
 
-    /// Notes that this node sent it a request.
+    /// Records that this node sent it a request.
     pub(crate) fn sent(&mut self, now: Duration) {
         self.running += 1;
         self.record_running(now);
     }
 
-    /// Notes that one of this node's requests is over there.
+    /// Records that a request of this node ended.
     pub(crate) fn over(&mut self, now: Duration) {
         self.running = self.running.saturating_sub(1);
         self.record_running(now);
     }
 
-    /// Notes an answer and how its time to the first byte compares to the usual one.
+    /// Records an answer and its time to the first byte, relative to the usual one.
     pub(crate) fn answered(&mut self, relative: Option<f64>) {
         self.consecutive_failures = 0;
         self.failure_share *= 1.0 - SAMPLE_WEIGHT;
@@ -124,7 +127,7 @@
         }
     }
 
-    /// Notes a failure.
+    /// Records a failure.
     pub(crate) fn failed(&mut self, now: Duration) {
         self.consecutive_failures += 1;
         self.failure_share += SAMPLE_WEIGHT * (1.0 - self.failure_share);
@@ -135,10 +138,10 @@
         self.backoff_until = now + (INITIAL_BACKOFF * (1 << doublings)).min(MAX_BACKOFF);
     }
 
-    /// Takes in a report, less what this node itself had there when the report was made.
+    /// Records a load report, less the requests that this node had there when it was made.
     ///
-    /// A report that counted this node's own requests twice, or requests that have ended since,
-    /// would make each node flee and return to an endpoint in step with the reports.
+    /// If the report counted this node's own requests twice, or those that have ended since, each
+    /// node would leave the endpoint and return to it in step with the reports.
     pub(crate) fn report(&mut self, now: Duration, report: LoadReport, dither: f64) {
         let reported_at = now.saturating_sub(report.age);
         let own = self.running_at(reported_at);
@@ -149,6 +152,7 @@
         self.dither = dither;
     }
 
+    /// Returns this node's in-flight requests at an earlier time.
     fn running_at(&self, time: Duration) -> u32 {
         let previous = self
             .running_history
--- a/crates/oatdale-policy/src/endpoints.rs
+++ b/crates/oatdale-policy/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! Choice of an endpoint among the few that this node uses for a pool and version.
+//! Selection of an endpoint from the subset that this node uses for a pool and version.
 
 use crate::endpoint::EndpointState;
 use crate::request::EndpointReason;
@@ -8,35 +8,36 @@
 use smallvec::SmallVec;
 use std::time::Duration;
 
-/// How many endpoints a node uses for one pool and version.
+/// Endpoints that a node uses for one pool and version.
 ///
-/// The fleet may have thousands; a node that spoke to each would hold a connection and a view of
-/// load for each, and would hear of each too rarely to judge it.
+/// The fleet may have thousands; a node that used all of them would keep a connection and load data
+/// for each, and would get reports and answers of each too rarely to judge it.
 pub(crate) const SUBSET_SIZE: usize = 64;
 
-/// An endpoint chosen by its prefix cache may be this much worse than the other choice.
+/// Factor by which the score of an endpoint chosen for its prefix cache may exceed that of the
+/// other choice.
 const AFFINITY_SCORE_FACTOR: f64 = 2.0;
 
-/// A surging service leaves one place in this many free at each endpoint.
+/// A surging service leaves one slot in this many free at each endpoint.
 const SURGE_RESERVE_DIVISOR: u32 = 8;
 
-/// An endpoint is nearly full from this part of its places on.
+/// Fraction of its slots above which an endpoint counts as nearly full.
 const NEARLY_FULL_FRACTION: f64 = 0.9;
 
 /// Some of the endpoints that this node uses.
 type EndpointKeys = SmallVec<[EndpointKey; SUBSET_SIZE]>;
 
-/// What a choice has to heed.
+/// Constraints on the selection of an endpoint.
 #[derive(Clone, Copy)]
 pub(crate) struct Wish<'a> {
     pub(crate) pool: PoolKey,
     pub(crate) version: Option<VersionKey>,
-    /// A hash of the prompt's beginning, if its cache may help.
+    /// Hash of the prompt's prefix, if a prefix cache may help.
     pub(crate) prefix: Option<u64>,
     /// Endpoints that have failed this request.
     pub(crate) tried: &'a [EndpointKey],
-    /// This node's part of the pool's load, if the request has to leave room for other services
-    /// at each endpoint.
+    /// This node's share of the pool's load, if the request must leave room for other services at
+    /// each endpoint.
     pub(crate) leave_room: Option<f64>,
 }
 
@@ -52,7 +53,7 @@
 pub(crate) struct Endpoints {
     pub(crate) states: Vec<EndpointState>,
     subsets: Vec<Vec<EndpointKey>>,
-    /// Each endpoint's place in this node's order of preference.
+    /// Rank of each endpoint in this node's order of preference.
     ranks: Vec<u64>,
     versions: usize,
     pub(crate) domain: Option<DomainKey>,
@@ -77,7 +78,7 @@
         endpoints
     }
 
-    /// Works all subsets out anew after the configuration changed.
+    /// Recomputes all subsets after a configuration change.
     pub(crate) fn rebuild(&mut self, cfg: &Config) {
         self.versions = cfg.versions.len();
         self.subsets = vec![Vec::new(); cfg.pools.len() * (self.versions + 1)];
@@ -90,10 +91,10 @@
         }
     }
 
-    /// Takes in which versions an endpoint reports as loaded.
+    /// Records which versions an endpoint reports as loaded.
     ///
-    /// Only the subsets of versions that it gained or lost are worked out anew: thousands of
-    /// engines report their versions when a node starts, most of them as the text has it.
+    /// Only the subsets of versions that it gained or lost are recomputed: thousands of engines
+    /// report their versions when a node starts, most of them as configured.
     pub(crate) fn set_holds(
         &mut self,
         cfg: &Config,
@@ -130,14 +131,15 @@
         pool.index() * (self.versions + 1) + offset
     }
 
-    /// The endpoints that this node uses for a pool and version; all versions for `None`.
+    /// Returns the endpoints that this node uses for a pool and version; `None` stands for all
+    /// versions.
     pub(crate) fn used(&self, pool: PoolKey, version: Option<VersionKey>) -> &[EndpointKey] {
         self.subsets
             .get(self.subset_index(pool, version))
             .map_or(&[], Vec::as_slice)
     }
 
-    /// Whether any endpoint of the pool that holds the version is worth asking.
+    /// Whether any endpoint of the pool that has loaded the version is available.
     pub(crate) fn any_live(
         &self,
         now: Duration,
@@ -149,7 +151,7 @@
             .any(|e| self.states[e.index()].is_live(now))
     }
 
-    /// This node's part of all requests at the pool's endpoints.
+    /// Returns this node's share of all requests at the pool's endpoints, with one more of its own.
     pub(crate) fn share(&self, pool: PoolKey, running: u32) -> f64 {
         let used = self.used(pool, None).iter();
         let others_load: f64 = used.map(|e| self.states[e.index()].others_load()).sum();
@@ -157,7 +159,7 @@
         own / (own + others_load)
     }
 
-    /// The earliest end of a pause after failures.
+    /// Returns the earliest end of a back-off after failures.
     pub(crate) fn next_pause_end(&self, now: Duration, pool: PoolKey) -> Option<Duration> {
         self.used(pool, None)
             .iter()
@@ -165,11 +167,11 @@
             .min()
     }
 
-    /// Chooses an endpoint that has room, if there is one.
+    /// Selects an endpoint that has room, if there is one.
     ///
-    /// The request's prefix names a home among the fit endpoints. Otherwise the better of two
-    /// drawn at random is taken, in the node's own failure domain while that has room: with
-    /// lagging reports, all nodes that took the least loaded would rush to the same one.
+    /// The request's prefix determines the preferred endpoint among those with room. Otherwise the
+    /// better of two random ones is used, in the node's own failure domain while that has room: as
+    /// reports lag, nodes that all used the least loaded endpoint would overload the same one.
     pub(crate) fn pick(
         &self,
         now: Duration,
@@ -204,9 +206,9 @@
         })
     }
 
-    /// Endpoints with room and how many there are; those that are nearly full are left out while
-    /// there are others, and all but the least loaded if there are none, since by now another
-    /// node may have taken their last places.
+    /// Returns endpoints to select from, and how many have room. Nearly full ones are left out
+    /// while there are others; otherwise all but the least loaded are, since another node may have
+    /// taken their last slots by now.
     fn usable(&self, now: Duration, cfg: &Config, query: Wish<'_>) -> (EndpointKeys, u16) {
         let used = self.used(query.pool, query.version);
         let mut usable = EndpointKeys::new();
@@ -241,7 +243,7 @@
         )
     }
 
-    /// The live endpoint with the best score, whether or not it has room.
+    /// Returns the available endpoint with the best score, whether or not it has room.
     pub(crate) fn least_loaded(
         &self,
         now: Duration,
@@ -284,7 +286,7 @@
         }
     }
 
-    /// The endpoint that requests of this prefix go to, unless it is much worse than `other`.
+    /// Returns the endpoint for requests of this prefix, unless it is much worse than `other`.
     fn affinity_endpoint(
         &self,
         cfg: &Config,
@@ -311,7 +313,8 @@
         }
     }
 
-    /// Rendezvous hashing: an endpoint that comes or goes changes one place of the subset.
+    /// Selects a subset by rendezvous hashing: an endpoint that is added or removed changes one
+    /// element of the subset.
     fn select_subset(&self, candidates: impl Iterator<Item = EndpointKey>) -> Vec<EndpointKey> {
         let mut ranked: Vec<_> = candidates.map(|e| (self.ranks[e.index()], e)).collect();
         if ranked.len() > SUBSET_SIZE {
@@ -328,7 +331,7 @@
     keys.iter().copied().filter(|&e| keep(e)).collect()
 }
 
-/// Spreads a number over all 64 bits (the finishing step of splitmix64).
+/// Mixes a number into all 64 bits (the finalizer of splitmix64).
 pub(crate) fn mix(x: u64) -> u64 {
     let x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -336,7 +339,7 @@
     x ^ (x >> 31)
 }
 
-/// FNV-1a, so that an endpoint keeps its place when the text's order changes.
+/// FNV-1a hash, so that an endpoint keeps its rank when the order in the configuration changes.
 fn name_hash(name: &str) -> u64 {
     name.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
--- a/crates/oatdale-policy/src/estimate.rs
+++ b/crates/oatdale-policy/src/estimate.rs
@@ -1,18 +1,18 @@
-//! A share of accepted answers that is learned from ratings and notices change.
+//! Estimate of the share of accepted answers, learned from ratings, with change detection.
 
-/// Ratings that an estimate remembers.
+/// Ratings over which the slow average runs.
 const SLOW_AVERAGE_RATINGS: f64 = 1000.0;
 
-/// Ratings that the quick average remembers, which tells a change from chance.
+/// Ratings over which the fast average runs, which tells a change from chance.
 const FAST_AVERAGE_RATINGS: f64 = 25.0;
 
-/// Standard deviations between the quick and the slow average that count as a change.
+/// Standard errors by which the fast and the slow average must differ to count as a change.
 const CHANGE_STD_ERRORS: f64 = 4.0;
 
-/// What is believed before the first rating counts as much as this many ratings.
+/// Weight of the prior, in ratings.
 const PRIOR_RATINGS: f64 = 4.0;
 
-/// The share of answers that the rating service accepts.
+/// Estimated share of answers that the rating service accepts.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct AcceptanceEstimate {
     mean: f64,
@@ -22,11 +22,11 @@
 }
 
 impl AcceptanceEstimate {
-    /// Takes in one rating from 0 to 1.
+    /// Records a rating from 0 to 1.
     ///
-    /// When a version's quality shifts, the slow average would take hundreds of requests to
-    /// follow, all below the target. So it restarts from the quick one once the two differ by
-    /// more than chance explains.
+    /// When a version's quality changes, the slow average would take hundreds of requests to
+    /// follow, all of them below the target. So it restarts from the fast average once the two
+    /// differ by more than chance explains.
     pub(crate) fn add(&mut self, rating: f64) {
         self.ratings = (self.ratings + 1.0).min(SLOW_AVERAGE_RATINGS);
         self.mean += (rating - self.mean) / self.ratings;
@@ -41,12 +41,12 @@
         }
     }
 
-    /// The estimate, drawn towards `prior` while ratings are few.
+    /// Returns the estimate, weighted towards `prior` while there are few ratings.
     pub(crate) fn get(&self, prior: f64) -> f64 {
         (self.mean * self.ratings + prior * PRIOR_RATINGS) / (self.ratings + PRIOR_RATINGS)
     }
 
-    /// How many ratings it rests on.
+    /// Returns the number of ratings in the slow average.
     pub(crate) fn ratings(&self) -> f64 {
         self.ratings
     }
--- a/crates/oatdale-policy/src/evidence.rs
+++ b/crates/oatdale-policy/src/evidence.rs
@@ -1,9 +1,9 @@
-//! Counts of how versions behave, shared between nodes.
+//! Counts of errors, ratings and slow answers by version, shared between nodes.
 
 use oatdale_config::{Key, VersionKey};
 use std::collections::BTreeMap;
 
-/// One node's counts for one version since the node's start; none ever falls.
+/// Counters of one node for one version since the node's start; they never decrease.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct VersionCounters {
     /// The version.
@@ -16,12 +16,12 @@
     pub rated: u64,
     /// Of these, how many were rated too low.
     pub low: u64,
-    /// Answers whose first byte took longer than is usual for the service.
+    /// Answers whose first byte took several times as long as usual.
     pub slow: u64,
 }
 
 impl VersionCounters {
-    /// Counters that have seen nothing.
+    /// Creates counters at zero.
     pub fn zero(version: VersionKey) -> Self {
         VersionCounters {
             version,
@@ -33,17 +33,17 @@
         }
     }
 
-    /// The larger of each count.
+    /// Returns the larger of each count.
     fn max(&self, other: &VersionCounters) -> VersionCounters {
         self.zip(other, u64::max)
     }
 
-    /// The sum of each count.
+    /// Returns the sum of each count.
     pub(crate) fn plus(&self, other: &VersionCounters) -> VersionCounters {
         self.zip(other, |a, b| a + b)
     }
 
-    /// What was counted since `earlier`.
+    /// Returns what was counted since `earlier`.
     pub(crate) fn since(&self, earlier: &VersionCounters) -> VersionCounters {
         self.zip(earlier, u64::saturating_sub)
     }
@@ -60,7 +60,7 @@
     }
 }
 
-/// This node's counts, the newest that other nodes reported, and the sums.
+/// Counters of this node, the latest of the other nodes, and the sums.
 pub(crate) struct Evidence {
     own: Vec<VersionCounters>,
     remote: BTreeMap<u64, Vec<VersionCounters>>,
@@ -81,7 +81,7 @@
         &self.own
     }
 
-    /// Counts something at this node.
+    /// Updates this node's counters of a version.
     pub(crate) fn record(&mut self, version: VersionKey, f: impl Fn(&mut VersionCounters)) {
         let index = version.index();
         if let (Some(own), Some(total)) = (self.own.get_mut(index), self.totals.get_mut(index)) {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Takes in another node's counts; a report that comes twice or late changes nothing.
+    /// Merges another node's counters; duplicate or outdated reports change nothing.
     pub(crate) fn merge(&mut self, node: u64, counters: &[VersionCounters]) {
         let reported = self.remote.entry(node).or_default();
         for new in counters {
@@ -110,12 +110,12 @@
         }
     }
 
-    /// The sum over all nodes.
+    /// Returns the sum over all nodes.
     pub(crate) fn total(&self, version: VersionKey) -> VersionCounters {
         self.totals[version.index()]
     }
 
-    /// Moves the counts to a new configuration's keys.
+    /// Moves the counters to the keys of a new configuration.
     pub(crate) fn rekey(
         &mut self,
         versions: impl Iterator<Item = VersionKey>,
--- a/crates/oatdale-policy/src/lib.rs
+++ b/crates/oatdale-policy/src/lib.rs
@@ -1,8 +1,8 @@
 //! Every routing decision as pure functions over arenas.
 //!
-//! A [`Router`] is told of requests, answers, load, ratings and configurations, and says what to
-//! do. Times are [`Duration`](std::time::Duration)s since the node's start and come in as
-//! arguments, as does randomness by a seed, so that the same calls give the same decisions.
+//! A [`Router`] receives requests, answers, load reports, ratings and configurations, and returns
+//! what to do. Times are [`Duration`](std::time::Duration)s since the node's start. They are
+//! arguments, as is the seed of all random choices, so that the same calls give the same decisions.
 //! `docs/POLICY.md` gives the reasons for each decision.
 //!
 //! # Examples
@@ -32,7 +32,7 @@
 //!     class: 0,
 //! };
 //! let Offer::Run(dispatch) = router.offer(now, &ask) else {
-//!     panic!("an idle site has room");
+//!     panic!("an idle site runs requests at once");
 //! };
 //! assert!(cfg.allows(ask.customer, dispatch.version.expect("a model service")));
 //!
--- a/crates/oatdale-policy/src/limit.rs
+++ b/crates/oatdale-policy/src/limit.rs
@@ -1,21 +1,22 @@
-//! An adaptive limit of the requests that this node has under way at one pool.
+//! Adaptive limit on this node's in-flight requests at one pool.
 
 use std::time::Duration;
 
-/// What a congested answer leaves of the limit.
+/// Factor by which a congested answer reduces the limit.
 const DECREASE_FACTOR: f64 = 0.98;
 
-/// The least time between two decreases, so that one burst of bad news counts once.
+/// Minimum time between two decreases, so that a burst of congested answers counts once.
 const MIN_DECREASE_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// The limit never falls below this.
+/// Lower bound of the limit.
 const MIN_LIMIT_REQUESTS: f64 = 2.0;
 
-/// Additive increase, multiplicative decrease between a floor and what the endpoints can run.
+/// Additive-increase, multiplicative-decrease (AIMD) limit between a lower bound and the capacity
+/// of the endpoints.
 ///
-/// Several nodes share a pool and none knows what the others send. Without this limit each would
-/// fill the whole pool by itself and requests would queue at the endpoints, where no fair queue
-/// orders them.
+/// Several nodes share a pool and none knows how much the others send. Without the limit, each
+/// would fill the whole pool by itself and requests would queue at the endpoints, where no fair
+/// queue orders them.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Limit {
     limit: f64,
@@ -32,12 +33,12 @@
         }
     }
 
-    /// The present limit in requests.
+    /// Returns the current limit in requests.
     pub(crate) fn get(&self) -> f64 {
         self.limit
     }
 
-    /// Takes in what the endpoints can run now.
+    /// Sets the upper bound to the endpoints' current capacity and scales the limit with it.
     pub(crate) fn set_ceiling(&mut self, ceiling: f64) {
         let ceiling = ceiling.max(MIN_LIMIT_REQUESTS);
         if self.ceiling > 0.0 {
@@ -47,7 +48,7 @@
         self.limit = self.limit.clamp(MIN_LIMIT_REQUESTS, ceiling);
     }
 
-    /// Takes in one answer; `full` says whether the limit was in use.
+    /// Records an answer; `near_limit` says whether most of the limit was in use.
     pub(crate) fn observe(&mut self, now: Duration, congested: bool, near_limit: bool) {
         let decreased_recently = self
             .last_decrease
--- a/crates/oatdale-policy/src/queue.rs
+++ b/crates/oatdale-policy/src/queue.rs
@@ -3,21 +3,21 @@
 use crate::request::Ticket;
 use std::collections::VecDeque;
 
-/// One waiting request.
+/// A queued request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Waiting {
     /// The request.
     pub(crate) ticket: Ticket,
-    /// Goes before lower values within one flow; arrival order among equals.
+    /// Requests of a flow run by descending priority; in order of arrival if equal.
     pub(crate) priority: u32,
-    /// What it will use, in any unit that all requests share.
+    /// Expected resource use, in any unit that all requests share.
     pub(crate) cost: f64,
 }
 
-/// Flows that share one resource in proportion to their weights.
+/// Flows that share a resource in proportion to their weights.
 ///
-/// A flow that becomes busy starts at the present virtual time: it neither saves up credit while
-/// idle nor pays for the past.
+/// A flow that becomes backlogged starts at the current virtual time: it gains no credit while idle
+/// and pays nothing for the past.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FairQueue {
     flows: Vec<Flow>,
@@ -33,12 +33,12 @@
 }
 
 impl FairQueue {
-    /// How many requests wait.
+    /// Returns the number of queued requests.
     pub(crate) fn len(&self) -> usize {
         self.len
     }
 
-    /// How many requests of one flow would go before one more of this priority.
+    /// Returns how many queued requests of a flow would run before a new one of this priority.
     pub(crate) fn ahead_in(&self, flow: usize, priority: u32) -> usize {
         let Some(flow) = self.flows.get(flow) else {
             return 0;
@@ -67,7 +67,7 @@
         self.len += 1;
     }
 
-    /// The flows with a request waiting, least virtual time first.
+    /// Returns the backlogged flows, lowest virtual time first.
     pub(crate) fn order(&self) -> smallvec::SmallVec<[usize; 16]> {
         let mut order: smallvec::SmallVec<[usize; 16]> =
             smallvec::SmallVec::from_slice(&self.backlogged);
@@ -78,12 +78,12 @@
         order
     }
 
-    /// The next request of a flow.
+    /// Returns the next request of a flow.
     pub(crate) fn head(&self, flow: usize) -> Option<Waiting> {
         self.flows.get(flow)?.waiting.front().copied()
     }
 
-    /// Takes the next request of a flow and charges the flow for it.
+    /// Removes the next request of a flow and charges the flow for it.
     pub(crate) fn pop(&mut self, flow: usize, weight: f64) -> Option<Waiting> {
         let entry = self.flows.get_mut(flow)?;
         let item = entry.waiting.pop_front()?;
@@ -94,7 +94,7 @@
         Some(item)
     }
 
-    /// Drops a request that waits no longer.
+    /// Removes a request that no longer waits, without charging its flow.
     pub(crate) fn remove(&mut self, flow: usize, ticket: Ticket) {
         let Some(entry) = self.flows.get_mut(flow) else {
             return;
--- a/crates/oatdale-policy/src/rekey.rs
+++ b/crates/oatdale-policy/src/rekey.rs
@@ -1,11 +1,11 @@
-//! Finds each item of one configuration in the next one by its name.
+//! Maps the keys of one configuration to those of the next by name.
 
 use oatdale_config::{
     Config, CustomerKey, DomainKey, EndpointKey, Key, PoolKey, ServiceKey, VersionKey,
 };
 use std::collections::HashMap;
 
-/// Where the items of an old configuration are in a new one.
+/// Keys in a new configuration by those in the old one; `None` for removed items.
 pub(crate) struct Rekey {
     customers: Vec<Option<CustomerKey>>,
     services: Vec<Option<ServiceKey>>,
@@ -70,7 +70,8 @@
     }
 }
 
-/// The address belongs to the name: an endpoint that moved is a new one with its own pace.
+/// Returns an endpoint's identity. It includes the address: an endpoint that moved is a new one
+/// with its own latency.
 fn endpoint_name(cfg: &Config, key: EndpointKey) -> (String, String, std::net::SocketAddr) {
     let endpoint = &cfg.endpoints[key];
     let pool = cfg.pools[endpoint.pool].name.clone();
--- a/crates/oatdale-policy/src/request.rs
+++ b/crates/oatdale-policy/src/request.rs
@@ -1,81 +1,82 @@
-//! What the router is told of a request and what it answers.
+//! Inputs and decisions of the router.
 
 use oatdale_config::{CustomerKey, DomainKey, EndpointKey, PoolKey, ServiceKey, VersionKey};
 use std::time::Duration;
 
-/// A request as the router sees it.
+/// Description of a request for routing.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Ask {
-    /// Who asks.
+    /// The customer that sends it.
     pub customer: CustomerKey,
-    /// The service that is asked.
+    /// The service that is called.
     pub service: ServiceKey,
     /// Whether the call may run more than once.
     pub idempotent: bool,
-    /// Where the request stands in a session.
+    /// The request's relation to a session.
     pub session: Session,
-    /// The time since the node's start by which the caller gives up.
+    /// When the caller gives up, as time since the node's start.
     pub deadline: Duration,
-    /// Tokens of prompt, or an estimate; 0 for plain services.
+    /// Prompt tokens, or an estimate; 0 for plain services.
     pub input_tokens: u32,
-    /// Tokens that the answer may have at most; 0 for plain services.
+    /// Maximum number of answer tokens; 0 for plain services.
     pub output_tokens: u32,
-    /// A hash of the prompt's beginning; equal values profit from the same endpoint's cache.
+    /// Hash of the prompt's prefix; requests with equal values benefit from the same endpoint's
+    /// cache.
     pub prefix: u64,
-    /// A uniform hash of the session or request, which decides its place in a roll-out's share.
+    /// Uniform hash of the session or request, which determines its position in a canary's share.
     pub draw: u64,
-    /// Whether the caller reads the answer as it is generated.
+    /// Whether the answer is streamed to the caller while it is generated.
     pub stream: bool,
-    /// What sort of request it is, such as a bucket of the prompt's length; ratings are learned
-    /// for each.
+    /// Class of the request, such as a bucket of the prompt's length; ratings are learned per
+    /// class.
     pub class: u8,
 }
 
-/// Where a request stands in a session.
+/// Relation of a request to a session.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Session {
-    /// It belongs to none.
+    /// The request belongs to no session.
     None,
-    /// It opens one, which keeps the version that is chosen now.
+    /// The request opens a session, which keeps the version that is chosen now.
     Opens,
-    /// It goes on with one, which was pinned to this version; `step` counts from 1.
+    /// The request continues a session, which is pinned to this version; `step` counts from 1.
     Pinned {
         /// The session's version.
         version: VersionKey,
-        /// How many requests of the session went before.
+        /// Number of earlier requests of the session.
         step: u32,
     },
 }
 
-/// Names a request that the router knows; a stale ticket is never mistaken for a newer one.
+/// Handle of a queued or running request; a stale ticket never refers to a newer request.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub struct Ticket {
     pub(crate) slot: u32,
     pub(crate) generation: u32,
 }
 
-/// One attempt to be sent to one endpoint.
+/// An attempt to be sent to an endpoint.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Dispatch {
     /// The request.
     pub ticket: Ticket,
-    /// Counts the request's attempts from 1.
+    /// Number of the attempt, from 1.
     pub attempt: u16,
-    /// Where to send it.
+    /// The endpoint to send it to.
     pub endpoint: EndpointKey,
-    /// The version to name; `None` for plain services.
+    /// The version to request; `None` for plain services.
     pub version: Option<VersionKey>,
-    /// Whether the answer must be kept back and rated, since a better version may follow.
+    /// Whether the answer must be buffered and rated, since a better version may follow.
     pub judge: bool,
-    /// Why this version.
+    /// Reason for the version.
     pub why_version: VersionReason,
-    /// Why this endpoint.
+    /// Reason for the endpoint.
     pub why_endpoint: EndpointReason,
-    /// How many endpoints were fit.
+    /// Number of endpoints that had room.
     pub considered: u16,
 }
 
-/// Why a version was chosen; the log line of the decision says it.
+/// Reason for the choice of a version, logged with the decision.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum VersionReason {
     /// The service is plain.
@@ -84,181 +85,181 @@
     Pinned,
     /// The request falls into a canary's share.
     Canary,
-    /// Least expected cost that meets the quality target.
+    /// Lowest expected cost that meets the quality target.
     Cheapest,
-    /// The customer weighs latency first and it meets the target at once.
+    /// The service weighs latency above cost, and the version meets the target by itself.
     Fastest,
-    /// The target can't be met; it is the best there is.
+    /// The quality target can't be met; the version has the best quality.
     Best,
     /// Tried to learn its quality.
     Explore,
-    /// The step before it was rated too low.
+    /// The answer of the previous step was rated too low.
     Escalated,
 }
 
-/// Why an endpoint was chosen.
+/// Reason for the choice of an endpoint.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum EndpointReason {
-    /// Its cache probably holds the prompt's beginning.
+    /// Its cache probably holds the prompt's prefix.
     Prefix,
-    /// The less loaded of two drawn in the node's own failure domain.
+    /// The better of two random endpoints in the node's own failure domain.
     OwnDomain,
     /// The node's own failure domain has no room.
     Spill,
-    /// Another failure domain than the failed attempt's.
+    /// A retry, in another failure domain than the failed attempt if one has room.
     Retry,
-    /// The only one that is fit.
+    /// The only endpoint that has room.
     Only,
 }
 
-/// The router's answer to a new request.
+/// Decision on a new request.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Offer {
     /// Send it now.
     Run(Dispatch),
-    /// Keep it until `Router::next_turn` names it.
+    /// Keep it until `Router::next_turn` returns it.
     Wait(Ticket),
-    /// Give the caller its final answer now.
+    /// Return the refusal to the caller now.
     Refuse(Refusal),
 }
 
-/// The router's answer to the end of an attempt.
+/// Decision at the end of an attempt.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Next {
-    /// The request is over; its answer goes, or went, to the caller.
+    /// The request has ended; its answer is being or was sent to the caller.
     Done,
     /// Send another attempt now.
     Run(Dispatch),
-    /// Give the caller the failure as its final answer now.
+    /// Return the failure to the caller now.
     Refuse(Refusal),
 }
 
 /// A final refusal.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub reason: RefusalReason,
-    /// When asking again may help; `None` when it can't.
+    /// Time after which a retry may succeed; `None` if it can't.
     pub retry_after: Option<Duration>,
 }
 
-/// Why a request is refused.
+/// Reason for a refusal.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum RefusalReason {
-    /// The customer's rate is used up.
+    /// The customer's rate limit is exhausted.
     CustomerRate,
-    /// The customer has as many requests under way as it may.
+    /// The customer has reached its limit of in-flight requests.
     CustomerConcurrency,
-    /// The service has no room before the deadline.
+    /// The service has no capacity before the deadline.
     Overload,
-    /// A service that this one depends on has no room.
+    /// A service that this one depends on has no capacity.
     Dependency,
-    /// The deadline has passed, or passed while waiting.
+    /// The deadline has passed, or a queued request can no longer meet it.
     Deadline,
-    /// No version that the customer may use takes new work.
+    /// No version that the customer may use admits new work.
     NoVersion,
     /// The session's version has been withdrawn.
     SessionVersionWithdrawn,
-    /// No endpoint that holds the version is reachable.
+    /// No endpoint that has loaded the version is available.
     NoEndpoint,
     /// Attempts failed and no further one is allowed.
     Failed,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Outcome {
-    /// What happened.
+    /// The result.
     pub result: AttemptResult,
-    /// Whether bytes of the answer have gone to the caller, so that no other attempt may answer.
+    /// Whether bytes of the answer were sent to the caller, so that no other attempt may answer.
     pub forwarded: bool,
-    /// Time from sending to the first byte of the answer, if one came.
+    /// Time from sending to the first byte of the answer, if any.
     pub first_byte: Option<Duration>,
     /// Time from sending to the end.
     pub total: Duration,
 }
 
-/// What happened to an attempt.
+/// Result of an attempt.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum AttemptResult {
-    /// A whole answer came.
+    /// A complete answer was received.
     Complete {
-        /// The rating service's verdict, 0 to 1, if one was asked for and came in time.
+        /// Rating by the rating service, from 0 to 1, if it was requested and arrived in time.
         rating: Option<f64>,
         /// Tokens of the answer.
         output_tokens: u32,
     },
     /// Nothing was sent: the connection failed.
     NotSent,
-    /// The endpoint refused before starting and may say when to come back.
+    /// The endpoint refused before starting and may say when to retry.
     NotStarted {
-        /// What the endpoint asked for.
+        /// The delay that the endpoint asked for.
         retry_after: Option<Duration>,
     },
-    /// The endpoint answered with a server error or broke off; the call may have run.
+    /// The endpoint returned a server error or an incomplete answer; the call may have run.
     Broken,
-    /// No answer came in time; the call may have run.
+    /// The attempt timed out; the call may have run.
     TimedOut,
-    /// The caller went away.
+    /// The caller disconnected.
     Cancelled,
 }
 
-/// An engine's report of its load, as old as `age` when it arrived.
+/// Load reported by an engine.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct LoadReport {
-    /// Requests it runs.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait at it.
+    /// Queued requests.
     pub waiting: u32,
-    /// How old the report was when it arrived.
+    /// Age of the report when it arrived.
     pub age: Duration,
 }
 
-/// What became of a waiting request.
+/// Decision on a queued request.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Turn {
     /// Send it now.
     Run(Dispatch),
-    /// Give the caller its final answer now.
+    /// Return the refusal to the caller now.
     Refuse(Refusal),
 }
 
-/// Where the node stands.
+/// Location and random seed of a node.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Place {
-    /// The node's own failure domain, if the text names it.
+    /// The node's own failure domain, if the configuration names it.
     pub domain: Option<DomainKey>,
-    /// Decides every random draw and which endpoints the node uses; each node has its own.
+    /// Seed of all random choices and of the subsets of endpoints; each node has its own.
     pub seed: u64,
 }
 
 /// Gauges for the metrics.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Snapshot {
-    /// One entry for each service, in the order of the text.
+    /// One entry for each service, in the order of the configuration.
     pub services: Vec<ServiceGauges>,
-    /// One entry for each pool, in the order of the text.
+    /// One entry for each pool, in the order of the configuration.
     pub pools: Vec<PoolGauges>,
 }
 
-/// What a service does at the moment.
+/// Gauges of a service.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct ServiceGauges {
     /// The service.
     pub service: ServiceKey,
-    /// Requests that wait for their turn.
+    /// Queued requests.
     pub waiting: usize,
-    /// Attempts under way.
+    /// Attempts in flight.
     pub running: u32,
 }
 
-/// What a pool does at the moment.
+/// Gauges of a pool.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct PoolGauges {
     /// The pool.
     pub pool: PoolKey,
-    /// Attempts under way.
+    /// Attempts in flight.
     pub running: u32,
-    /// Attempts that may be under way at once.
+    /// Limit on the attempts in flight.
     pub limit: f64,
 }
--- a/crates/oatdale-policy/src/state.rs
+++ b/crates/oatdale-policy/src/state.rs
@@ -1,4 +1,4 @@
-//! What the router keeps of requests, services, pools and customers.
+//! Router state of requests, services, pools and customers.
 
 use crate::average::{Mean, Rate};
 use crate::bucket::TokenBucket;
@@ -13,62 +13,64 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long a customer's demand is remembered.
+/// Time constant of the average of a customer's demand.
 const DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(5);
 
-/// A request that the router knows.
+/// A queued or running request.
 #[derive(Debug)]
 pub(crate) struct Request {
     pub(crate) ask: Ask,
-    /// Counts requests in the order of their arrival.
+    /// Sequence number in order of arrival.
     pub(crate) order: u64,
     pub(crate) attempts: u16,
-    /// Endpoints that failed it.
+    /// Endpoints that failed the request.
     pub(crate) tried: SmallVec<[EndpointKey; 4]>,
     pub(crate) plan: Plan,
-    /// The plan's step that runs, from 0.
+    /// Index of the plan's current step.
     pub(crate) step: usize,
     pub(crate) stage: Stage,
-    /// Its customer or service is gone from the configuration.
+    /// Whether its customer, service or pinned version was removed from the configuration.
     pub(crate) void: bool,
 }
 
-/// Where a request is.
+/// Stage of a request.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(crate) enum Stage {
     /// In its service's queue.
     Waiting {
-        /// When its deadline can't be met any more.
+        /// When its deadline can no longer be met.
         give_up: Duration,
     },
     /// At an endpoint.
     Running(Attempt),
 }
 
-/// An attempt under way.
+/// An attempt in flight.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(crate) struct Attempt {
-    /// `None` once the endpoint is gone from the configuration.
+    /// `None` once the endpoint was removed from the configuration.
     pub(crate) endpoint: Option<EndpointKey>,
     pub(crate) version: Option<VersionKey>,
+    /// Whether the answer is buffered and rated, since a better version may follow.
     pub(crate) judge: bool,
-    /// Whether an answer before it was rejected.
+    /// Whether it follows a rejected answer.
     pub(crate) after: bool,
 }
 
-/// A service's queue, pace and budget.
+/// Queue, latencies and retry budget of a service.
 pub(crate) struct ServiceState {
     /// One flow for each customer.
     pub(crate) queue: FairQueue,
     pub(crate) running: u32,
-    /// Seconds that an attempt takes.
+    /// Duration of an attempt, in seconds.
     pub(crate) total: Mean,
-    /// The same by class of requests.
+    /// Duration of an attempt by class of requests, in seconds.
     pub(crate) total_by_class: BTreeMap<u8, Mean>,
+    /// Time to the first byte, in seconds.
     pub(crate) first_byte: Mean,
     pub(crate) budget: RetryBudget,
     pub(crate) learner: Learner,
-    /// Its place among the services of its pool.
+    /// Virtual time among the services of its pool.
     pub(crate) virtual_time: f64,
 }
 
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Seconds that an attempt of a class is expected to take.
+    /// Returns the expected duration of an attempt of a class, in seconds.
     pub(crate) fn expected_total(&self, class: u8) -> f64 {
         let service_mean = self.total.get_or(0.0);
         self.total_by_class
@@ -94,7 +96,7 @@
             .map_or(service_mean, |t| t.get_or(service_mean))
     }
 
-    /// Takes in how long an attempt took.
+    /// Records the duration of an attempt.
     pub(crate) fn took(&mut self, class: u8, seconds: f64) {
         self.total.add(seconds);
         let new_mean = || Mean::new(100.0);
@@ -105,17 +107,18 @@
     }
 }
 
-/// A pool's limit and use.
+/// Limit and use of a pool.
 pub(crate) struct PoolState {
     pub(crate) limit: Limit,
     pub(crate) running: u32,
     pub(crate) virtual_time: f64,
 }
 
-/// A customer's use.
+/// Rate, concurrency and demand of a customer.
 pub(crate) struct CustomerState {
     pub(crate) bucket: TokenBucket,
     pub(crate) under_way: u32,
+    /// This node's share of the customer's limits, from 0 to 1.
     pub(crate) share: f64,
     pub(crate) demand: Rate,
 }
--- a/crates/oatdale-policy/src/tickets.rs
+++ b/crates/oatdale-policy/src/tickets.rs
@@ -1,11 +1,11 @@
-//! A slab of requests whose tickets never name a later request by mistake.
+//! Slab of requests with generations, so that a stale ticket never refers to a later request.
 
 use crate::request::Ticket;
 
-/// Requests under way, reached by ticket.
+/// In-flight requests by ticket.
 ///
-/// A slot is used again once its request is over. The generation in the ticket tells the two
-/// requests apart; without it a late `finish` would end a stranger's request.
+/// A slot is reused once its request has ended. The generation in the ticket tells the two requests
+/// apart; without it, a late `finish` would end an unrelated request.
 pub(crate) struct Tickets<T> {
     slots: Vec<Slot<T>>,
     free: Vec<u32>,
@@ -74,6 +74,7 @@
             generation: 0,
             item: None,
         });
-        u32::try_from(self.slots.len() - 1).expect("admission bounds the requests under way")
+        u32::try_from(self.slots.len() - 1)
+            .expect("admission bounds the number of in-flight requests")
     }
 }
--- a/crates/oatdale-policy/src/trial.rs
+++ b/crates/oatdale-policy/src/trial.rs
@@ -1,33 +1,33 @@
-//! A sequential test that finds bad versions from counts alone.
+//! Sequential test that detects bad versions from counts alone.
 //!
-//! For each version and fault, the test compares how often the version was bad since its trial
-//! began with how often its model's other versions were. The statistic is a mean of likelihood
-//! ratios, which a healthy version raises above a bound of `1 / p` with probability at most `p`
-//! however often one looks (Ville's inequality). It needs only sums, so every node that has the
-//! same counts reaches the same decision.
+//! For each version and fault, the test compares the share of bad cases since the version's trial
+//! began with that of its model's other versions. The statistic is a mean of likelihood ratios,
+//! which a healthy version raises above a bound of `1 / p` with probability at most `p`, however
+//! often it is evaluated (Ville's inequality). It needs only sums, so every node that has the same
+//! counts reaches the same decision.
 
 use crate::choice::Catalogue;
 use crate::evidence::{Evidence, VersionCounters};
 use crate::rekey::Rekey;
 use oatdale_config::{Config, Key, VersionKey, VersionState};
 
-/// The logarithm of the bound that evidence must pass: one false stop in 1,000 healthy trials,
-/// shared by three faults.
+/// Natural logarithm of the evidence above which a version is stopped: one false stop in 1,000
+/// trials of healthy versions, shared by three faults.
 const LOG_EVIDENCE_BOUND: f64 = 8.006_367_567_650_246;
 
-/// Odds, relative to the usual ones, that the test looks for.
+/// Odds of a bad case, relative to the baseline, that the test looks for.
 const ODDS_RATIOS: [f64; 6] = [1.5, 2.0, 3.0, 5.0, 10.0, 30.0];
 
-/// Cases of other versions from which their share of bad ones can be told.
+/// Samples that are needed to derive a baseline from their share of bad cases.
 const MIN_REFERENCE_SAMPLES: u64 = 100;
 
-/// Standard deviations by which the other versions' share may be underestimated.
+/// Standard errors by which the reference's share of bad cases may be underestimated.
 const REFERENCE_STD_ERRORS: f64 = 1.0;
 
-/// Requests after which a trial begins anew, so that a long good past does not hide a change.
+/// Requests after which a trial restarts, so that a long good history does not hide a change.
 const MAX_TRIAL_REQUESTS: u64 = 4_000;
 
-/// What makes a version bad.
+/// Way in which a version is bad.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Fault {
     /// It fails more often than the model's other versions.
@@ -41,7 +41,7 @@
 impl Fault {
     const ALL: [Fault; 3] = [Fault::Errors, Fault::LowRatings, Fault::Slow];
 
-    /// Bad cases and all cases.
+    /// Returns the bad cases and all cases.
     fn cases(self, c: &VersionCounters) -> (u64, u64) {
         match self {
             Fault::Errors => (c.errors, c.requests),
@@ -50,7 +50,8 @@
         }
     }
 
-    /// The share of bad cases by which a version may exceed the others and still be healthy.
+    /// Returns the difference by which the share of bad cases of a healthy version may exceed that
+    /// of the others.
     fn tolerance(self) -> f64 {
         match self {
             Fault::Errors => 0.003,
@@ -58,7 +59,7 @@
         }
     }
 
-    /// The share of bad cases that is all right while there is nothing to compare with.
+    /// Returns the accepted share of bad cases while there is nothing to compare with.
     fn default_share(self) -> f64 {
         match self {
             Fault::Errors => 0.05,
@@ -73,13 +74,13 @@
 pub struct StopDecision {
     /// The version.
     pub version: VersionKey,
-    /// What is wrong with it.
+    /// The fault that was detected.
     pub fault: Fault,
-    /// Bad cases seen since the trial's start.
+    /// Bad cases since the start of the trial.
     pub bad: u64,
-    /// All cases seen since the trial's start.
+    /// All cases since the start of the trial.
     pub samples: u64,
-    /// The share of bad cases that would have been all right.
+    /// The share of bad cases up to which the version would not have been stopped.
     pub baseline_share: f64,
 }
 
@@ -88,7 +89,7 @@
     trials: Vec<Trial>,
 }
 
-/// Counts at a trial's start.
+/// Counters at the start of a trial.
 #[derive(Clone, Copy, Debug)]
 struct Trial {
     own: VersionCounters,
@@ -96,7 +97,7 @@
 }
 
 impl Trials {
-    /// Trials that begin with the first request.
+    /// Creates trials that begin with the first request.
     pub(crate) fn new(cfg: &Config) -> Self {
         let zero = |version| Trial {
             own: VersionCounters::zero(version),
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Begins a version's trial anew.
+    /// Restarts a version's trial.
     pub(crate) fn restart(&mut self, version: VersionKey, cfg: &Config, evidence: &Evidence) {
         self.trials[version.index()] = Trial {
             own: evidence.total(version),
@@ -115,10 +116,11 @@
         };
     }
 
-    /// Goes on with the trials of an earlier configuration.
+    /// Continues the trials of an earlier configuration.
     ///
-    /// The versions to compare with may be others now, so every trial begins anew; a version whose
-    /// state is as it was keeps its own counts as its past.
+    /// A trial restarts, with the version's counts so far as its history, unless the version's
+    /// state and the versions that it is compared with are the same as before: counts that were
+    /// compared with other versions say nothing now.
     pub(crate) fn take_over(
         &mut self,
         old: Trials,
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Judges every version that takes new work and begins long trials anew.
+    /// Tests every version that admits new work and restarts complete trials.
     pub(crate) fn judge(
         &mut self,
         cfg: &Config,
@@ -170,6 +172,7 @@
         stops
     }
 
+    /// Whether a version's trial has reached its maximum length.
     fn is_complete(&self, version: VersionKey, evidence: &Evidence) -> bool {
         let start = &self.trials[version.index()].own;
         evidence.total(version).since(start).requests >= MAX_TRIAL_REQUESTS
@@ -197,7 +200,7 @@
     }
 }
 
-/// Whether a version takes new work and can be stopped.
+/// Whether a version admits new work and can be stopped.
 fn is_on_trial(cfg: &Config, version: VersionKey) -> bool {
     match cfg.versions[version].state {
         VersionState::Canary { .. } | VersionState::Serving => true,
@@ -205,14 +208,14 @@
     }
 }
 
-/// The counts of the model's other serving versions together.
+/// Returns the summed counters of the model's other serving versions.
 fn reference_total(version: VersionKey, cfg: &Config, evidence: &Evidence) -> VersionCounters {
     references(version, cfg)
         .map(|other| evidence.total(other))
         .fold(VersionCounters::zero(version), |sum, c| sum.plus(&c))
 }
 
-/// The versions that a version is compared with: the model's other serving ones.
+/// Returns the versions that a version is compared with: the model's other serving ones.
 pub(crate) fn references(
     version: VersionKey,
     cfg: &Config,
@@ -225,7 +228,7 @@
         .filter(move |&v| v != version && cfg.versions[v].state == VersionState::Serving)
 }
 
-/// Whether a version has the state and the versions to compare with that it had before.
+/// Whether a version has the same state and is compared with the same versions as before.
 fn has_same_references(
     old: VersionKey,
     new: VersionKey,
@@ -242,8 +245,8 @@
     same_state && before == after
 }
 
-/// The share of bad cases that is all right: the other versions' since the trial began, else the
-/// version's own before it, else a fixed one.
+/// Returns the accepted share of bad cases: that of the other versions since the trial began, else
+/// the version's own before the trial, else a fixed one.
 fn baseline_share(
     fault: Fault,
     reference_total: &VersionCounters,
@@ -262,7 +265,8 @@
     (share + REFERENCE_STD_ERRORS * std_error + fault.tolerance()).min(0.99)
 }
 
-/// The logarithm of the mean likelihood ratio of worse shares against the usual one.
+/// Returns the logarithm of the mean likelihood ratio of higher shares of bad cases against the
+/// baseline.
 pub(crate) fn log_evidence(bad: u64, samples: u64, baseline_share: f64) -> f64 {
     let (bad, good) = (bad as f64, samples.saturating_sub(bad) as f64);
     let odds = baseline_share / (1.0 - baseline_share);
--- a/crates/oatdale-policy/src/tuning.rs
+++ b/crates/oatdale-policy/src/tuning.rs
@@ -1,30 +1,30 @@
-//! Switches by which measurements compare a decision with its simpler form.
+//! Switches with which measurements compare a decision with a simpler alternative.
 
-/// How a router decides where a simpler way exists; nodes use the default.
+/// Selects between the rules of the router and simpler ones; nodes use the default.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct Tuning {
-    /// What bounds retries.
+    /// Limit on retries.
     pub retries: Retries,
-    /// Which of a customer's waiting requests goes first.
+    /// Order of a customer's queued requests.
     pub order: Order,
 }
 
-/// What bounds retries, beside the number of attempts of one request.
+/// Limit on retries, besides the number of attempts of one request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum Retries {
-    /// A budget for each service.
+    /// One budget for each service.
     #[default]
     Budget,
-    /// Nothing.
+    /// No limit.
     Unlimited,
 }
 
-/// Which of a customer's waiting requests goes first.
+/// Order of a customer's queued requests.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum Order {
-    /// The one that came first.
+    /// Order of arrival.
     Arrival,
-    /// The one whose session has come furthest.
+    /// By the number of earlier requests of the session, highest first.
     #[default]
     Progress,
 }
--- a/crates/oatdale-policy/src/version_rule.rs
+++ b/crates/oatdale-policy/src/version_rule.rs
@@ -1,8 +1,8 @@
-//! The rules of a version's states and of a stop; the node and the specification share them.
+//! Admission rules by a version's state and stop, shared by the node and the specification.
 
 use oatdale_config::{Revision, VersionState};
 
-/// What sort of work wants a version.
+/// Kind of work for which a version is requested.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Work {
     /// A new session or a request outside any session.
@@ -11,7 +11,7 @@
     Pinned,
 }
 
-/// Whether a version takes work, by its state in the text and the stop recorded beside it.
+/// Whether a version admits work, by its configured state and the stop recorded beside it.
 ///
 /// ```
 /// use oatdale_config::VersionState;
@@ -30,11 +30,11 @@
     }
 }
 
-/// Whether a stop decided at one revision still holds, where `spoken_at` is the newest revision
-/// known that changed what the text says of the version.
+/// Whether a stop decided at one revision still holds; `changed_at` is the newest known revision
+/// that changed the version's configuration.
 ///
-/// A node that has not seen the newer revision keeps the stop. A node that has not seen the stop
-/// can't end it, since only a revision above the stop's does.
+/// A node that has not received the newer revision keeps the stop. A node that has not received the
+/// stop can't end it, since only a revision above the stop's does.
 pub fn stop_holds(stopped_at: Revision, changed_at: Revision) -> bool {
     changed_at <= stopped_at
 }
--- a/crates/oatdale-policy/tests/router/learning.rs
+++ b/crates/oatdale-policy/tests/router/learning.rs
@@ -1,4 +1,4 @@
-//! Cascades, evidence against bad versions and what outlives a new configuration.
+//! Cascades, evidence against bad versions, and state that survives a new configuration.
 
 use crate::fixture::{
     Shape, ask, complete, customer, desk, endpoint, outcome, planner, run, secs, version, wait,
@@ -22,7 +22,7 @@
     shape_with_canary().router()
 }
 
-/// Counts of a node that saw a version fail in `errors` of 400 requests.
+/// Counters of a node on which `errors` of 400 requests to a version failed.
 fn counters_with_errors(index: usize, errors: u64) -> VersionCounters {
     VersionCounters {
         requests: 400,
@@ -31,9 +31,8 @@
     }
 }
 
-// A volunteer reads a draft while it is generated. If the router kept the answer back to have it
-// rated, nothing would be seen until the whole draft was there: a second and a half in place of a
-// twentieth.
+// Guards against buffering a streamed answer for its rating: the caller would get the first byte
+// only with the last one, after 1.5 s instead of 0.05 s.
 #[test]
 fn streamed_answer_is_not_buffered_if_latency_outweighs_cost() {
     let mut router = Shape {
@@ -56,7 +55,9 @@
             Next::Done
         );
         let rating = f64::from(u8::from(good));
-        let version = dispatch.version.expect("a model answers");
+        let version = dispatch
+            .version
+            .expect("a dispatch to a model service has a version");
         router.observe_rating(now, planner(), 0, version, rating);
     }
 }
@@ -90,7 +91,7 @@
     assert!(escalated > 0);
 }
 
-/// A licence summary must not run twice, so its first answer is its last, however it is rated.
+/// A request that must not run twice gets its first answer, however that is rated.
 #[test]
 fn non_idempotent_request_is_never_escalated() {
     let mut router = Shape {
@@ -111,8 +112,8 @@
     }
 }
 
-/// A canary fails in a third of its requests at two other nodes while this one has seen nothing.
-/// Callers there get errors; no operator is awake. The nodes' counts together must stop it.
+/// A canary fails a third of its requests at another node, while this one has sent it none. The
+/// counters of the nodes together must stop it, without an operator.
 #[test]
 fn evidence_of_other_nodes_stops_a_bad_canary() {
     let mut router = router_with_canary();
@@ -133,9 +134,9 @@
     assert!(router.take_stops(secs(2.0)).is_empty());
 }
 
-/// A customer sets a timeout of 20 ms at a node that has not learned yet that answers take ten times
-/// as long. The endpoints and versions are sound. Counted against them, a few such requests would
-/// stop the canary on every node and leave all customers without an endpoint.
+/// A customer sets a timeout of 20 ms at a node that has not learned yet that answers take ten
+/// times as long. Endpoints and versions are healthy. If such timeouts counted against them, a few
+/// would stop the canary on every node and leave all customers without an endpoint.
 #[test]
 fn timeouts_far_below_the_usual_latency_are_no_evidence() {
     let mut router = router_with_canary();
@@ -164,8 +165,8 @@
     run(router.offer(now, &ask(now, 1)));
 }
 
-/// A canary hangs, and callers wait for five seconds where answers take 0.2 s. They gave it time
-/// enough: it must be stopped, although the service's own deadline is twice that.
+/// A canary hangs, and callers time out after 5 s where answers take 0.2 s. These timeouts are long
+/// enough to count against it, although the deadline of the service is twice as long.
 #[test]
 fn hanging_version_is_stopped_by_timeouts_below_the_service_deadline() {
     let mut router = router_with_canary();
@@ -195,8 +196,8 @@
     assert_eq!(stops[0].version, version(1));
 }
 
-/// Everything fails alike because a rack is down. Stopping the canary would blame the wrong cause
-/// and hold up a healthy roll-out.
+/// All versions fail alike because a rack is down. Stopping the canary would attribute this to the
+/// wrong cause and delay a healthy rollout.
 #[test]
 fn canary_is_not_stopped_if_all_versions_fail_alike() {
     let mut router = router_with_canary();
@@ -207,7 +208,7 @@
     assert!(router.take_stops(secs(1.0)).is_empty());
 }
 
-/// Gossip delivers a report twice and an older one last. Counting them again would double the
+/// Gossip delivers a report twice, and an older one last. Counting them again would double the
 /// errors and stop a healthy version.
 #[test]
 fn duplicate_and_outdated_reports_are_ignored() {
@@ -226,8 +227,8 @@
     }
 }
 
-/// The only version that customer 1 may use turns bad. Stopping it would leave that customer
-/// without any answer, so it stays until an operator decides.
+/// The only version that customer 1 may use fails. Stopping it would leave that customer without
+/// any answer, so it is not stopped until an operator decides.
 #[test]
 fn last_version_of_a_customer_is_not_stopped() {
     let mut router = Shape::default().router();
@@ -259,8 +260,8 @@
     );
 }
 
-/// An operator removes a service while requests wait for it. They must get their answer now and
-/// not wait for a turn that never comes.
+/// A service is removed while requests are queued for it. They must be refused at once, not wait
+/// for a turn that never comes.
 #[test]
 fn queued_requests_of_a_removed_service_are_refused() {
     let mut router = Shape::default().router();
@@ -287,8 +288,8 @@
     assert_eq!(router.next_turn(secs(0.1)), None);
 }
 
-/// Nothing finishes for a while and callers keep coming. Whoever could not be served in time is
-/// told at once when to come back, while the queue stays short enough to be served.
+/// Requests arrive while none completes. Those that cannot be served in time are refused at once
+/// with a retry delay, while the queue stays short enough to be served.
 #[test]
 fn requests_that_cannot_meet_their_deadline_are_refused_immediately() {
     let mut router = Shape::default().router();
@@ -306,16 +307,16 @@
             Offer::Refuse(refusal) => {
                 assert_eq!(refusal.reason, RefusalReason::Overload);
                 assert!(refusal.retry_after.is_some());
-                assert!((12..60).contains(&waiting), "{waiting} wait");
+                assert!((12..60).contains(&waiting), "{waiting} queued");
                 return;
             }
         }
     }
-    panic!("{waiting} wait and none was refused");
+    panic!("no request was refused with {waiting} queued");
 }
 
-/// All endpoints of the session's version fail it. The session must not go on with another
-/// version, not even to save the request.
+/// All endpoints of the session's version fail a request. The session must not continue with
+/// another version, even though that might save the request.
 #[test]
 fn retries_of_a_pinned_request_keep_its_version() {
     let mut router = Shape::default().router();
@@ -333,14 +334,14 @@
         match router.finish(secs(0.1), dispatch.ticket, &broken) {
             Next::Run(next) => dispatch = next,
             Next::Refuse(_) => return,
-            Next::Done => panic!("a broken answer is not whole"),
+            Next::Done => panic!("a broken attempt was reported as done"),
         }
     }
 }
 
-/// The router stops a bad canary while the platform's service is down, so no record of the stop
-/// exists yet. Then an operator changes something else. The node sets the recorded stops anew,
-/// and if that cleared the router's own decision, callers would get the bad version again.
+/// The router stops a bad canary while the platform is unavailable, so that the stop is not
+/// recorded yet. An unrelated configuration change follows. The node sets the recorded stops again;
+/// if that cleared the router's own decision, callers would get the bad version again.
 #[test]
 fn unrecorded_stop_survives_unrelated_configuration_changes() {
     let mut router = router_with_canary();
@@ -378,19 +379,22 @@
     let mut shape = shape_with_canary();
     shape.states[1] = VersionState::Canary { share: 0.6 };
     router.reconfigure(secs(2.0), shape.config());
-    assert!(router.take_stops(secs(2.0)).is_empty(), "old evidence");
+    assert!(
+        router.take_stops(secs(2.0)).is_empty(),
+        "evidence from before the change counted"
+    );
     assert!(count_sessions_on_canary(&mut router) > 0);
 }
 
-/// Sessions of a hundred that open on the canary.
+/// Opens 100 sessions and counts those on the canary.
 fn count_sessions_on_canary(router: &mut Router) -> usize {
     let opened = |i| router.open_session(secs(3.0), customer(0), planner(), i);
     let versions = (0..100).map(opened).filter_map(Result::ok);
     versions.filter(|(v, _)| *v == version(1)).count()
 }
 
-/// Only the cheap version is loaded anywhere. Holding its answers back for a rating would cost
-/// time for nothing, since no better version can follow.
+/// Only the cheap version is loaded on any engine. Buffering its answers for a rating would cost
+/// time without benefit, since no better version can follow.
 #[test]
 fn answer_is_not_buffered_if_no_engine_has_a_better_version() {
     let mut router = Shape {
@@ -417,8 +421,8 @@
     }
 }
 
-/// An operator renames a service while its requests run. If the places that these requests held
-/// at the endpoints were never given back, the new service would find the pool full for ever.
+/// A service is renamed while its requests are in flight. If the slots that they use at the
+/// endpoints were never released, the pool would stay full for the new service.
 #[test]
 fn requests_of_a_removed_service_release_their_slots() {
     let mut router = Shape::default().router();
