--- a/crates/oatdale-policy/src/cascade.rs
+++ b/crates/oatdale-policy/src/cascade.rs
@@ -312,7 +312,7 @@
         ask: &Ask,
         versions: &[VersionKey],
     ) -> SmallVec<[VersionForecast; 64]> {
-        let last = versions.len().saturating_sub(1).max(1) as f64;
+        let last_rank = versions.len().saturating_sub(1).max(1) as f64;
         let class = self.classes.get(&ask.class);
         let default_stats = VersionStats::default();
         versions
@@ -322,7 +322,7 @@
                 let stats = class.and_then(|c| c.versions.get(version.index()));
                 let stats = stats.unwrap_or(&default_stats);
                 let prior = PRIOR_ACCEPTANCE.0
-                    + (PRIOR_ACCEPTANCE.1 - PRIOR_ACCEPTANCE.0) * rank as f64 / last;
+                    + (PRIOR_ACCEPTANCE.1 - PRIOR_ACCEPTANCE.0) * rank as f64 / last_rank;
                 let direct_acceptance = stats.direct_acceptance.get(prior);
                 let price = cfg.versions[version].price;
                 let output = stats.output.get_or(f64::from(ask.output_tokens));
--- a/crates/oatdale-policy/src/cascade/sequence.rs
+++ b/crates/oatdale-policy/src/cascade/sequence.rs
@@ -90,8 +90,8 @@
 }
 
 /// Returns the quality that a version adds to that of the next cheaper one.
-pub(super) fn quality_gain(front: &[VersionForecast], at: usize) -> f64 {
-    front[at].direct_acceptance - front[at - 1].direct_acceptance
+pub(super) fn quality_gain(front: &[VersionForecast], index: usize) -> f64 {
+    front[index].direct_acceptance - front[index - 1].direct_acceptance
 }
 
 /// Returns the sequence with the highest utility; a single version unless `may_cascade`.
--- a/crates/oatdale-policy/src/endpoints.rs
+++ b/crates/oatdale-policy/src/endpoints.rs
@@ -101,15 +101,15 @@
         e: EndpointKey,
         holds: Option<Vec<VersionKey>>,
     ) {
-        let held_versions = |endpoints: &Self| -> Vec<VersionKey> {
+        let loaded_versions = |endpoints: &Self| -> Vec<VersionKey> {
             cfg.versions
                 .keys()
-                .filter(|&v| endpoints.holds(cfg, e, v))
+                .filter(|&v| endpoints.has_loaded(cfg, e, v))
                 .collect()
         };
-        let before = held_versions(self);
+        let before = loaded_versions(self);
         self.states[e.index()].holds = holds;
-        let after = held_versions(self);
+        let after = loaded_versions(self);
         let changed = cfg
             .versions
             .keys()
@@ -121,7 +121,7 @@
 
     fn rebuild_subset(&mut self, cfg: &Config, pool: PoolKey, version: VersionKey) {
         let all = cfg.pools[pool].endpoints.iter().copied();
-        let subset = self.select_subset(all.filter(|&e| self.holds(cfg, e, version)));
+        let subset = self.select_subset(all.filter(|&e| self.has_loaded(cfg, e, version)));
         let index = self.subset_index(pool, Some(version));
         self.subsets[index] = subset;
     }
@@ -306,7 +306,7 @@
         self.states[e.index()].score(cfg.endpoints[e].concurrency, 1.0)
     }
 
-    fn holds(&self, cfg: &Config, e: EndpointKey, version: VersionKey) -> bool {
+    fn has_loaded(&self, cfg: &Config, e: EndpointKey, version: VersionKey) -> bool {
         match &self.states[e.index()].holds {
             Some(versions) => versions.contains(&version),
             None => cfg.endpoints[e].versions.contains(&version),
