--- a/crates/oatdale-policy/src/bucket.rs
+++ b/crates/oatdale-policy/src/bucket.rs
@@ -1,27 +1,27 @@
-//! A token bucket for a customer's rate.
+//! Token bucket for a customer's request rate.
 
 use std::time::Duration;
 
-/// How much unused rate may be saved up.
-const BURST: Duration = Duration::from_secs(2);
+/// Time for which unused rate accumulates; bounds the size of a burst.
+const BURST_WINDOW: Duration = Duration::from_secs(2);
 
-/// Tokens that refill at a rate which may change at any time.
+/// Token bucket whose refill rate may change at any time.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Bucket {
+pub(crate) struct TokenBucket {
     tokens: f64,
-    at: Duration,
+    refilled_at: Duration,
 }
 
-impl Bucket {
-    /// A full bucket.
+impl TokenBucket {
+    /// Creates a full bucket.
     pub(crate) fn new(now: Duration, rate: f64) -> Self {
-        Bucket {
-            tokens: burst(rate),
-            at: now,
+        TokenBucket {
+            tokens: capacity(rate),
+            refilled_at: now,
         }
     }
 
-    /// How long until a token is there; zero when it is there now.
+    /// Returns the time until a token is available; zero if one is available now.
     pub(crate) fn wait(&mut self, now: Duration, rate: f64) -> Duration {
         self.refill(now, rate);
         match 1.0 - self.tokens {
@@ -30,19 +30,20 @@
         }
     }
 
-    /// Takes one token, which [`Bucket::wait`] found to be there.
+    /// Takes one token, which [`TokenBucket::wait`] found to be available.
     pub(crate) fn take(&mut self) {
         self.tokens -= 1.0;
     }
 
     fn refill(&mut self, now: Duration, rate: f64) {
-        let spent = now.saturating_sub(self.at).as_secs_f64();
-        self.tokens = (self.tokens + spent * rate).min(burst(rate));
-        self.at = self.at.max(now);
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.tokens = (self.tokens + elapsed * rate).min(capacity(rate));
+        self.refilled_at = self.refilled_at.max(now);
     }
 }
 
-/// At least one token, or a rate below one request in [`BURST`] would never let any through.
-fn burst(rate: f64) -> f64 {
-    (rate * BURST.as_secs_f64()).max(1.0)
+/// Returns the largest number of tokens: at least one, or a rate below one request per
+/// [`BURST_WINDOW`] would never admit any.
+fn capacity(rate: f64) -> f64 {
+    (rate * BURST_WINDOW.as_secs_f64()).max(1.0)
 }
--- a/crates/oatdale-policy/src/choice.rs
+++ b/crates/oatdale-policy/src/choice.rs
@@ -1,4 +1,4 @@
-//! Which versions may serve a request, and in which order to try them.
+//! Selection of the versions that may serve a request, and the order in which they are tried.
 
 use crate::endpoints::mix;
 use crate::request::{Ask, RefusalReason, Session, VersionReason};
@@ -9,20 +9,20 @@
 /// Versions in some order.
 pub(crate) type Versions = SmallVec<[VersionKey; 8]>;
 
-/// Plans in the order of preference.
+/// Plans in order of preference.
 pub(crate) type Plans = SmallVec<[Plan; 4]>;
 
-/// Versions to ask one after the other until an answer is good enough.
+/// Versions to try one after the other until an answer is accepted.
 #[derive(Clone, PartialEq, Debug)]
 pub(crate) struct Plan {
     /// The steps; empty for plain services.
     pub(crate) steps: Versions,
-    /// Why it starts with its first step.
+    /// Reason for the version of the first step.
     pub(crate) why: VersionReason,
 }
 
 impl Plan {
-    /// The plan of a request to a plain service.
+    /// Creates the plan of a request to a plain service.
     pub(crate) fn plain() -> Self {
         Plan {
             steps: Versions::new(),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// A plan of one version.
+    /// Creates a plan of one version.
     pub(crate) fn single(version: VersionKey, why: VersionReason) -> Self {
         Plan {
             steps: SmallVec::from_slice(&[version]),
@@ -39,80 +39,81 @@
     }
 }
 
-/// What may serve a request.
+/// Versions that may serve a request.
 #[derive(Clone, PartialEq, Debug)]
 pub(crate) enum Candidates {
     /// Any endpoint of a plain service.
     Plain,
     /// The session's version.
     Pinned(VersionKey),
-    /// A canary whose share the request falls into, where nothing else takes new work.
+    /// A canary whose share includes the request, if no serving version admits new work.
     Canary(VersionKey),
-    /// What [`Catalogue::serving`] gives; never empty.
+    /// The versions that [`Catalogue::serving`] returns; at least one.
     Serving,
 }
 
 /// Versions of each service, cheapest first, and which of them are stopped.
 pub(crate) struct Catalogue {
     by_price: Vec<Versions>,
-    /// Stops that are recorded beside the text.
-    recorded: Vec<bool>,
-    /// Stops that this router decided and that no record covers yet.
-    decided: Vec<bool>,
+    /// Whether a stop is recorded beside the configuration, by version.
+    recorded_stops: Vec<bool>,
+    /// Whether this router decided a stop that no record covers yet, by version.
+    local_stops: Vec<bool>,
 }
 
 impl Catalogue {
     pub(crate) fn new(cfg: &Config) -> Self {
         Catalogue {
             by_price: cfg.services.keys().map(|s| by_price(cfg, s)).collect(),
-            recorded: vec![false; cfg.versions.len()],
-            decided: vec![false; cfg.versions.len()],
+            recorded_stops: vec![false; cfg.versions.len()],
+            local_stops: vec![false; cfg.versions.len()],
         }
     }
 
-    /// The versions of all models of a service, cheapest first.
-    pub(crate) fn of(&self, service: ServiceKey) -> &[VersionKey] {
+    /// Returns the versions of all models of a service, cheapest first.
+    pub(crate) fn versions_of(&self, service: ServiceKey) -> &[VersionKey] {
         &self.by_price[service.index()]
     }
 
     pub(crate) fn is_stopped(&self, version: VersionKey) -> bool {
-        self.recorded[version.index()] || self.decided[version.index()]
+        self.recorded_stops[version.index()] || self.local_stops[version.index()]
     }
 
-    /// Takes in whether a stop is recorded.
+    /// Sets whether a stop is recorded.
     ///
-    /// A record takes the place of this router's own decision and ends with it. That there is no
-    /// record yet says nothing against the decision: the record may still be on its way, and a
-    /// node that took this for the stop's end would let callers have the bad version again.
+    /// A record replaces this router's own decision, which then ends with the record. A missing
+    /// record does not revoke the decision: it may still be in flight, and a node that took its
+    /// absence for the end of the stop would serve the bad version again.
     pub(crate) fn set_recorded(&mut self, version: VersionKey, recorded: bool) {
-        self.recorded[version.index()] = recorded;
+        self.recorded_stops[version.index()] = recorded;
         if recorded {
-            self.decided[version.index()] = false;
+            self.local_stops[version.index()] = false;
         }
     }
 
     /// Stops a version by this router's own decision.
     pub(crate) fn decide(&mut self, version: VersionKey) {
-        self.decided[version.index()] = true;
+        self.local_stops[version.index()] = true;
     }
 
-    /// Takes over a version's stops from an earlier configuration; a decision ends if the text
-    /// says something else of the version now.
+    /// Takes over a version's stops from an earlier configuration; the router's own decision ends
+    /// if the version's configuration has changed.
     pub(crate) fn take_over(
         &mut self,
         version: VersionKey,
         old: (&Catalogue, VersionKey),
-        spoken_of: bool,
+        has_changed: bool,
     ) {
         let (catalogue, key) = old;
-        self.recorded[version.index()] = catalogue.recorded[key.index()];
-        self.decided[version.index()] = catalogue.decided[key.index()] && !spoken_of;
+        self.recorded_stops[version.index()] = catalogue.recorded_stops[key.index()];
+        self.local_stops[version.index()] = catalogue.local_stops[key.index()] && !has_changed;
     }
 
-    /// Whether a version may serve this request now, by its state, its stop and the customer.
+    /// Whether a version may serve this request now, by its state, its stop and the customer's
+    /// permissions.
     ///
-    /// Every path that sends a request asks here: first choice, cascade, retry, turn from the
-    /// queue and session.
+    /// Every path that sends a request checks this or [`Catalogue::serving`]: first choice,
+    /// cascade, retry, dequeueing and session.
     pub(crate) fn permits(&self, cfg: &Config, ask: &Ask, version: VersionKey) -> bool {
         let Some(item) = cfg.versions.get(version) else {
             return false;
@@ -123,22 +124,22 @@
         };
         admits(item.state, self.is_stopped(version), work)
             && cfg.allows(ask.customer, version)
-            && self.of(ask.service).contains(&version)
+            && self.versions_of(ask.service).contains(&version)
     }
 
-    /// Versions in state `serving` that may serve this new request, cheapest first.
+    /// Returns the versions in state `serving` that may serve this new request, cheapest first.
     pub(crate) fn serving(&self, cfg: &Config, ask: &Ask) -> impl Iterator<Item = VersionKey> {
         let customer = ask.customer;
-        self.of(ask.service)
+        self.versions_of(ask.service)
             .iter()
             .copied()
             .filter(|&v| cfg.versions[v].state == VersionState::Serving)
             .filter(move |&v| !self.is_stopped(v) && cfg.allows(customer, v))
     }
 
-    /// The canary whose share the request falls into, if any.
+    /// Returns the canary whose share includes the request, if any.
     ///
-    /// With `instead_of`, only canaries of that version's model are looked at, since a share is a
+    /// With `instead_of`, only canaries of that version's model are considered, since a share is a
     /// share of its model's new work.
     pub(crate) fn canary(
         &self,
@@ -147,8 +148,8 @@
         instead_of: Option<VersionKey>,
     ) -> Option<VersionKey> {
         let model = instead_of.map(|v| cfg.versions[v].model);
-        let mut bands: SmallVec<[(oatdale_config::ModelKey, f64); 4]> = SmallVec::new();
-        for &version in self.of(ask.service) {
+        let mut allocated: SmallVec<[(oatdale_config::ModelKey, f64); 4]> = SmallVec::new();
+        for &version in self.versions_of(ask.service) {
             let item = &cfg.versions[version];
             let VersionState::Canary { share } = item.state else {
                 continue;
@@ -156,56 +157,56 @@
             if model.is_some_and(|m| m != item.model) {
                 continue;
             }
-            let used = bands.iter().find(|(m, _)| *m == item.model);
-            let from = used.map_or(0.0, |(_, to)| *to);
-            bands.retain(|(m, _)| *m != item.model);
-            bands.push((item.model, from + share));
-            let place = place(ask.draw, item.model.index());
-            let inside = place >= from && place < from + share;
-            if inside && self.permits(cfg, ask, version) {
+            let used = allocated.iter().find(|(m, _)| *m == item.model);
+            let start = used.map_or(0.0, |(_, end)| *end);
+            allocated.retain(|(m, _)| *m != item.model);
+            allocated.push((item.model, start + share));
+            let position = position(ask.draw, item.model.index());
+            let is_in_share = position >= start && position < start + share;
+            if is_in_share && self.permits(cfg, ask, version) {
                 return Some(version);
             }
         }
         None
     }
 
-    /// Whether every customer keeps a serving version for each service if this one is stopped.
+    /// Whether a version may be stopped: every customer keeps a serving version for each service.
     ///
     /// Stopping a customer's last version would turn some bad answers into none at all. A canary
-    /// is stopped in any case: it was never meant to carry its model alone.
-    pub(crate) fn can_do_without(&self, cfg: &Config, version: VersionKey) -> bool {
+    /// may always be stopped, since it is not meant to serve its model alone.
+    pub(crate) fn can_stop(&self, cfg: &Config, version: VersionKey) -> bool {
         if let VersionState::Canary { .. } = cfg.versions[version].state {
             return true;
         }
         cfg.customers
             .keys()
             .filter(|&customer| cfg.allows(customer, version))
-            .all(|customer| self.customer_can_do_without(cfg, customer, version))
+            .all(|customer| self.customer_has_alternative(cfg, customer, version))
     }
 
-    fn customer_can_do_without(
+    fn customer_has_alternative(
         &self,
         cfg: &Config,
         customer: CustomerKey,
         version: VersionKey,
     ) -> bool {
-        let is_other = |v: VersionKey| {
+        let is_alternative = |v: VersionKey| {
             let serves = cfg.versions[v].state == VersionState::Serving;
             v != version && serves && !self.is_stopped(v) && cfg.allows(customer, v)
         };
         cfg.customers[customer]
             .services
             .iter()
-            .map(|&service| self.of(service))
+            .map(|&service| self.versions_of(service))
             .filter(|versions| versions.contains(&version))
-            .all(|versions| versions.iter().any(|&v| is_other(v)))
+            .all(|versions| versions.iter().any(|&v| is_alternative(v)))
     }
 
-    /// What may serve a request now.
+    /// Returns the versions that may serve a request now.
     ///
     /// # Errors
     ///
-    /// Says why nothing may.
+    /// Returns the reason if none may.
     pub(crate) fn candidates(&self, cfg: &Config, ask: &Ask) -> Result<Candidates, RefusalReason> {
         if let ServiceKind::Plain = cfg.services[ask.service].kind {
             return Ok(Candidates::Plain);
@@ -236,10 +237,10 @@
     }
 }
 
-/// The place of a request in its model's shares, from 0 to 1.
-fn place(draw: u64, model: usize) -> f64 {
-    let spread = mix(draw ^ mix(model as u64));
-    (spread >> 11) as f64 / (1_u64 << 53) as f64
+/// Returns the position of a request in its model's canary shares, from 0 to 1.
+fn position(draw: u64, model: usize) -> f64 {
+    let hash = mix(draw ^ mix(model as u64));
+    (hash >> 11) as f64 / (1_u64 << 53) as f64
 }
 
 fn by_price(cfg: &Config, service: ServiceKey) -> Versions {
--- a/crates/oatdale-policy/src/endpoints.rs
+++ b/crates/oatdale-policy/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! Choice of an endpoint among the few that this node uses for a pool and version.
+//! Selection of an endpoint from the subset that this node uses for a pool and version.
 
 use crate::endpoint::EndpointState;
 use crate::request::EndpointReason;
@@ -8,35 +8,36 @@
 use smallvec::SmallVec;
 use std::time::Duration;
 
-/// How many endpoints a node uses for one pool and version.
+/// Endpoints that a node uses for one pool and version.
 ///
-/// The fleet may have thousands; a node that spoke to each would hold a connection and a view of
-/// load for each, and would hear of each too rarely to judge it.
-pub(crate) const SUBSET: usize = 64;
+/// The fleet may have thousands; a node that used all of them would keep a connection and load data
+/// for each, and would get reports and answers of each too rarely to judge it.
+pub(crate) const SUBSET_SIZE: usize = 64;
 
-/// An endpoint chosen by its prefix cache may be this much worse than the other choice.
-const AFFINITY_SLACK: f64 = 2.0;
+/// Factor by which the score of an endpoint chosen for its prefix cache may exceed that of the
+/// other choice.
+const AFFINITY_SCORE_FACTOR: f64 = 2.0;
 
-/// A surging service leaves one place in this many free at each endpoint.
-const ROOM_PART: u32 = 8;
+/// A surging service leaves one slot in this many free at each endpoint.
+const SURGE_RESERVE_DIVISOR: u32 = 8;
 
-/// An endpoint is nearly full from this part of its places on.
-const NEARLY_FULL: f64 = 0.9;
+/// Fraction of its slots above which an endpoint counts as nearly full.
+const NEARLY_FULL_FRACTION: f64 = 0.9;
 
 /// Some of the endpoints that this node uses.
-type Keys = SmallVec<[EndpointKey; SUBSET]>;
+type EndpointKeys = SmallVec<[EndpointKey; SUBSET_SIZE]>;
 
-/// What a choice has to heed.
+/// Constraints on the selection of an endpoint.
 #[derive(Clone, Copy)]
 pub(crate) struct Wish<'a> {
     pub(crate) pool: PoolKey,
     pub(crate) version: Option<VersionKey>,
-    /// A hash of the prompt's beginning, if its cache may help.
+    /// Hash of the prompt's prefix, if a prefix cache may help.
     pub(crate) prefix: Option<u64>,
     /// Endpoints that have failed this request.
     pub(crate) tried: &'a [EndpointKey],
-    /// This node's part of the pool's load, if the request has to leave room for other services
-    /// at each endpoint.
+    /// This node's share of the pool's load, if the request must leave room for other services at
+    /// each endpoint.
     pub(crate) leave_room: Option<f64>,
 }
 
@@ -52,7 +53,7 @@
 pub(crate) struct Endpoints {
     pub(crate) states: Vec<EndpointState>,
     subsets: Vec<Vec<EndpointKey>>,
-    /// Each endpoint's place in this node's order of preference.
+    /// Rank of each endpoint in this node's order of preference.
     ranks: Vec<u64>,
     versions: usize,
     pub(crate) domain: Option<DomainKey>,
@@ -77,67 +78,68 @@
         endpoints
     }
 
-    /// Works all subsets out anew after the configuration changed.
+    /// Recomputes all subsets after a configuration change.
     pub(crate) fn rebuild(&mut self, cfg: &Config) {
         self.versions = cfg.versions.len();
         self.subsets = vec![Vec::new(); cfg.pools.len() * (self.versions + 1)];
         for (pool, item) in cfg.pools.iter() {
-            let at = self.place(pool, None);
-            self.subsets[at] = self.subset(item.endpoints.iter().copied());
+            let index = self.subset_index(pool, None);
+            self.subsets[index] = self.select_subset(item.endpoints.iter().copied());
             for version in cfg.versions.keys() {
-                self.rebuild_one(cfg, pool, version);
+                self.rebuild_subset(cfg, pool, version);
             }
         }
     }
 
-    /// Takes in which versions an endpoint reports as loaded.
+    /// Records which versions an endpoint reports as loaded.
     ///
-    /// Only the subsets of versions that it gained or lost are worked out anew: thousands of
-    /// engines report their versions when a node starts, most of them as the text has it.
+    /// Only the subsets of versions that it gained or lost are recomputed: thousands of engines
+    /// report their versions when a node starts, most of them as configured.
     pub(crate) fn set_holds(
         &mut self,
         cfg: &Config,
         e: EndpointKey,
         holds: Option<Vec<VersionKey>>,
     ) {
-        let held = |endpoints: &Self| -> Vec<VersionKey> {
+        let loaded_versions = |endpoints: &Self| -> Vec<VersionKey> {
             cfg.versions
                 .keys()
-                .filter(|&v| endpoints.holds(cfg, e, v))
+                .filter(|&v| endpoints.has_loaded(cfg, e, v))
                 .collect()
         };
-        let before = held(self);
+        let before = loaded_versions(self);
         self.states[e.index()].holds = holds;
-        let after = held(self);
+        let after = loaded_versions(self);
         let changed = cfg
             .versions
             .keys()
             .filter(|v| before.contains(v) != after.contains(v));
         for version in changed {
-            self.rebuild_one(cfg, cfg.endpoints[e].pool, version);
+            self.rebuild_subset(cfg, cfg.endpoints[e].pool, version);
         }
     }
 
-    fn rebuild_one(&mut self, cfg: &Config, pool: PoolKey, version: VersionKey) {
+    fn rebuild_subset(&mut self, cfg: &Config, pool: PoolKey, version: VersionKey) {
         let all = cfg.pools[pool].endpoints.iter().copied();
-        let subset = self.subset(all.filter(|&e| self.holds(cfg, e, version)));
-        let at = self.place(pool, Some(version));
-        self.subsets[at] = subset;
+        let subset = self.select_subset(all.filter(|&e| self.has_loaded(cfg, e, version)));
+        let index = self.subset_index(pool, Some(version));
+        self.subsets[index] = subset;
     }
 
-    fn place(&self, pool: PoolKey, version: Option<VersionKey>) -> usize {
+    fn subset_index(&self, pool: PoolKey, version: Option<VersionKey>) -> usize {
         let offset = version.map_or(0, |v| v.index() + 1);
         pool.index() * (self.versions + 1) + offset
     }
 
-    /// The endpoints that this node uses for a pool and version; all versions for `None`.
+    /// Returns the endpoints that this node uses for a pool and version; `None` stands for all
+    /// versions.
     pub(crate) fn used(&self, pool: PoolKey, version: Option<VersionKey>) -> &[EndpointKey] {
         self.subsets
-            .get(self.place(pool, version))
+            .get(self.subset_index(pool, version))
             .map_or(&[], Vec::as_slice)
     }
 
-    /// Whether any endpoint of the pool that holds the version is worth asking.
+    /// Whether any endpoint of the pool that has loaded the version is available.
     pub(crate) fn any_live(
         &self,
         now: Duration,
@@ -149,51 +151,54 @@
             .any(|e| self.states[e.index()].is_live(now))
     }
 
-    /// This node's part of all requests at the pool's endpoints.
+    /// Returns this node's share of all requests at the pool's endpoints, with one more of its own.
     pub(crate) fn share(&self, pool: PoolKey, running: u32) -> f64 {
         let used = self.used(pool, None).iter();
-        let others: f64 = used.map(|e| self.states[e.index()].others()).sum();
+        let others_load: f64 = used.map(|e| self.states[e.index()].others_load()).sum();
         let own = f64::from(running) + 1.0;
-        own / (own + others)
+        own / (own + others_load)
     }
 
-    /// The earliest end of a pause after failures.
+    /// Returns the earliest end of a back-off after failures.
     pub(crate) fn next_pause_end(&self, now: Duration, pool: PoolKey) -> Option<Duration> {
         self.used(pool, None)
             .iter()
-            .filter_map(|e| self.states[e.index()].pause_end(now))
+            .filter_map(|e| self.states[e.index()].backoff_end(now))
             .min()
     }
 
-    /// Chooses an endpoint that has room, if there is one.
+    /// Selects an endpoint that has room, if there is one.
     ///
-    /// The request's prefix names a home among the fit endpoints. Otherwise the better of two
-    /// drawn at random is taken, in the node's own failure domain while that has room: with
-    /// lagging reports, all nodes that took the least loaded would rush to the same one.
+    /// The request's prefix determines the preferred endpoint among those with room. Otherwise the
+    /// better of two random ones is used, in the node's own failure domain while that has room: as
+    /// reports lag, nodes that all used the least loaded endpoint would overload the same one.
     pub(crate) fn pick(
         &self,
         now: Duration,
         cfg: &Config,
-        wish: Wish<'_>,
+        query: Wish<'_>,
         rng: &mut Pcg64Mcg,
     ) -> Option<Pick> {
-        let (fit, considered) = self.fit(now, cfg, wish);
-        let near = filtered(&fit, |e| Some(cfg.endpoints[e].domain) == self.domain);
-        let failed_in = wish.tried.last().map(|e| cfg.endpoints[*e].domain);
-        let elsewhere = filtered(&fit, |e| Some(cfg.endpoints[e].domain) != failed_in);
-        let (from, why): (&[EndpointKey], _) = match () {
-            () if fit.is_empty() => return None,
-            () if considered == 1 => (&fit, EndpointReason::Only),
-            () if failed_in.is_some() && !elsewhere.is_empty() => {
-                (&elsewhere, EndpointReason::Retry)
+        let (usable, considered) = self.usable(now, cfg, query);
+        let in_own_domain = filtered(&usable, |e| Some(cfg.endpoints[e].domain) == self.domain);
+        let failed_domain = query.tried.last().map(|e| cfg.endpoints[*e].domain);
+        let other_domains = filtered(&usable, |e| Some(cfg.endpoints[e].domain) != failed_domain);
+        let (candidates, why): (&[EndpointKey], _) = match () {
+            () if usable.is_empty() => return None,
+            () if considered == 1 => (&usable, EndpointReason::Only),
+            () if failed_domain.is_some() && !other_domains.is_empty() => {
+                (&other_domains, EndpointReason::Retry)
             }
-            () if failed_in.is_some() => (&fit, EndpointReason::Retry),
-            () if !near.is_empty() => (&near, EndpointReason::OwnDomain),
-            () => (&fit, EndpointReason::Spill),
+            () if failed_domain.is_some() => (&usable, EndpointReason::Retry),
+            () if !in_own_domain.is_empty() => (&in_own_domain, EndpointReason::OwnDomain),
+            () => (&usable, EndpointReason::Spill),
         };
-        let chosen = self.better_of_two(cfg, from, rng);
-        let home = wish.prefix.and_then(|p| self.home(cfg, &fit, p, chosen));
-        let (endpoint, why) = home.map_or((chosen, why), |e| (e, EndpointReason::Prefix));
+        let chosen = self.better_of_two(cfg, candidates, rng);
+        let affinity_endpoint = query
+            .prefix
+            .and_then(|p| self.affinity_endpoint(cfg, &usable, p, chosen));
+        let (endpoint, why) =
+            affinity_endpoint.map_or((chosen, why), |e| (e, EndpointReason::Prefix));
         Some(Pick {
             endpoint,
             why,
@@ -201,41 +206,44 @@
         })
     }
 
-    /// Endpoints with room and how many there are; those that are nearly full are left out while
-    /// there are others, and all but the least loaded if there are none, since by now another
-    /// node may have taken their last places.
-    fn fit(&self, now: Duration, cfg: &Config, wish: Wish<'_>) -> (Keys, u16) {
-        let used = self.used(wish.pool, wish.version);
-        let mut fit = Keys::new();
-        let mut easy = Keys::new();
+    /// Returns endpoints to select from, and how many have room. Nearly full ones are left out
+    /// while there are others; otherwise all but the least loaded are, since another node may have
+    /// taken their last slots by now.
+    fn usable(&self, now: Duration, cfg: &Config, query: Wish<'_>) -> (EndpointKeys, u16) {
+        let used = self.used(query.pool, query.version);
+        let mut usable = EndpointKeys::new();
+        let mut uncrowded = EndpointKeys::new();
         for &e in used {
             let state = &self.states[e.index()];
-            let places = cfg.endpoints[e].concurrency;
-            let is_fit = match wish.leave_room {
+            let capacity = cfg.endpoints[e].concurrency;
+            let has_room = match query.leave_room {
                 Some(share) => {
-                    let room = places.div_ceil(ROOM_PART).min(places - 1);
-                    state.is_fit_for_surge(now, places - room, share)
+                    let reserve = capacity.div_ceil(SURGE_RESERVE_DIVISOR).min(capacity - 1);
+                    state.has_room_for_surge(now, capacity - reserve, share)
                 }
-                None => state.is_fit(now, places),
+                None => state.has_room(now, capacity),
             };
-            if !is_fit || wish.tried.contains(&e) {
+            if !has_room || query.tried.contains(&e) {
                 continue;
             }
-            fit.push(e);
-            if state.load() + 1.0 <= NEARLY_FULL * f64::from(places) {
-                easy.push(e);
+            usable.push(e);
+            if state.load() + 1.0 <= NEARLY_FULL_FRACTION * f64::from(capacity) {
+                uncrowded.push(e);
             }
         }
-        let considered = fit.len() as u16;
-        if !easy.is_empty() {
-            return (easy, considered);
+        let considered = usable.len() as u16;
+        if !uncrowded.is_empty() {
+            return (uncrowded, considered);
         }
         let load = |e: EndpointKey| self.states[e.index()].load();
-        let least = fit.iter().map(|&e| load(e)).fold(f64::MAX, f64::min);
-        (filtered(&fit, |e| load(e) < least + 1.0), considered)
+        let least_load = usable.iter().map(|&e| load(e)).fold(f64::MAX, f64::min);
+        (
+            filtered(&usable, |e| load(e) < least_load + 1.0),
+            considered,
+        )
     }
 
-    /// The live endpoint with the best score, whether or not it has room.
+    /// Returns the available endpoint with the best score, whether or not it has room.
     pub(crate) fn least_loaded(
         &self,
         now: Duration,
@@ -258,54 +266,60 @@
         })
     }
 
-    fn better_of_two(&self, cfg: &Config, from: &[EndpointKey], rng: &mut Pcg64Mcg) -> EndpointKey {
+    fn better_of_two(
+        &self,
+        cfg: &Config,
+        candidates: &[EndpointKey],
+        rng: &mut Pcg64Mcg,
+    ) -> EndpointKey {
         let draw = rng.next_u64();
-        let n = from.len() as u64;
+        let n = candidates.len() as u64;
         let first = (draw & 0xffff_ffff) % n;
-        let a = from[first as usize];
+        let a = candidates[first as usize];
         if n == 1 {
             return a;
         }
-        let b = from[((first + 1 + (draw >> 32) % (n - 1)) % n) as usize];
+        let b = candidates[((first + 1 + (draw >> 32) % (n - 1)) % n) as usize];
         match self.score(cfg, a) <= self.score(cfg, b) {
             true => a,
             false => b,
         }
     }
 
-    /// The endpoint that requests of this prefix go to, unless it is much worse than `other`.
-    fn home(
+    /// Returns the endpoint for requests of this prefix, unless it is much worse than `other`.
+    fn affinity_endpoint(
         &self,
         cfg: &Config,
-        fit: &[EndpointKey],
+        usable: &[EndpointKey],
         prefix: u64,
         other: EndpointKey,
     ) -> Option<EndpointKey> {
-        let home = fit
+        let affinity_endpoint = usable
             .iter()
             .copied()
             .max_by_key(|e| mix(prefix ^ mix(e.index() as u64 + 1)))?;
-        let bound = AFFINITY_SLACK * self.score(cfg, other);
-        (self.score(cfg, home) <= bound).then_some(home)
+        let bound = AFFINITY_SCORE_FACTOR * self.score(cfg, other);
+        (self.score(cfg, affinity_endpoint) <= bound).then_some(affinity_endpoint)
     }
 
     fn score(&self, cfg: &Config, e: EndpointKey) -> f64 {
         self.states[e.index()].score(cfg.endpoints[e].concurrency, 1.0)
     }
 
-    fn holds(&self, cfg: &Config, e: EndpointKey, version: VersionKey) -> bool {
+    fn has_loaded(&self, cfg: &Config, e: EndpointKey, version: VersionKey) -> bool {
         match &self.states[e.index()].holds {
             Some(versions) => versions.contains(&version),
             None => cfg.endpoints[e].versions.contains(&version),
         }
     }
 
-    /// Rendezvous hashing: an endpoint that comes or goes changes one place of the subset.
-    fn subset(&self, from: impl Iterator<Item = EndpointKey>) -> Vec<EndpointKey> {
-        let mut ranked: Vec<_> = from.map(|e| (self.ranks[e.index()], e)).collect();
-        if ranked.len() > SUBSET {
-            ranked.select_nth_unstable(SUBSET);
-            ranked.truncate(SUBSET);
+    /// Selects a subset by rendezvous hashing: an endpoint that is added or removed changes one
+    /// element of the subset.
+    fn select_subset(&self, candidates: impl Iterator<Item = EndpointKey>) -> Vec<EndpointKey> {
+        let mut ranked: Vec<_> = candidates.map(|e| (self.ranks[e.index()], e)).collect();
+        if ranked.len() > SUBSET_SIZE {
+            ranked.select_nth_unstable(SUBSET_SIZE);
+            ranked.truncate(SUBSET_SIZE);
         }
         let mut subset: Vec<_> = ranked.into_iter().map(|(_, e)| e).collect();
         subset.sort_unstable();
@@ -313,11 +327,11 @@
     }
 }
 
-fn filtered(keys: &[EndpointKey], keep: impl Fn(EndpointKey) -> bool) -> Keys {
+fn filtered(keys: &[EndpointKey], keep: impl Fn(EndpointKey) -> bool) -> EndpointKeys {
     keys.iter().copied().filter(|&e| keep(e)).collect()
 }
 
-/// Spreads a number over all 64 bits (the finishing step of splitmix64).
+/// Mixes a number into all 64 bits (the finalizer of splitmix64).
 pub(crate) fn mix(x: u64) -> u64 {
     let x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -325,7 +339,7 @@
     x ^ (x >> 31)
 }
 
-/// FNV-1a, so that an endpoint keeps its place when the text's order changes.
+/// FNV-1a hash, so that an endpoint keeps its rank when the order in the configuration changes.
 fn name_hash(name: &str) -> u64 {
     name.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
--- a/crates/oatdale-policy/src/tickets.rs
+++ b/crates/oatdale-policy/src/tickets.rs
@@ -1,11 +1,11 @@
-//! A slab of requests whose tickets never name a later request by mistake.
+//! Slab of requests with generations, so that a stale ticket never refers to a later request.
 
 use crate::request::Ticket;
 
-/// Requests under way, reached by ticket.
+/// In-flight requests by ticket.
 ///
-/// A slot is used again once its request is over. The generation in the ticket tells the two
-/// requests apart; without it a late `finish` would end a stranger's request.
+/// A slot is reused once its request has ended. The generation in the ticket tells the two requests
+/// apart; without it, a late `finish` would end an unrelated request.
 pub(crate) struct Tickets<T> {
     slots: Vec<Slot<T>>,
     free: Vec<u32>,
@@ -25,7 +25,7 @@
     }
 
     pub(crate) fn insert(&mut self, item: T) -> Ticket {
-        let slot = self.free.pop().unwrap_or_else(|| self.grow());
+        let slot = self.free.pop().unwrap_or_else(|| self.add_slot());
         let entry = &mut self.slots[slot as usize];
         entry.item = Some(item);
         Ticket {
@@ -69,11 +69,12 @@
         })
     }
 
-    fn grow(&mut self) -> u32 {
+    fn add_slot(&mut self) -> u32 {
         self.slots.push(Slot {
             generation: 0,
             item: None,
         });
-        u32::try_from(self.slots.len() - 1).expect("admission bounds the requests under way")
+        u32::try_from(self.slots.len() - 1)
+            .expect("admission bounds the number of in-flight requests")
     }
 }
--- a/crates/oatdale-policy/src/trial.rs
+++ b/crates/oatdale-policy/src/trial.rs
@@ -1,33 +1,33 @@
-//! A sequential test that finds bad versions from counts alone.
+//! Sequential test that detects bad versions from counts alone.
 //!
-//! For each version and fault, the test compares how often the version was bad since its trial
-//! began with how often its model's other versions were. The statistic is a mean of likelihood
-//! ratios, which a healthy version raises above a bound of `1 / p` with probability at most `p`
-//! however often one looks (Ville's inequality). It needs only sums, so every node that has the
-//! same counts reaches the same decision.
+//! For each version and fault, the test compares the share of bad cases since the version's trial
+//! began with that of its model's other versions. The statistic is a mean of likelihood ratios,
+//! which a healthy version raises above a bound of `1 / p` with probability at most `p`, however
+//! often it is evaluated (Ville's inequality). It needs only sums, so every node that has the same
+//! counts reaches the same decision.
 
 use crate::choice::Catalogue;
 use crate::evidence::{Evidence, VersionCounters};
 use crate::rekey::Rekey;
 use oatdale_config::{Config, Key, VersionKey, VersionState};
 
-/// The logarithm of the bound that evidence must pass: one false stop in 1,000 healthy trials,
-/// shared by three faults.
-const BOUND: f64 = 8.006_367_567_650_246;
+/// Natural logarithm of the evidence above which a version is stopped: one false stop in 1,000
+/// trials of healthy versions, shared by three faults.
+const LOG_EVIDENCE_BOUND: f64 = 8.006_367_567_650_246;
 
-/// Odds, relative to the usual ones, that the test looks for.
-const ODDS: [f64; 6] = [1.5, 2.0, 3.0, 5.0, 10.0, 30.0];
+/// Odds of a bad case, relative to the baseline, that the test looks for.
+const ODDS_RATIOS: [f64; 6] = [1.5, 2.0, 3.0, 5.0, 10.0, 30.0];
 
-/// Cases of other versions from which their share of bad ones can be told.
-const REFERENCE: u64 = 100;
+/// Samples that are needed to derive a baseline from their share of bad cases.
+const MIN_REFERENCE_SAMPLES: u64 = 100;
 
-/// Standard deviations by which the other versions' share may be underestimated.
-const CAUTION: f64 = 1.0;
+/// Standard errors by which the reference's share of bad cases may be underestimated.
+const REFERENCE_STD_ERRORS: f64 = 1.0;
 
-/// Requests after which a trial begins anew, so that a long good past does not hide a change.
-const LENGTH: u64 = 4_000;
+/// Requests after which a trial restarts, so that a long good history does not hide a change.
+const MAX_TRIAL_REQUESTS: u64 = 4_000;
 
-/// What makes a version bad.
+/// Way in which a version is bad.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Fault {
     /// It fails more often than the model's other versions.
@@ -41,7 +41,7 @@
 impl Fault {
     const ALL: [Fault; 3] = [Fault::Errors, Fault::LowRatings, Fault::Slow];
 
-    /// Bad cases and all cases.
+    /// Returns the bad cases and all cases.
     fn cases(self, c: &VersionCounters) -> (u64, u64) {
         match self {
             Fault::Errors => (c.errors, c.requests),
@@ -50,7 +50,8 @@
         }
     }
 
-    /// The share of bad cases by which a version may exceed the others and still be healthy.
+    /// Returns the difference by which the share of bad cases of a healthy version may exceed that
+    /// of the others.
     fn tolerance(self) -> f64 {
         match self {
             Fault::Errors => 0.003,
@@ -58,7 +59,7 @@
         }
     }
 
-    /// The share of bad cases that is all right while there is nothing to compare with.
+    /// Returns the accepted share of bad cases while there is nothing to compare with.
     fn default_share(self) -> f64 {
         match self {
             Fault::Errors => 0.05,
@@ -73,14 +74,14 @@
 pub struct StopDecision {
     /// The version.
     pub version: VersionKey,
-    /// What is wrong with it.
+    /// The fault that was detected.
     pub fault: Fault,
-    /// Bad cases seen since the trial's start.
+    /// Bad cases since the start of the trial.
     pub bad: u64,
-    /// All cases seen since the trial's start.
-    pub of: u64,
-    /// The share of bad cases that would have been all right.
-    pub usual: f64,
+    /// All cases since the start of the trial.
+    pub samples: u64,
+    /// The share of bad cases up to which the version would not have been stopped.
+    pub baseline_share: f64,
 }
 
 /// The trials of all versions.
@@ -88,37 +89,38 @@
     trials: Vec<Trial>,
 }
 
-/// Counts at a trial's start.
+/// Counters at the start of a trial.
 #[derive(Clone, Copy, Debug)]
 struct Trial {
     own: VersionCounters,
-    others: VersionCounters,
+    reference_total: VersionCounters,
 }
 
 impl Trials {
-    /// Trials that begin with the first request.
+    /// Creates trials that begin with the first request.
     pub(crate) fn new(cfg: &Config) -> Self {
         let zero = |version| Trial {
             own: VersionCounters::zero(version),
-            others: VersionCounters::zero(version),
+            reference_total: VersionCounters::zero(version),
         };
         Trials {
             trials: cfg.versions.keys().map(zero).collect(),
         }
     }
 
-    /// Begins a version's trial anew.
+    /// Restarts a version's trial.
     pub(crate) fn restart(&mut self, version: VersionKey, cfg: &Config, evidence: &Evidence) {
         self.trials[version.index()] = Trial {
             own: evidence.total(version),
-            others: others(version, cfg, evidence),
+            reference_total: reference_total(version, cfg, evidence),
         };
     }
 
-    /// Goes on with the trials of an earlier configuration.
+    /// Continues the trials of an earlier configuration.
     ///
-    /// The versions to compare with may be others now, so every trial begins anew; a version whose
-    /// state is as it was keeps its own counts as its past.
+    /// A trial restarts, with the version's counts so far as its history, unless the version's
+    /// state and the versions that it is compared with are the same as before: counts that were
+    /// compared with other versions say nothing now.
     pub(crate) fn take_over(
         &mut self,
         old: Trials,
@@ -134,18 +136,18 @@
             let Some(version) = rekey.version(trial.own.version) else {
                 continue;
             };
-            let same_model = same_reference(trial.own.version, version, old_cfg, cfg, rekey);
-            if same_model {
-                let rename = |c| VersionCounters { version, ..c };
+            let is_unchanged = has_same_references(trial.own.version, version, old_cfg, cfg, rekey);
+            if is_unchanged {
+                let with_version = |c| VersionCounters { version, ..c };
                 self.trials[version.index()] = Trial {
-                    own: rename(trial.own),
-                    others: rename(trial.others),
+                    own: with_version(trial.own),
+                    reference_total: with_version(trial.reference_total),
                 };
             }
         }
     }
 
-    /// Judges every version that takes new work and begins long trials anew.
+    /// Tests every version that admits new work and restarts complete trials.
     pub(crate) fn judge(
         &mut self,
         cfg: &Config,
@@ -157,25 +159,26 @@
             if !is_on_trial(cfg, version) || catalogue.is_stopped(version) {
                 continue;
             }
-            let found = Fault::ALL
+            let decision = Fault::ALL
                 .iter()
-                .find_map(|&fault| self.judge_one(version, fault, cfg, evidence));
-            match found {
-                Some(stop) if catalogue.can_do_without(cfg, version) => stops.push(stop),
+                .find_map(|&fault| self.test_fault(version, fault, cfg, evidence));
+            match decision {
+                Some(stop) if catalogue.can_stop(cfg, version) => stops.push(stop),
                 Some(_) => {}
-                None if self.is_long(version, evidence) => self.restart(version, cfg, evidence),
+                None if self.is_complete(version, evidence) => self.restart(version, cfg, evidence),
                 None => {}
             }
         }
         stops
     }
 
-    fn is_long(&self, version: VersionKey, evidence: &Evidence) -> bool {
+    /// Whether a version's trial has reached its maximum length.
+    fn is_complete(&self, version: VersionKey, evidence: &Evidence) -> bool {
         let start = &self.trials[version.index()].own;
-        evidence.total(version).since(start).requests >= LENGTH
+        evidence.total(version).since(start).requests >= MAX_TRIAL_REQUESTS
     }
 
-    fn judge_one(
+    fn test_fault(
         &self,
         version: VersionKey,
         fault: Fault,
@@ -183,21 +186,21 @@
         evidence: &Evidence,
     ) -> Option<StopDecision> {
         let trial = &self.trials[version.index()];
-        let (bad, of) = fault.cases(&evidence.total(version).since(&trial.own));
-        let others = others(version, cfg, evidence).since(&trial.others);
-        let usual = usual(fault, &others, &trial.own);
-        let found = log_evidence(bad, of, usual) > BOUND;
-        found.then_some(StopDecision {
+        let (bad, samples) = fault.cases(&evidence.total(version).since(&trial.own));
+        let reference_total = reference_total(version, cfg, evidence).since(&trial.reference_total);
+        let baseline_share = baseline_share(fault, &reference_total, &trial.own);
+        let is_bad = log_evidence(bad, samples, baseline_share) > LOG_EVIDENCE_BOUND;
+        is_bad.then_some(StopDecision {
             version,
             fault,
             bad,
-            of,
-            usual,
+            samples,
+            baseline_share,
         })
     }
 }
 
-/// Whether a version takes new work and can be stopped.
+/// Whether a version admits new work and can be stopped.
 fn is_on_trial(cfg: &Config, version: VersionKey) -> bool {
     match cfg.versions[version].state {
         VersionState::Canary { .. } | VersionState::Serving => true,
@@ -205,14 +208,14 @@
     }
 }
 
-/// The counts of the model's other serving versions together.
-fn others(version: VersionKey, cfg: &Config, evidence: &Evidence) -> VersionCounters {
+/// Returns the summed counters of the model's other serving versions.
+fn reference_total(version: VersionKey, cfg: &Config, evidence: &Evidence) -> VersionCounters {
     references(version, cfg)
         .map(|other| evidence.total(other))
         .fold(VersionCounters::zero(version), |sum, c| sum.plus(&c))
 }
 
-/// The versions that a version is compared with: the model's other serving ones.
+/// Returns the versions that a version is compared with: the model's other serving ones.
 pub(crate) fn references(
     version: VersionKey,
     cfg: &Config,
@@ -225,8 +228,8 @@
         .filter(move |&v| v != version && cfg.versions[v].state == VersionState::Serving)
 }
 
-/// Whether a version has the state and the versions to compare with that it had before.
-fn same_reference(
+/// Whether a version has the same state and is compared with the same versions as before.
+fn has_same_references(
     old: VersionKey,
     new: VersionKey,
     old_cfg: &Config,
@@ -242,31 +245,37 @@
     same_state && before == after
 }
 
-/// The share of bad cases that is all right: the other versions' since the trial began, else the
-/// version's own before it, else a fixed one.
-fn usual(fault: Fault, others: &VersionCounters, past: &VersionCounters) -> f64 {
-    let known = [others, past]
+/// Returns the accepted share of bad cases: that of the other versions since the trial began, else
+/// the version's own before the trial, else a fixed one.
+fn baseline_share(
+    fault: Fault,
+    reference_total: &VersionCounters,
+    previous: &VersionCounters,
+) -> f64 {
+    let reference_cases = [reference_total, previous]
         .into_iter()
         .map(|c| fault.cases(c))
-        .find(|&(_, of)| of >= REFERENCE);
-    let Some((bad, of)) = known else {
+        .find(|&(_, samples)| samples >= MIN_REFERENCE_SAMPLES);
+    let Some((bad, samples)) = reference_cases else {
         return fault.default_share();
     };
-    let (bad, of) = (bad as f64 + 1.0, of as f64 + 2.0);
-    let share = bad / of;
-    let error = (share * (1.0 - share) / of).sqrt();
-    (share + CAUTION * error + fault.tolerance()).min(0.99)
+    let (bad, samples) = (bad as f64 + 1.0, samples as f64 + 2.0);
+    let share = bad / samples;
+    let std_error = (share * (1.0 - share) / samples).sqrt();
+    (share + REFERENCE_STD_ERRORS * std_error + fault.tolerance()).min(0.99)
 }
 
-/// The logarithm of the mean likelihood ratio of worse shares against the usual one.
-pub(crate) fn log_evidence(bad: u64, of: u64, usual: f64) -> f64 {
-    let (bad, good) = (bad as f64, of.saturating_sub(bad) as f64);
-    let odds = usual / (1.0 - usual);
-    let ratios = ODDS.map(|times| {
-        let worse = odds * times / (1.0 + odds * times);
-        bad * (worse / usual).ln() + good * ((1.0 - worse) / (1.0 - usual)).ln()
+/// Returns the logarithm of the mean likelihood ratio of higher shares of bad cases against the
+/// baseline.
+pub(crate) fn log_evidence(bad: u64, samples: u64, baseline_share: f64) -> f64 {
+    let (bad, good) = (bad as f64, samples.saturating_sub(bad) as f64);
+    let odds = baseline_share / (1.0 - baseline_share);
+    let log_ratios = ODDS_RATIOS.map(|odds_ratio| {
+        let alternative = odds * odds_ratio / (1.0 + odds * odds_ratio);
+        bad * (alternative / baseline_share).ln()
+            + good * ((1.0 - alternative) / (1.0 - baseline_share)).ln()
     });
-    let most = ratios.into_iter().fold(f64::MIN, f64::max);
-    let sum: f64 = ratios.iter().map(|r| (r - most).exp()).sum();
-    most + (sum / ODDS.len() as f64).ln()
+    let largest = log_ratios.into_iter().fold(f64::MIN, f64::max);
+    let sum: f64 = log_ratios.iter().map(|r| (r - largest).exp()).sum();
+    largest + (sum / ODDS_RATIOS.len() as f64).ln()
 }
