--- a/crates/oatdale-policy/benches/decision.rs
+++ b/crates/oatdale-policy/benches/decision.rs
@@ -30,9 +30,9 @@
     let mut offers = Vec::new();
     let mut requests = Vec::new();
     for round in 0..ROUNDS as u64 {
-        let (offer, whole) = measure(&mut router, round);
+        let (offer, request) = measure(&mut router, round);
         offers.push(offer);
-        requests.push(whole);
+        requests.push(request);
     }
     print("offer", offers);
     print("reconfigure", reconfigure(&mut router, &cfg));
@@ -43,9 +43,9 @@
 fn reconfigure(router: &mut Router, cfg: &Arc<Config>) -> Vec<u64> {
     (0..ROUNDS)
         .map(|_| {
-            let began = Instant::now();
+            let start = Instant::now();
             router.reconfigure(Duration::from_secs(10_000), cfg.clone());
-            began.elapsed().as_nanos() as u64
+            start.elapsed().as_nanos() as u64
         })
         .collect()
 }
@@ -53,27 +53,27 @@
 /// Nanoseconds of an offer and of a whole request.
 fn measure(router: &mut Router, round: u64) -> (u64, u64) {
     let mut offers = Duration::ZERO;
-    let began = Instant::now();
+    let start = Instant::now();
     for i in 0..REQUESTS {
         let n = round * REQUESTS + i;
         let now = Duration::from_micros(300 * n);
-        let before = Instant::now();
+        let offer_start = Instant::now();
         let offer = router.offer(now, &ask(now, n));
-        offers += before.elapsed();
+        offers += offer_start.elapsed();
         let Offer::Run(dispatch) = offer else {
             panic!("an idle fleet refuses nothing: {offer:?}");
         };
         router.finish(now, dispatch.ticket, &outcome(n));
     }
-    let each = |time: Duration| (time.as_nanos() / u128::from(REQUESTS)) as u64;
-    (each(offers), each(began.elapsed()))
+    let per_request = |time: Duration| (time.as_nanos() / u128::from(REQUESTS)) as u64;
+    (per_request(offers), per_request(start.elapsed()))
 }
 
-fn print(what: &str, mut nanoseconds: Vec<u64>) {
+fn print(label: &str, mut nanoseconds: Vec<u64>) {
     nanoseconds.sort_unstable();
     let (median, worst) = (nanoseconds[ROUNDS / 2], nanoseconds[ROUNDS - 1]);
     println!(
-        "{what}: {median} ns (worst round {worst} ns) at {ENDPOINTS} endpoints, {VERSIONS} versions"
+        "{label}: {median} ns (worst round {worst} ns) at {ENDPOINTS} endpoints, {VERSIONS} versions"
     );
 }
 
--- a/crates/oatdale-policy/src/router.rs
+++ b/crates/oatdale-policy/src/router.rs
@@ -6,7 +6,7 @@
 mod start;
 mod turn;
 
-use self::finish::Held;
+use self::finish::RatingTime;
 use crate::choice::{Catalogue, Plan};
 use crate::endpoints::Endpoints;
 use crate::evidence::{Evidence, VersionCounters};
@@ -26,7 +26,7 @@
 use std::time::Duration;
 
 /// How long a request may wait at most before the router looks at the queues again by itself.
-const RECHECK: Duration = Duration::from_millis(500);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// One node's decisions.
 ///
@@ -41,9 +41,9 @@
     now: Duration,
     rng: Pcg64Mcg,
     requests: Tickets<Request>,
-    arrivals: u64,
+    arrival_count: u64,
     /// Waiting requests by the time at which they are given up.
-    give_ups: BTreeSet<(Duration, Ticket)>,
+    expirations: BTreeSet<(Duration, Ticket)>,
     services: Vec<ServiceState>,
     pools: Vec<PoolState>,
     customers: Vec<CustomerState>,
@@ -67,8 +67,8 @@
             now,
             rng: Pcg64Mcg::seed_from_u64(place.seed),
             requests: Tickets::new(),
-            arrivals: 0,
-            give_ups: BTreeSet::new(),
+            arrival_count: 0,
+            expirations: BTreeSet::new(),
             services: cfg.services.keys().map(|_| ServiceState::new()).collect(),
             pools: Vec::new(),
             customers: cfg
@@ -114,20 +114,20 @@
             stream: false,
             class: 0,
         };
-        let refused = |reason| Refusal {
+        let refusal = |reason| Refusal {
             reason,
             retry_after: None,
         };
-        self.check_names(&ask).map_err(refused)?;
-        let (plans, _) = self.plans(&ask).map_err(refused)?;
+        self.check_access(&ask).map_err(refusal)?;
+        let (plans, _) = self.plans(&ask).map_err(refusal)?;
         let pool = self.cfg.services[service].pool;
-        let choice = |plan: &Plan| Some((*plan.steps.first()?, plan.why));
-        let mut choices = plans.iter().filter_map(choice);
-        let live = choices
+        let first_choice = |plan: &Plan| Some((*plan.steps.first()?, plan.why));
+        let mut choices = plans.iter().filter_map(first_choice);
+        let live_choice = choices
             .clone()
             .find(|(version, _)| self.endpoints.any_live(now, pool, Some(*version)));
-        let chosen = live.or_else(|| choices.next());
-        chosen.ok_or(refused(RefusalReason::NoVersion))
+        let chosen = live_choice.or_else(|| choices.next());
+        chosen.ok_or(refusal(RefusalReason::NoVersion))
     }
 
     /// Takes in an engine's report of its load.
@@ -149,7 +149,7 @@
         rating: f64,
     ) {
         self.now = self.now.max(now);
-        self.learn_rating(service, class, version, false, rating, Held::No);
+        self.record_rating(service, class, version, false, rating, RatingTime::Late);
     }
 
     /// Takes in a late rating of an answer whose attempt was an escalation
@@ -163,7 +163,7 @@
         rating: f64,
     ) {
         self.now = self.now.max(now);
-        self.learn_rating(service, class, version, true, rating, Held::No);
+        self.record_rating(service, class, version, true, rating, RatingTime::Late);
     }
 
     /// Notes that an endpoint leaves, so that it gets nothing new, or that it is back.
@@ -172,13 +172,13 @@
         if let Some(state) = self.endpoints.states.get_mut(endpoint.index()) {
             state.leaving = leaving;
         }
-        self.fit_limits();
+        self.update_limit_ceilings();
     }
 
     /// Notes which versions an engine reports as loaded; `None` trusts the configuration.
     pub fn endpoint_holds(&mut self, endpoint: EndpointKey, versions: Option<Vec<VersionKey>>) {
-        let known = self.endpoints.states.get(endpoint.index());
-        if known.is_some_and(|state| state.holds != versions) {
+        let endpoint_state = self.endpoints.states.get(endpoint.index());
+        if endpoint_state.is_some_and(|state| state.holds != versions) {
             self.endpoints.set_holds(&self.cfg, endpoint, versions);
         }
     }
@@ -211,9 +211,9 @@
 
     /// Takes in another node's counts; an older or repeated report changes nothing.
     ///
-    /// `node` names one incarnation of a node, since a node that starts again counts from 0.
-    pub fn merge_evidence(&mut self, node: u64, counters: &[VersionCounters]) {
-        self.evidence.merge(node, counters);
+    /// `incarnation` names one incarnation of a node, since a node that starts again counts from 0.
+    pub fn merge_evidence(&mut self, incarnation: u64, counters: &[VersionCounters]) {
+        self.evidence.merge(incarnation, counters);
     }
 
     /// Sets whether a stop recorded beside the text keeps new work off a version.
@@ -225,9 +225,9 @@
         if version.index() >= self.cfg.versions.len() {
             return;
         }
-        let before = self.catalogue.is_stopped(version);
+        let was_stopped = self.catalogue.is_stopped(version);
         self.catalogue.set_recorded(version, stopped);
-        if before && !self.catalogue.is_stopped(version) {
+        if was_stopped && !self.catalogue.is_stopped(version) {
             self.trials.restart(version, &self.cfg, &self.evidence);
         }
     }
--- a/crates/oatdale-policy/src/router/finish.rs
+++ b/crates/oatdale-policy/src/router/finish.rs
@@ -13,22 +13,22 @@
 use std::time::Duration;
 
 /// An answer is good enough from this rating on.
-pub(crate) const ACCEPTED: f64 = 0.5;
+pub(crate) const MIN_RATING: f64 = 0.5;
 
 /// Attempts of one request at most, escalations included.
-const MOST_ATTEMPTS: u16 = 4;
+const MAX_ATTEMPTS: u16 = 4;
 
 /// An answer counts as slow from this multiple of the usual time to its first byte.
-const SLOW: f64 = 3.0;
+const SLOW_FIRST_BYTE_RATIO: f64 = 3.0;
 
 /// A timeout tells something of the endpoint from this multiple of the usual time to an answer's end.
-const PATIENT: f64 = 3.0;
+const CONCLUSIVE_TIMEOUT_RATIO: f64 = 3.0;
 
 /// Whether an answer was kept back until its rating came.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(super) enum Held {
-    Yes,
-    No,
+pub(super) enum RatingTime {
+    OnTime,
+    Late,
 }
 
 impl Router {
@@ -43,20 +43,20 @@
         let Stage::Running(attempt) = request.stage else {
             return Next::Done;
         };
-        let (ask, void) = (request.ask, request.void);
-        if void {
-            self.leave(attempt);
-            self.forget(ticket);
-            return close(outcome);
+        let (ask, is_orphaned) = (request.ask, request.void);
+        if is_orphaned {
+            self.release_endpoint(attempt);
+            self.remove_request(ticket);
+            return finish_orphaned(outcome);
         }
-        self.count_end(&ask, attempt);
-        self.learn(&ask, attempt, outcome);
-        let next = self.follow(ticket, &ask, attempt, outcome);
+        self.record_end(&ask, attempt);
+        self.record_outcome(&ask, attempt, outcome);
+        let next = self.decide(ticket, &ask, attempt, outcome);
         if next == Next::Done {
-            self.learn_delivery(&ask, attempt, outcome);
+            self.record_delivery(&ask, attempt, outcome);
         }
         if !matches!(next, Next::Run(_)) {
-            self.forget(ticket);
+            self.remove_request(ticket);
         }
         next
     }
@@ -67,40 +67,40 @@
         let Some(request) = self.requests.get(ticket) else {
             return;
         };
-        let (ask, stage, void) = (request.ask, request.stage, request.void);
+        let (ask, stage, is_orphaned) = (request.ask, request.stage, request.void);
         match stage {
-            Stage::Waiting { .. } => self.unqueue(ticket),
-            Stage::Running(attempt) if !void => self.count_end(&ask, attempt),
-            Stage::Running(attempt) => self.leave(attempt),
+            Stage::Waiting { .. } => self.remove_from_queue(ticket),
+            Stage::Running(attempt) if !is_orphaned => self.record_end(&ask, attempt),
+            Stage::Running(attempt) => self.release_endpoint(attempt),
         }
-        self.forget(ticket);
+        self.remove_request(ticket);
     }
 
-    fn count_end(&mut self, ask: &Ask, attempt: Attempt) {
+    fn record_end(&mut self, ask: &Ask, attempt: Attempt) {
         let pool = self.cfg.services[ask.service].pool;
         let pool = &mut self.pools[pool.index()];
         pool.running = pool.running.saturating_sub(1);
         let service = &mut self.services[ask.service.index()];
         service.running = service.running.saturating_sub(1);
-        self.leave(attempt);
+        self.release_endpoint(attempt);
     }
 
     /// Gives back the place at the endpoint, also if the request's service or customer is gone.
-    fn leave(&mut self, attempt: Attempt) {
+    fn release_endpoint(&mut self, attempt: Attempt) {
         if let Some(endpoint) = attempt.endpoint {
             self.endpoints.states[endpoint.index()].over(self.now);
         }
     }
 
-    fn learn(&mut self, ask: &Ask, attempt: Attempt, outcome: &Outcome) {
-        if self.is_hasty(ask, outcome) {
+    fn record_outcome(&mut self, ask: &Ask, attempt: Attempt, outcome: &Outcome) {
+        if self.is_inconclusive_timeout(ask, outcome) {
             return;
         }
-        let relative = self.relative_first_byte(ask, attempt, outcome);
-        let slow = self.is_slow_for_model(ask, attempt, outcome);
-        self.learn_times(ask, outcome);
-        self.learn_endpoint(ask, attempt, outcome, relative);
-        self.learn_version(ask, attempt, outcome, slow);
+        let first_byte_ratio = self.relative_first_byte(ask, attempt, outcome);
+        let is_slow = self.is_slow_for_model(ask, attempt, outcome);
+        self.record_durations(ask, outcome);
+        self.record_endpoint(ask, attempt, outcome, first_byte_ratio);
+        self.record_version(ask, attempt, outcome, is_slow);
     }
 
     /// Whether the caller gave up so early that the timeout says nothing of endpoint and version.
@@ -109,12 +109,12 @@
     /// they would stop sound versions and set endpoints aside for everybody. One that waits for
     /// several times the usual time, or for half of what the service grants, does count: a version
     /// that hangs is to be found although all its callers are less patient than the service.
-    fn is_hasty(&self, ask: &Ask, outcome: &Outcome) -> bool {
-        let waited = outcome.total.as_secs_f64();
-        let granted = self.cfg.services[ask.service].deadline.as_secs_f64();
-        let usual = self.services[ask.service.index()].expected_total(ask.class);
-        let long = usual > 0.0 && waited >= PATIENT * usual;
-        outcome.result == AttemptResult::TimedOut && !long && waited < granted / 2.0
+    fn is_inconclusive_timeout(&self, ask: &Ask, outcome: &Outcome) -> bool {
+        let waited_s = outcome.total.as_secs_f64();
+        let deadline_s = self.cfg.services[ask.service].deadline.as_secs_f64();
+        let expected_s = self.services[ask.service.index()].expected_total(ask.class);
+        let is_long = expected_s > 0.0 && waited_s >= CONCLUSIVE_TIMEOUT_RATIO * expected_s;
+        outcome.result == AttemptResult::TimedOut && !is_long && waited_s < deadline_s / 2.0
     }
 
     /// The time to the first byte over the usual one of the request's class and version, since a
@@ -139,10 +139,10 @@
         let usual = references(version, &self.cfg)
             .find_map(|other| learner.usual_first_byte(ask.class, other))
             .or_else(|| learner.usual_first_byte(ask.class, version));
-        usual.is_some_and(|usual| first_byte.as_secs_f64() > SLOW * usual)
+        usual.is_some_and(|usual| first_byte.as_secs_f64() > SLOW_FIRST_BYTE_RATIO * usual)
     }
 
-    fn learn_times(&mut self, ask: &Ask, outcome: &Outcome) {
+    fn record_durations(&mut self, ask: &Ask, outcome: &Outcome) {
         let AttemptResult::Complete { .. } = outcome.result else {
             return;
         };
@@ -153,12 +153,12 @@
         }
     }
 
-    fn learn_endpoint(
+    fn record_endpoint(
         &mut self,
         ask: &Ask,
         attempt: Attempt,
         outcome: &Outcome,
-        relative: Option<f64>,
+        first_byte_ratio: Option<f64>,
     ) {
         let now = self.now;
         let Some(key) = attempt.endpoint else { return };
@@ -166,7 +166,7 @@
         let queued = state.queued;
         let mut congested = queued;
         match outcome.result {
-            AttemptResult::Complete { .. } => state.answered(relative),
+            AttemptResult::Complete { .. } => state.answered(first_byte_ratio),
             AttemptResult::NotSent | AttemptResult::Broken => state.failed(now),
             AttemptResult::TimedOut => {
                 state.failed(now);
@@ -177,11 +177,11 @@
         }
         let pool = self.cfg.services[ask.service].pool;
         let pool = &mut self.pools[pool.index()];
-        let full = f64::from(pool.running) + 1.0 >= 0.8 * pool.limit.get();
-        pool.limit.observe(now, congested, full);
+        let is_limit_in_use = f64::from(pool.running) + 1.0 >= 0.8 * pool.limit.get();
+        pool.limit.observe(now, congested, is_limit_in_use);
     }
 
-    fn learn_version(&mut self, ask: &Ask, attempt: Attempt, outcome: &Outcome, slow: bool) {
+    fn record_version(&mut self, ask: &Ask, attempt: Attempt, outcome: &Outcome, is_slow: bool) {
         let Some(version) = attempt.version else {
             return;
         };
@@ -196,16 +196,16 @@
                 learner.answered(ask.class, version, output_tokens, first_byte, total);
                 self.evidence.record(version, |c| {
                     c.requests += 1;
-                    c.slow += u64::from(slow);
+                    c.slow += u64::from(is_slow);
                 });
                 if let Some(rating) = rating {
-                    self.learn_rating(
+                    self.record_rating(
                         ask.service,
                         ask.class,
                         version,
                         attempt.after,
                         rating,
-                        Held::Yes,
+                        RatingTime::OnTime,
                     );
                 }
             }
@@ -221,7 +221,7 @@
         }
     }
 
-    fn learn_delivery(&mut self, ask: &Ask, attempt: Attempt, outcome: &Outcome) {
+    fn record_delivery(&mut self, ask: &Ask, attempt: Attempt, outcome: &Outcome) {
         let kind = &self.cfg.services[ask.service].kind;
         let (
             ServiceKind::Model { quality, .. },
@@ -231,7 +231,7 @@
         else {
             return;
         };
-        let rating = rating.map(|r| f64::from(u8::from(r >= ACCEPTED)));
+        let rating = rating.map(|r| f64::from(u8::from(r >= MIN_RATING)));
         self.services[ask.service.index()].learner.delivered(
             *quality,
             ask.class,
@@ -241,15 +241,15 @@
         );
     }
 
-    /// Takes in a rating; `after` says that the request's answer before it was rejected.
-    pub(super) fn learn_rating(
+    /// Takes in a rating; `escalated` says that the request's answer before it was rejected.
+    pub(super) fn record_rating(
         &mut self,
         service: ServiceKey,
         class: u8,
         version: VersionKey,
-        after: bool,
+        escalated: bool,
         rating: f64,
-        held: Held,
+        rating_time: RatingTime,
     ) {
         if self.cfg.versions.get(version).is_none() {
             return;
@@ -257,15 +257,15 @@
         let Some(state) = self.services.get_mut(service.index()) else {
             return;
         };
-        let accepted = rating >= ACCEPTED;
+        let accepted = rating >= MIN_RATING;
         let value = f64::from(u8::from(accepted));
-        match held {
-            Held::Yes => state.learner.rated(class, version, after, value),
-            Held::No => state.learner.rated_late(class, version, after, value),
+        match rating_time {
+            RatingTime::OnTime => state.learner.rated(class, version, escalated, value),
+            RatingTime::Late => state.learner.rated_late(class, version, escalated, value),
         }
         // Answers after a rejected one are to the harder requests and would speak against the
         // version that got them.
-        if !after {
+        if !escalated {
             self.evidence.record(version, |c| {
                 c.rated += 1;
                 c.low += u64::from(!accepted);
@@ -273,23 +273,23 @@
         }
     }
 
-    fn follow(&mut self, ticket: Ticket, ask: &Ask, attempt: Attempt, outcome: &Outcome) -> Next {
-        let may_repeat = ask.idempotent && !outcome.forwarded;
+    fn decide(&mut self, ticket: Ticket, ask: &Ask, attempt: Attempt, outcome: &Outcome) -> Next {
+        let may_retry = ask.idempotent && !outcome.forwarded;
         match outcome.result {
             AttemptResult::Cancelled => Next::Done,
             AttemptResult::Complete {
                 rating: Some(rating),
                 ..
-            } if attempt.judge && may_repeat && rating < ACCEPTED => self.escalate(ticket, ask),
+            } if attempt.judge && may_retry && rating < MIN_RATING => self.escalate(ticket, ask),
             AttemptResult::Complete { .. } => Next::Done,
             AttemptResult::NotSent => self.retry(ticket, ask, attempt, None),
             AttemptResult::NotStarted { retry_after } => {
                 self.retry(ticket, ask, attempt, retry_after)
             }
-            AttemptResult::Broken | AttemptResult::TimedOut if may_repeat => {
+            AttemptResult::Broken | AttemptResult::TimedOut if may_retry => {
                 self.retry(ticket, ask, attempt, None)
             }
-            AttemptResult::Broken | AttemptResult::TimedOut => refuse(None),
+            AttemptResult::Broken | AttemptResult::TimedOut => refuse_failed(None),
         }
     }
 
@@ -298,16 +298,17 @@
         let Some(request) = self.requests.get(ticket) else {
             return Next::Done;
         };
-        if request.attempts >= MOST_ATTEMPTS || !self.has_time(ask.deadline, ask.service) {
+        if request.attempts >= MAX_ATTEMPTS || !self.can_meet_deadline(ask.deadline, ask.service) {
             return Next::Done;
         }
-        let (plan, from, tried) = (request.plan.clone(), request.step, request.tried.clone());
-        for step in from + 1..plan.steps.len() {
+        let (plan, current_step, tried) =
+            (request.plan.clone(), request.step, request.tried.clone());
+        for step in current_step + 1..plan.steps.len() {
             let version = plan.steps[step];
             if !self.catalogue.permits(&self.cfg, ask, version) {
                 continue;
             }
-            if let Some(pick) = self.pick_crowded(ask, Some(version), &tried) {
+            if let Some(pick) = self.pick_or_least_loaded(ask, Some(version), &tried) {
                 return Next::Run(self.dispatch(ticket, plan, step, pick));
             }
         }
@@ -327,25 +328,25 @@
         request.tried.extend(attempt.endpoint);
         let (plan, step, tried) = (request.plan.clone(), request.step, request.tried.clone());
         let attempts = request.attempts;
-        if attempts >= MOST_ATTEMPTS || !self.has_time(ask.deadline, ask.service) {
-            return refuse(retry_after);
+        if attempts >= MAX_ATTEMPTS || !self.can_meet_deadline(ask.deadline, ask.service) {
+            return refuse_failed(retry_after);
         }
         let permitted = attempt
             .version
             .is_none_or(|v| self.catalogue.permits(&self.cfg, ask, v));
-        let same = match permitted {
-            true => self.pick_crowded(ask, attempt.version, &tried),
+        let same_version = match permitted {
+            true => self.pick_or_least_loaded(ask, attempt.version, &tried),
             false => None,
         };
-        let found = same
+        let found = same_version
             .map(|pick| (plan, step, pick))
             .or_else(|| self.pick_other_version(ask, attempt.version, &tried));
         let Some((plan, step, pick)) = found else {
-            return refuse(retry_after);
+            return refuse_failed(retry_after);
         };
         let budget = &mut self.services[ask.service.index()].budget;
         if self.tuning.retries == Retries::Budget && !budget.withdraw() {
-            return refuse(retry_after);
+            return refuse_failed(retry_after);
         }
         Next::Run(self.dispatch(ticket, plan, step, pick))
     }
@@ -354,24 +355,24 @@
     fn pick_other_version(
         &mut self,
         ask: &Ask,
-        failed: Option<VersionKey>,
+        failed_version: Option<VersionKey>,
         tried: &[EndpointKey],
     ) -> Option<(Plan, usize, Pick)> {
-        if ask.session != Session::None || failed.is_none() {
+        if ask.session != Session::None || failed_version.is_none() {
             return None;
         }
         let serving: Versions = self.catalogue.serving(&self.cfg, ask).collect();
         serving
             .into_iter()
-            .filter(|&v| Some(v) != failed)
+            .filter(|&v| Some(v) != failed_version)
             .find_map(|v| {
-                let pick = self.pick_crowded(ask, Some(v), tried)?;
+                let pick = self.pick_or_least_loaded(ask, Some(v), tried)?;
                 Some((Plan::single(v, VersionReason::Cheapest), 0, pick))
             })
     }
 }
 
-fn refuse(retry_after: Option<Duration>) -> Next {
+fn refuse_failed(retry_after: Option<Duration>) -> Next {
     Next::Refuse(Refusal {
         reason: RefusalReason::Failed,
         retry_after: Some(retry_after.unwrap_or(Duration::from_secs(1))),
@@ -379,7 +380,7 @@
 }
 
 /// The end of a request whose customer or service left the configuration while it ran.
-fn close(outcome: &Outcome) -> Next {
+fn finish_orphaned(outcome: &Outcome) -> Next {
     match outcome.result {
         AttemptResult::Complete { .. } | AttemptResult::Cancelled => Next::Done,
         _ => Next::Refuse(Refusal {
--- a/crates/oatdale-policy/src/router/offer.rs
+++ b/crates/oatdale-policy/src/router/offer.rs
@@ -12,29 +12,29 @@
 use std::time::Duration;
 
 /// The part of the time left that a request may spend in the queue.
-const PATIENCE: f64 = 0.5;
+const MAX_QUEUE_TIME_FRACTION: f64 = 0.5;
 
 /// The shortest and longest advice on when to come back.
-const RETRY_AFTER: (f64, f64) = (0.25, 30.0);
+const RETRY_AFTER_SECS: (f64, f64) = (0.25, 30.0);
 
 /// How long a caller whose requests all run is told to wait.
-const CONCURRENCY_RETRY: Duration = Duration::from_secs(1);
+const CONCURRENCY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// How long a caller is told to wait when nothing that serves it can be reached.
-const ENDPOINT_RETRY: Duration = Duration::from_secs(2);
+const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 impl Router {
     /// Decides on a new request.
     pub fn offer(&mut self, now: Duration, ask: &Ask) -> Offer {
         self.now = self.now.max(now);
         match self.admit(ask) {
-            Ok(()) => self.start_or_wait(ask),
+            Ok(()) => self.start_or_enqueue(ask),
             Err(refusal) => Offer::Refuse(refusal),
         }
     }
 
     /// Checks that the keys are known and that the customer may call the service.
-    pub(super) fn check_names(&self, ask: &Ask) -> Result<(), RefusalReason> {
+    pub(super) fn check_access(&self, ask: &Ask) -> Result<(), RefusalReason> {
         let known = self.cfg.customers.get(ask.customer).is_some()
             && self.cfg.services.get(ask.service).is_some();
         match known && self.cfg.may_call(ask.customer, ask.service) {
@@ -44,17 +44,17 @@
     }
 
     fn admit(&mut self, ask: &Ask) -> Result<(), Refusal> {
-        self.check_names(ask).map_err(final_refusal)?;
-        self.check_customer(ask)?;
+        self.check_access(ask).map_err(permanent_refusal)?;
+        self.check_customer_limits(ask)?;
         if ask.deadline <= self.now {
-            return Err(final_refusal(RefusalReason::Deadline));
+            return Err(permanent_refusal(RefusalReason::Deadline));
         }
-        let candidates = self.candidates(ask).map_err(final_refusal)?;
-        self.check_reach(ask, &candidates)?;
+        let candidates = self.candidates(ask).map_err(permanent_refusal)?;
+        self.check_reachable(ask, &candidates)?;
         self.check_dependencies(ask)
     }
 
-    fn check_customer(&mut self, ask: &Ask) -> Result<(), Refusal> {
+    fn check_customer_limits(&mut self, ask: &Ask) -> Result<(), Refusal> {
         let now = self.now;
         let limits = self.cfg.customers[ask.customer].limits;
         let state = &mut self.customers[ask.customer.index()];
@@ -62,36 +62,36 @@
         let wait = state
             .bucket
             .wait(now, limits.requests_per_second * state.share);
-        let concurrent = (f64::from(limits.concurrent) * state.share).ceil().max(1.0);
+        let max_concurrent = (f64::from(limits.concurrent) * state.share).ceil().max(1.0);
         match () {
             () if wait > Duration::ZERO => Err(Refusal {
                 reason: RefusalReason::CustomerRate,
                 retry_after: Some(wait),
             }),
-            () if f64::from(state.under_way) >= concurrent => Err(Refusal {
+            () if f64::from(state.under_way) >= max_concurrent => Err(Refusal {
                 reason: RefusalReason::CustomerConcurrency,
-                retry_after: Some(CONCURRENCY_RETRY),
+                retry_after: Some(CONCURRENCY_RETRY_AFTER),
             }),
             () => Ok(()),
         }
     }
 
-    fn check_reach(&self, ask: &Ask, candidates: &Candidates) -> Result<(), Refusal> {
+    fn check_reachable(&self, ask: &Ask, candidates: &Candidates) -> Result<(), Refusal> {
         let pool = self.cfg.services[ask.service].pool;
-        let live = |version| self.endpoints.any_live(self.now, pool, version);
+        let is_live = |version| self.endpoints.any_live(self.now, pool, version);
         let reachable = match candidates {
-            Candidates::Plain => live(None),
-            Candidates::Pinned(version) | Candidates::Canary(version) => live(Some(*version)),
+            Candidates::Plain => is_live(None),
+            Candidates::Pinned(version) | Candidates::Canary(version) => is_live(Some(*version)),
             Candidates::Serving => self
                 .catalogue
                 .serving(&self.cfg, ask)
-                .any(|v| live(Some(v))),
+                .any(|v| is_live(Some(v))),
         };
         match reachable {
             true => Ok(()),
             false => Err(Refusal {
                 reason: RefusalReason::NoEndpoint,
-                retry_after: Some(ENDPOINT_RETRY),
+                retry_after: Some(NO_ENDPOINT_RETRY_AFTER),
             }),
         }
     }
@@ -100,57 +100,57 @@
     /// service has no room: it would take room here and fail there.
     fn check_dependencies(&mut self, ask: &Ask) -> Result<(), Refusal> {
         let cfg = self.cfg.clone();
-        for &on in &cfg.services[ask.service].depends_on {
-            let service = &cfg.services[on];
-            let live = self.endpoints.any_live(self.now, service.pool, None);
-            let wait = self.expected_wait(on, None);
-            let allowed = service.deadline.as_secs_f64() * PATIENCE;
-            if !live || wait > allowed {
+        for &dependency in &cfg.services[ask.service].depends_on {
+            let service = &cfg.services[dependency];
+            let is_live = self.endpoints.any_live(self.now, service.pool, None);
+            let wait = self.expected_wait(dependency, None);
+            let max_wait_s = service.deadline.as_secs_f64() * MAX_QUEUE_TIME_FRACTION;
+            if !is_live || wait > max_wait_s {
                 return Err(Refusal {
                     reason: RefusalReason::Dependency,
-                    retry_after: Some(self.come_back_in(wait)),
+                    retry_after: Some(self.jittered_retry_after(wait)),
                 });
             }
         }
         Ok(())
     }
 
-    fn start_or_wait(&mut self, ask: &Ask) -> Offer {
-        let ticket = self.insert(ask);
+    fn start_or_enqueue(&mut self, ask: &Ask) -> Offer {
+        let ticket = self.insert_request(ask);
         let service = ask.service.index();
-        let alone = self.services[service].queue.len() == 0;
-        if alone && self.has_room(ask.service) {
+        let is_queue_empty = self.services[service].queue.len() == 0;
+        if is_queue_empty && self.has_room(ask.service) {
             match self.start(ticket) {
                 Ok(Some(dispatch)) => return Offer::Run(dispatch),
                 Ok(None) => {}
                 Err(refusal) => {
-                    self.forget(ticket);
+                    self.remove_request(ticket);
                     return Offer::Refuse(refusal);
                 }
             }
         }
         let wait = self.expected_wait(ask.service, Some(ask));
-        let left = ask.deadline.saturating_sub(self.now).as_secs_f64();
-        let runs = self.services[service].expected_total(ask.class);
-        if wait > (left - runs) * PATIENCE {
-            self.forget(ticket);
+        let remaining_s = ask.deadline.saturating_sub(self.now).as_secs_f64();
+        let expected_s = self.services[service].expected_total(ask.class);
+        if wait > (remaining_s - expected_s) * MAX_QUEUE_TIME_FRACTION {
+            self.remove_request(ticket);
             return Offer::Refuse(Refusal {
                 reason: RefusalReason::Overload,
-                retry_after: Some(self.come_back_in(wait)),
+                retry_after: Some(self.jittered_retry_after(wait)),
             });
         }
         self.enqueue(ticket);
         Offer::Wait(ticket)
     }
 
-    fn insert(&mut self, ask: &Ask) -> Ticket {
-        self.arrivals += 1;
+    fn insert_request(&mut self, ask: &Ask) -> Ticket {
+        self.arrival_count += 1;
         let customer = &mut self.customers[ask.customer.index()];
         customer.bucket.take();
         customer.under_way += 1;
         self.requests.insert(Request {
             ask: *ask,
-            order: self.arrivals,
+            order: self.arrival_count,
             attempts: 0,
             tried: SmallVec::new(),
             plan: Plan::plain(),
@@ -170,10 +170,10 @@
         let ask = request.ask;
         let priority = priority(self.tuning.order, &ask);
         let service = &mut self.services[ask.service.index()];
-        let runs = Duration::from_secs_f64(service.expected_total(ask.class));
-        let give_up = ask.deadline.saturating_sub(runs).max(self.now);
+        let expected_run = Duration::from_secs_f64(service.expected_total(ask.class));
+        let give_up = ask.deadline.saturating_sub(expected_run).max(self.now);
         request.stage = Stage::Waiting { give_up };
-        self.give_ups.insert((give_up, ticket));
+        self.expirations.insert((give_up, ticket));
         if service.queue.len() == 0 {
             let pool = &self.pools[self.cfg.services[ask.service].pool.index()];
             service.virtual_time = service.virtual_time.max(pool.virtual_time);
@@ -204,42 +204,42 @@
         // free. What runs is the node's real part of a pool that other nodes use too.
         let pool = self.cfg.services[service].pool;
         let running = f64::from(self.pools[pool.index()].running);
-        let part = running / self.sharing(pool).max(1) as f64;
-        let places = part.max(f64::from(state.running)).max(1.0);
-        let pace = places / state.total.get_or(0.05).max(1e-4);
-        let ahead = match ask {
-            Some(ask) => self.ahead(service, ask),
+        let even_share = running / self.active_services(pool).max(1) as f64;
+        let slots = even_share.max(f64::from(state.running)).max(1.0);
+        let slots_per_s = slots / state.total.get_or(0.05).max(1e-4);
+        let ahead_count = match ask {
+            Some(ask) => self.requests_ahead(service, ask),
             None => queued as f64,
         };
-        (ahead + 1.0) / pace
+        (ahead_count + 1.0) / slots_per_s
     }
 
     /// Requests that are served before one more of this customer.
-    fn ahead(&self, service: oatdale_config::ServiceKey, ask: &Ask) -> f64 {
+    fn requests_ahead(&self, service: oatdale_config::ServiceKey, ask: &Ask) -> f64 {
         let queue = &self.services[service.index()].queue;
-        let own = queue.ahead_in(ask.customer.index(), priority(self.tuning.order, ask));
+        let own_ahead = queue.ahead_in(ask.customer.index(), priority(self.tuning.order, ask));
         let weight = |flow: usize| {
             let key = oatdale_config::CustomerKey::from_index(flow);
             self.cfg.customers[key].weight
         };
         let own_weight = weight(ask.customer.index());
-        let others: f64 = queue
+        let other_weights: f64 = queue
             .order()
             .iter()
             .filter(|&&flow| flow != ask.customer.index())
             .map(|&flow| weight(flow))
             .sum();
-        (own as f64 + 1.0) * (own_weight + others) / own_weight.max(1e-3)
+        (own_ahead as f64 + 1.0) * (own_weight + other_weights) / own_weight.max(1e-3)
     }
 
     /// Advice on when to come back, spread so that refused callers don't return all at once.
-    pub(super) fn come_back_in(&mut self, wait: f64) -> Duration {
-        let spread = 0.75 + 0.5 * (self.rng.next_u64() >> 11) as f64 / (1_u64 << 53) as f64;
-        Duration::from_secs_f64((wait * spread).clamp(RETRY_AFTER.0, RETRY_AFTER.1))
+    pub(super) fn jittered_retry_after(&mut self, wait_s: f64) -> Duration {
+        let jitter = 0.75 + 0.5 * (self.rng.next_u64() >> 11) as f64 / (1_u64 << 53) as f64;
+        Duration::from_secs_f64((wait_s * jitter).clamp(RETRY_AFTER_SECS.0, RETRY_AFTER_SECS.1))
     }
 }
 
-fn final_refusal(reason: RefusalReason) -> Refusal {
+fn permanent_refusal(reason: RefusalReason) -> Refusal {
     Refusal {
         reason,
         retry_after: None,
--- a/crates/oatdale-policy/src/router/reconfigure.rs
+++ b/crates/oatdale-policy/src/router/reconfigure.rs
@@ -20,32 +20,32 @@
         self.now = self.now.max(now);
         let old = std::mem::replace(&mut self.cfg, cfg);
         let rekey = Rekey::new(&old, &self.cfg);
-        let ended = self.move_catalogue(&old, &rekey);
-        self.move_endpoints(&old, &rekey);
+        let resumed = self.migrate_catalogue(&old, &rekey);
+        self.migrate_endpoints(&old, &rekey);
         self.evidence
             .rekey(self.cfg.versions.keys(), |v| rekey.version(v));
         let trials = std::mem::replace(&mut self.trials, Trials::new(&self.cfg));
         self.trials
             .take_over(trials, &self.cfg, &old, &rekey, &self.evidence);
-        for version in ended {
+        for version in resumed {
             self.trials.restart(version, &self.cfg, &self.evidence);
         }
-        self.move_services(&old, &rekey);
-        self.move_customers(&old, &rekey);
-        self.move_pools(&old, &rekey);
-        self.move_requests(&rekey);
+        self.migrate_services(&old, &rekey);
+        self.migrate_customers(&old, &rekey);
+        self.migrate_pools(&old, &rekey);
+        self.migrate_requests(&rekey);
     }
 
     /// A limit that was learned stays, fitted to the pool's endpoints of now.
-    fn move_pools(&mut self, old: &Config, rekey: &Rekey) {
-        let fresh = self.new_pools();
-        let before = std::mem::replace(&mut self.pools, fresh);
-        for (key, state) in old.pools.keys().zip(before) {
+    fn migrate_pools(&mut self, old: &Config, rekey: &Rekey) {
+        let initial_pools = self.new_pools();
+        let old_pools = std::mem::replace(&mut self.pools, initial_pools);
+        for (key, state) in old.pools.keys().zip(old_pools) {
             if let Some(new) = rekey.pool(key) {
                 self.pools[new.index()].limit = state.limit;
             }
         }
-        self.fit_limits();
+        self.update_limit_ceilings();
     }
 
     /// Pools with limits that fit their endpoints.
@@ -53,7 +53,7 @@
         let keys: Vec<PoolKey> = self.cfg.pools.keys().collect();
         keys.into_iter()
             .map(|pool| PoolState {
-                limit: Limit::new(self.ceiling(pool)),
+                limit: Limit::new(self.pool_ceiling(pool)),
                 running: 0,
                 virtual_time: 0.0,
             })
@@ -61,19 +61,19 @@
     }
 
     /// Fits the limits to the endpoints that take new work.
-    pub(super) fn fit_limits(&mut self) {
+    pub(super) fn update_limit_ceilings(&mut self) {
         for pool in self.cfg.pools.keys() {
-            let ceiling = self.ceiling(pool);
+            let ceiling = self.pool_ceiling(pool);
             self.pools[pool.index()].limit.set_ceiling(ceiling);
         }
     }
 
-    fn ceiling(&self, pool: PoolKey) -> f64 {
+    fn pool_ceiling(&self, pool: PoolKey) -> f64 {
         let used = self.endpoints.used(pool, None);
-        let staying = used
+        let available = used
             .iter()
             .filter(|e| !self.endpoints.states[e.index()].leaving);
-        staying
+        available
             .map(|&e| f64::from(self.cfg.endpoints[e].concurrency))
             .sum::<f64>()
             .max(1.0)
@@ -81,25 +81,25 @@
 
     /// Returns the versions whose stop the new text ends; what was counted before speaks of the
     /// old text and would stop them again at once.
-    fn move_catalogue(&mut self, old: &Config, rekey: &Rekey) -> Vec<VersionKey> {
-        let mut ended = Vec::new();
+    fn migrate_catalogue(&mut self, old: &Config, rekey: &Rekey) -> Vec<VersionKey> {
+        let mut resumed = Vec::new();
         let mut catalogue = Catalogue::new(&self.cfg);
-        for (version, item) in old.versions.iter() {
+        for (version, previous) in old.versions.iter() {
             let Some(new) = rekey.version(version) else {
                 continue;
             };
-            let now = &self.cfg.versions[new];
-            let spoken_of = (now.state, now.price) != (item.state, item.price);
-            catalogue.take_over(new, (&self.catalogue, version), spoken_of);
+            let current = &self.cfg.versions[new];
+            let is_changed = (current.state, current.price) != (previous.state, previous.price);
+            catalogue.take_over(new, (&self.catalogue, version), is_changed);
             if self.catalogue.is_stopped(version) && !catalogue.is_stopped(new) {
-                ended.push(new);
+                resumed.push(new);
             }
         }
         self.catalogue = catalogue;
-        ended
+        resumed
     }
 
-    fn move_endpoints(&mut self, old: &Config, rekey: &Rekey) {
+    fn migrate_endpoints(&mut self, old: &Config, rekey: &Rekey) {
         let domain = self.endpoints.domain.and_then(|d| rekey.domain(d));
         let mut endpoints = Endpoints::new(&self.cfg, domain, self.endpoints.seed);
         for key in old.endpoints.keys() {
@@ -107,15 +107,15 @@
                 continue;
             };
             let mut state = std::mem::take(&mut self.endpoints.states[key.index()]);
-            let holds = state.holds.take();
-            state.holds = holds.map(|vs| vs.iter().filter_map(|&v| rekey.version(v)).collect());
+            let loaded = state.holds.take();
+            state.holds = loaded.map(|vs| vs.iter().filter_map(|&v| rekey.version(v)).collect());
             endpoints.states[new.index()] = state;
         }
         endpoints.rebuild(&self.cfg);
         self.endpoints = endpoints;
     }
 
-    fn move_services(&mut self, old: &Config, rekey: &Rekey) {
+    fn migrate_services(&mut self, old: &Config, rekey: &Rekey) {
         let mut services: Vec<ServiceState> = self
             .cfg
             .services
@@ -136,7 +136,7 @@
         self.services = services;
     }
 
-    fn move_customers(&mut self, old: &Config, rekey: &Rekey) {
+    fn migrate_customers(&mut self, old: &Config, rekey: &Rekey) {
         let now = self.now;
         let mut customers: Vec<CustomerState> = self
             .cfg
@@ -154,10 +154,10 @@
     }
 
     /// Gives requests their new keys and counts them anew.
-    fn move_requests(&mut self, rekey: &Rekey) {
+    fn migrate_requests(&mut self, rekey: &Rekey) {
         let mut waiting: Vec<(u64, Ticket)> = Vec::new();
-        self.give_ups.clear();
-        let mut lost = Vec::new();
+        self.expirations.clear();
+        let mut orphaned = Vec::new();
         for (ticket, request) in self.requests.iter_mut() {
             if let Stage::Running(attempt) = &mut request.stage {
                 attempt.endpoint = attempt.endpoint.and_then(|e| rekey.endpoint(e));
@@ -167,7 +167,7 @@
             let service = rekey.service(request.ask.service);
             let (Some(customer), Some(service), false) = (customer, service, request.void) else {
                 request.void = true;
-                lost.push(ticket);
+                orphaned.push(ticket);
                 continue;
             };
             request.ask.customer = customer;
@@ -177,7 +177,7 @@
                     Some(new) => *version = new,
                     None => {
                         request.void = true;
-                        lost.push(ticket);
+                        orphaned.push(ticket);
                         continue;
                     }
                 }
@@ -204,9 +204,9 @@
                 }
             }
         }
-        for ticket in lost {
+        for ticket in orphaned {
             if let Some(Stage::Waiting { .. }) = self.requests.get(ticket).map(|r| r.stage) {
-                self.give_up_at_once(ticket);
+                self.expire_immediately(ticket);
             }
         }
         waiting.sort_unstable();
@@ -215,11 +215,11 @@
         }
     }
 
-    fn give_up_at_once(&mut self, ticket: Ticket) {
+    fn expire_immediately(&mut self, ticket: Ticket) {
         let give_up = Duration::ZERO;
         if let Some(request) = self.requests.get_mut(ticket) {
             request.stage = Stage::Waiting { give_up };
         }
-        self.give_ups.insert((give_up, ticket));
+        self.expirations.insert((give_up, ticket));
     }
 }
--- a/crates/oatdale-policy/src/router/start.rs
+++ b/crates/oatdale-policy/src/router/start.rs
@@ -11,10 +11,10 @@
 
 /// A service surges from this multiple of its even part on; chance alone carries a quiet one a
 /// little above it.
-const SURGE: f64 = 1.25;
+const SURGE_RATIO: f64 = 1.25;
 
 /// From this latency weight on, a version with room goes before a cheaper one without.
-const LATENCY_FIRST: f64 = 0.5;
+const MIN_LATENCY_FIRST_WEIGHT: f64 = 0.5;
 
 impl Router {
     /// Whether the pool's limit lets a service start one more request; one that uses less than
@@ -22,11 +22,11 @@
     pub(super) fn has_room(&self, service: ServiceKey) -> bool {
         let pool = &self.pools[self.cfg.services[service].pool.index()];
         let free = pool.limit.get() - f64::from(pool.running);
-        free >= 1.0 || (self.shares_pool(service) && !self.is_surging(service))
+        free >= 1.0 || (self.is_pool_shared(service) && !self.is_surging(service))
     }
 
-    fn shares_pool(&self, service: ServiceKey) -> bool {
-        self.sharers(self.cfg.services[service].pool) > 1
+    fn is_pool_shared(&self, service: ServiceKey) -> bool {
+        self.services_in_pool(self.cfg.services[service].pool) > 1
     }
 
     /// Whether a service uses more of its pool than an even part.
@@ -36,14 +36,14 @@
     /// for the surge's long ones to end.
     fn is_surging(&self, service: ServiceKey) -> bool {
         let pool = self.cfg.services[service].pool;
-        let sharers = self.sharers(pool);
-        let even = f64::from(self.pools[pool.index()].running) / sharers.max(1) as f64;
+        let service_count = self.services_in_pool(pool);
+        let even_share = f64::from(self.pools[pool.index()].running) / service_count.max(1) as f64;
         let running = f64::from(self.services[service.index()].running);
-        sharers > 1 && running >= (SURGE * even).max(1.0)
+        service_count > 1 && running >= (SURGE_RATIO * even_share).max(1.0)
     }
 
     /// How many services the pool serves.
-    fn sharers(&self, pool: PoolKey) -> usize {
+    fn services_in_pool(&self, pool: PoolKey) -> usize {
         self.cfg
             .services
             .iter()
@@ -52,7 +52,7 @@
     }
 
     /// How many services of the pool have requests waiting or under way.
-    pub(super) fn sharing(&self, pool: PoolKey) -> usize {
+    pub(super) fn active_services(&self, pool: PoolKey) -> usize {
         self.cfg
             .services
             .iter()
@@ -80,7 +80,7 @@
         for plan in plans {
             let version = plan.steps.first().copied();
             if let Some(pick) = self.pick(&ask, version, &tried) {
-                self.note_plan(&ask, quality);
+                self.record_planned_quality(&ask, quality);
                 return Ok(Some(self.dispatch(ticket, plan, 0, pick)));
             }
             if self.should_wait_for(&ask, &plan) {
@@ -95,16 +95,18 @@
     fn should_wait_for(&self, ask: &Ask, plan: &Plan) -> bool {
         let service = &self.cfg.services[ask.service];
         let latency_first = match service.kind {
-            ServiceKind::Model { latency_weight, .. } => latency_weight >= LATENCY_FIRST,
+            ServiceKind::Model { latency_weight, .. } => latency_weight >= MIN_LATENCY_FIRST_WEIGHT,
             ServiceKind::Plain => false,
         };
         let version = plan.steps.first().copied();
-        let usual = plan.why != VersionReason::Explore;
-        usual && !latency_first && self.endpoints.any_live(self.now, service.pool, version)
+        let is_exploitation = plan.why != VersionReason::Explore;
+        is_exploitation
+            && !latency_first
+            && self.endpoints.any_live(self.now, service.pool, version)
     }
 
     /// Lets the service's price of quality follow what this request is expected to get.
-    fn note_plan(&mut self, ask: &Ask, quality: Option<f64>) {
+    fn record_planned_quality(&mut self, ask: &Ask, quality: Option<f64>) {
         let kind = &self.cfg.services[ask.service].kind;
         if let (
             ServiceKind::Model {
@@ -122,8 +124,8 @@
     /// The canary that takes the place of a plan's first version, if the request falls into its
     /// share and an engine holds it: a roll-out often starts before the engines have loaded it,
     /// and the share's requests would wait for nothing.
-    fn reachable_canary(&self, ask: &Ask, first: VersionKey) -> Option<VersionKey> {
-        let canary = self.catalogue.canary(&self.cfg, ask, Some(first))?;
+    fn reachable_canary(&self, ask: &Ask, first_version: VersionKey) -> Option<VersionKey> {
+        let canary = self.catalogue.canary(&self.cfg, ask, Some(first_version))?;
         let pool = self.cfg.services[ask.service].pool;
         let is_live = self.endpoints.any_live(self.now, pool, Some(canary));
         is_live.then_some(canary)
@@ -170,7 +172,7 @@
 
     /// An endpoint with room, or else the least loaded live one: a request that has come this far
     /// is not put back into the queue, since what it used so far would be lost.
-    pub(super) fn pick_crowded(
+    pub(super) fn pick_or_least_loaded(
         &mut self,
         ask: &Ask,
         version: Option<VersionKey>,
@@ -190,7 +192,7 @@
         tried: &[EndpointKey],
     ) -> Option<Pick> {
         let pool = self.cfg.services[ask.service].pool;
-        let wish = Wish {
+        let criteria = Wish {
             pool,
             version,
             prefix: (ask.input_tokens > 0).then_some(ask.prefix),
@@ -200,7 +202,7 @@
                 .then(|| self.endpoints.share(pool, self.pools[pool.index()].running)),
         };
         self.endpoints
-            .pick(self.now, &self.cfg, wish, &mut self.rng)
+            .pick(self.now, &self.cfg, criteria, &mut self.rng)
     }
 
     /// Records an attempt and says what to send.
@@ -219,7 +221,7 @@
             _ => VersionReason::Escalated,
         };
         if let Stage::Waiting { give_up } = request.stage {
-            self.give_ups.remove(&(give_up, ticket));
+            self.expirations.remove(&(give_up, ticket));
         }
         request.attempts += 1;
         request.plan = plan;
@@ -232,7 +234,7 @@
         });
         let attempt = request.attempts;
         let service = request.ask.service;
-        self.count_start(service, pick.endpoint, attempt == 1);
+        self.record_start(service, pick.endpoint, attempt == 1);
         Dispatch {
             ticket,
             attempt,
@@ -245,24 +247,24 @@
         }
     }
 
-    fn count_start(&mut self, service: ServiceKey, endpoint: EndpointKey, first: bool) {
+    fn record_start(&mut self, service: ServiceKey, endpoint: EndpointKey, is_first_attempt: bool) {
         let pool = self.cfg.services[service].pool;
         self.pools[pool.index()].running += 1;
         self.endpoints.states[endpoint.index()].sent(self.now);
         let state = &mut self.services[service.index()];
         state.running += 1;
-        if first {
+        if is_first_attempt {
             state.budget.deposit();
         }
     }
 
     /// Drops a request and its customer's claim on concurrency.
-    pub(super) fn forget(&mut self, ticket: Ticket) {
+    pub(super) fn remove_request(&mut self, ticket: Ticket) {
         let Some(request) = self.requests.remove(ticket) else {
             return;
         };
         if let Stage::Waiting { give_up } = request.stage {
-            self.give_ups.remove(&(give_up, ticket));
+            self.expirations.remove(&(give_up, ticket));
         }
         if request.void {
             return;
@@ -272,9 +274,9 @@
     }
 
     /// The time left to a request, if any.
-    pub(super) fn has_time(&self, deadline: Duration, service: ServiceKey) -> bool {
-        let runs = self.services[service.index()].first_byte.get_or(0.0);
-        deadline.saturating_sub(self.now).as_secs_f64() > runs
+    pub(super) fn can_meet_deadline(&self, deadline: Duration, service: ServiceKey) -> bool {
+        let first_byte_s = self.services[service.index()].first_byte.get_or(0.0);
+        deadline.saturating_sub(self.now).as_secs_f64() > first_byte_s
     }
 }
 
--- a/crates/oatdale-policy/src/router/turn.rs
+++ b/crates/oatdale-policy/src/router/turn.rs
@@ -1,56 +1,56 @@
 //! Waiting requests: whose turn it is, and whose deadline can't be met any more.
 
-use super::{RECHECK, Router};
+use super::{RECHECK_INTERVAL, Router};
 use crate::request::{Refusal, RefusalReason, Ticket, Turn};
 use oatdale_config::{Key, PoolKey, ServiceKey};
 use std::time::Duration;
 
 /// Requests looked at in one service before its turn passes.
-const TRIES: usize = 4;
+const MAX_FLOWS_TRIED: usize = 4;
 
 impl Router {
     /// A waiting request whose turn has come or that must be given up, if there is one.
     pub fn next_turn(&mut self, now: Duration) -> Option<(Ticket, Turn)> {
         self.now = self.now.max(now);
-        if self.give_ups.is_empty() {
+        if self.expirations.is_empty() {
             return None;
         }
-        if let Some(given_up) = self.give_up() {
-            return Some(given_up);
+        if let Some(expired) = self.expire_first() {
+            return Some(expired);
         }
         let pools: Vec<PoolKey> = self.cfg.pools.keys().collect();
-        pools.into_iter().find_map(|pool| self.turn_in(pool))
+        pools.into_iter().find_map(|pool| self.next_in_pool(pool))
     }
 
     /// When to call [`Router::next_turn`] at the latest; `None` while nothing waits.
     pub fn next_wake(&self) -> Option<Duration> {
-        let &(give_up, _) = self.give_ups.first()?;
+        let &(expiration, _) = self.expirations.first()?;
         let pause_end = self
             .cfg
             .pools
             .keys()
             .filter_map(|pool| self.endpoints.next_pause_end(self.now, pool))
             .min();
-        let recheck = self.now + RECHECK;
-        Some(give_up.min(recheck).min(pause_end.unwrap_or(recheck)))
+        let recheck = self.now + RECHECK_INTERVAL;
+        Some(expiration.min(recheck).min(pause_end.unwrap_or(recheck)))
     }
 
-    fn give_up(&mut self) -> Option<(Ticket, Turn)> {
-        let &(at, ticket) = self.give_ups.first()?;
-        if at > self.now {
+    fn expire_first(&mut self) -> Option<(Ticket, Turn)> {
+        let &(expires_at, ticket) = self.expirations.first()?;
+        if expires_at > self.now {
             return None;
         }
-        let void = self.requests.get(ticket).is_some_and(|r| r.void);
-        let reason = match void {
+        let is_orphaned = self.requests.get(ticket).is_some_and(|r| r.void);
+        let reason = match is_orphaned {
             true => RefusalReason::NoVersion,
             false => RefusalReason::Deadline,
         };
-        let retry_after = match void {
+        let retry_after = match is_orphaned {
             true => None,
             false => Some(self.retry_after_of(ticket)),
         };
-        self.unqueue(ticket);
-        self.forget(ticket);
+        self.remove_from_queue(ticket);
+        self.remove_request(ticket);
         let refusal = Refusal {
             reason,
             retry_after,
@@ -61,30 +61,32 @@
     fn retry_after_of(&mut self, ticket: Ticket) -> Duration {
         let service = self.requests.get(ticket).map(|r| r.ask.service);
         let wait = service.map_or(1.0, |s| self.expected_wait(s, None));
-        self.come_back_in(wait)
+        self.jittered_retry_after(wait)
     }
 
-    fn turn_in(&mut self, pool: PoolKey) -> Option<(Ticket, Turn)> {
-        let mut waiting: Vec<ServiceKey> = self
+    fn next_in_pool(&mut self, pool: PoolKey) -> Option<(Ticket, Turn)> {
+        let mut waiting_services: Vec<ServiceKey> = self
             .cfg
             .services
             .iter()
             .filter(|(key, s)| s.pool == pool && self.services[key.index()].queue.len() > 0)
             .map(|(key, _)| key)
             .collect();
-        waiting.sort_by(|a, b| {
+        waiting_services.sort_by(|a, b| {
             let (x, y) = (&self.services[a.index()], &self.services[b.index()]);
             x.virtual_time.total_cmp(&y.virtual_time).then(a.cmp(b))
         });
-        waiting.into_iter().find_map(|s| self.turn_of(pool, s))
+        waiting_services
+            .into_iter()
+            .find_map(|s| self.next_in_service(pool, s))
     }
 
-    fn turn_of(&mut self, pool: PoolKey, service: ServiceKey) -> Option<(Ticket, Turn)> {
+    fn next_in_service(&mut self, pool: PoolKey, service: ServiceKey) -> Option<(Ticket, Turn)> {
         if !self.has_room(service) {
             return None;
         }
         let order = self.services[service.index()].queue.order();
-        for &flow in order.iter().take(TRIES) {
+        for &flow in order.iter().take(MAX_FLOWS_TRIED) {
             let Some(item) = self.services[service.index()].queue.head(flow) else {
                 continue;
             };
@@ -93,16 +95,16 @@
                 Ok(Some(dispatch)) => Turn::Run(dispatch),
                 Err(refusal) => Turn::Refuse(refusal),
             };
-            self.take_turn(pool, service, flow, item.cost);
+            self.dequeue(pool, service, flow, item.cost);
             if let Turn::Refuse(_) = turn {
-                self.forget(item.ticket);
+                self.remove_request(item.ticket);
             }
             return Some((item.ticket, turn));
         }
         None
     }
 
-    fn take_turn(&mut self, pool: PoolKey, service: ServiceKey, flow: usize, cost: f64) {
+    fn dequeue(&mut self, pool: PoolKey, service: ServiceKey, flow: usize, cost: f64) {
         let customer = oatdale_config::CustomerKey::from_index(flow);
         let weight = self.cfg.customers[customer].weight;
         let state = &mut self.services[service.index()];
@@ -113,7 +115,7 @@
     }
 
     /// Takes a waiting request out of its queue.
-    pub(super) fn unqueue(&mut self, ticket: Ticket) {
+    pub(super) fn remove_from_queue(&mut self, ticket: Ticket) {
         let Some(request) = self.requests.get(ticket) else {
             return;
         };
--- a/crates/oatdale-policy/tests/router/admission.rs
+++ b/crates/oatdale-policy/tests/router/admission.rs
@@ -1,15 +1,15 @@
 //! Limits, queues and refusals.
 
 use crate::fixture::{
-    Shape, ask, complete, customer, desk, endpoint, outcome, place, planner, refused, run, secs,
-    version, wait,
+    Shape, ask, complete, customer, desk, endpoint, node_place, outcome, planner, refusal_reason,
+    run, secs, version, wait,
 };
 use oatdale_config::Limits;
 use oatdale_policy::{
     Ask, AttemptResult, Next, Offer, Outcome, RefusalReason, Router, Session, Ticket, Turn,
 };
 
-fn limited(requests_per_second: f64, concurrent: u32) -> Router {
+fn router_with_limits(requests_per_second: f64, concurrent: u32) -> Router {
     let limits = Limits {
         requests_per_second,
         concurrent,
@@ -22,8 +22,8 @@
 }
 
 #[test]
-fn a_customer_is_held_to_its_rate_and_told_when_to_return() {
-    let mut router = limited(1.0, 100);
+fn customer_above_its_rate_is_refused_with_retry_after() {
+    let mut router = router_with_limits(1.0, 100);
     for _ in 0..2 {
         let dispatch = run(router.offer(secs(0.0), &ask(secs(0.0), 1)));
         router.finish(secs(0.0), dispatch.ticket, &complete(None));
@@ -32,24 +32,24 @@
         panic!("the rate is used up");
     };
     assert_eq!(refusal.reason, RefusalReason::CustomerRate);
-    let later = refusal.retry_after.expect("it helps to come back");
-    run(router.offer(later, &ask(later, 1)));
+    let retry_at = refusal.retry_after.expect("it helps to come back");
+    run(router.offer(retry_at, &ask(retry_at, 1)));
 }
 
 #[test]
-fn a_customer_is_held_to_its_share_of_concurrent_requests() {
-    let mut router = limited(1000.0, 8);
+fn customer_above_its_share_of_concurrent_requests_is_refused() {
+    let mut router = router_with_limits(1000.0, 8);
     router.set_share(customer(0), 0.25);
     let first = run(router.offer(secs(0.0), &ask(secs(0.0), 1)));
     run(router.offer(secs(0.0), &ask(secs(0.0), 2)));
-    let reason = refused(router.offer(secs(0.0), &ask(secs(0.0), 3)));
+    let reason = refusal_reason(router.offer(secs(0.0), &ask(secs(0.0), 3)));
     assert_eq!(reason, RefusalReason::CustomerConcurrency);
     router.finish(secs(0.1), first.ticket, &complete(None));
     run(router.offer(secs(0.1), &ask(secs(0.1), 3)));
 }
 
 #[test]
-fn waiting_requests_run_in_turn_as_room_comes() {
+fn waiting_requests_run_in_order_as_endpoints_become_free() {
     let mut router = Shape::default().router();
     let mut running = Vec::new();
     let mut waiting = Vec::new();
@@ -75,7 +75,7 @@
 /// Endpoints hang and nothing finishes. The caller must hear so when its deadline can't be met
 /// any more, by the router's own wake-up, since no other event comes.
 #[test]
-fn a_waiting_request_is_refused_when_its_deadline_passes() {
+fn waiting_request_is_refused_when_its_deadline_cannot_be_met() {
     let mut router = Shape::default().router();
     let ticket = loop {
         if let Offer::Wait(ticket) = router.offer(secs(0.0), &ask(secs(0.0), 1)) {
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_small_customer_does_not_wait_for_a_large_ones_queue() {
+fn small_customer_does_not_wait_for_the_queue_of_a_large_one() {
     let mut router = Shape::default().router();
     let mut running: Vec<Ticket> = Vec::new();
     for draw in 0..60 {
@@ -103,18 +103,18 @@
             running.push(dispatch.ticket);
         }
     }
-    let small = Ask {
+    let small_request = Ask {
         customer: customer(1),
         ..ask(secs(0.0), 1)
     };
-    let small = wait(router.offer(secs(0.0), &small));
-    let mut place = 0;
+    let small_ticket = wait(router.offer(secs(0.0), &small_request));
+    let mut turn_count = 0;
     for ticket in running {
         router.finish(secs(0.2), ticket, &complete(None));
         while let Some((ticket, _)) = router.next_turn(secs(0.2)) {
-            place += 1;
-            if ticket == small {
-                assert!(place <= 2, "place {place}");
+            turn_count += 1;
+            if ticket == small_ticket {
+                assert!(turn_count <= 2, "turn {turn_count}");
                 return;
             }
         }
@@ -125,7 +125,7 @@
 /// A booking confirmation breaks off halfway. It may have run, so sending it again could book
 /// twice.
 #[test]
-fn a_non_idempotent_request_is_not_repeated_once_it_may_have_run() {
+fn non_idempotent_request_that_may_have_run_is_not_retried() {
     for result in [AttemptResult::Broken, AttemptResult::TimedOut] {
         let mut router = Shape::default().router();
         let confirm = Ask {
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_request_that_was_not_sent_is_tried_at_another_endpoint() {
+fn unsent_request_is_retried_at_another_endpoint() {
     let mut router = Shape::default().router();
     let confirm = Ask {
         idempotent: false,
@@ -158,7 +158,7 @@
 /// A stream breaks after its first tokens reached the caller. Another attempt would add a second
 /// beginning to them.
 #[test]
-fn nothing_follows_an_answer_whose_bytes_went_out() {
+fn partially_forwarded_answer_is_not_retried() {
     let mut router = Shape::default().router();
     let dispatch = run(router.offer(secs(0.0), &ask(secs(0.0), 1)));
     let broken = Outcome {
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_leaving_endpoint_gets_nothing_new() {
+fn leaving_endpoint_gets_no_new_requests() {
     let mut router = Shape::default().router();
     router.endpoint_leaving(secs(0.0), endpoint(0), true);
     for draw in 0..8 {
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_stale_ticket_touches_nobody_else() {
+fn stale_ticket_does_not_affect_other_requests() {
     let mut router = Shape::default().router();
     let old = run(router.offer(secs(0.0), &ask(secs(0.0), 1)));
     router.finish(secs(0.1), old.ticket, &complete(None));
@@ -198,21 +198,21 @@
 /// their arrival, few sessions would reach their last request: callers would be refused halfway,
 /// begin again and add to the load. So a session that has come further goes first.
 #[test]
-fn a_session_that_has_come_further_goes_first() {
+fn session_with_more_completed_requests_runs_first() {
     let mut router = Shape::default().router();
     let mut running = Vec::new();
     while let Offer::Run(dispatch) = router.offer(secs(0.0), &ask(secs(0.0), 1)) {
         running.push(dispatch.ticket);
     }
-    let step = |step| Ask {
+    let request_at_step = |step| Ask {
         session: Session::Pinned {
             version: version(0),
             step,
         },
         ..ask(secs(0.0), 2)
     };
-    let first = wait(router.offer(secs(0.0), &step(1)));
-    let third = wait(router.offer(secs(0.0), &step(3)));
+    let step_1 = wait(router.offer(secs(0.0), &request_at_step(1)));
+    let step_3 = wait(router.offer(secs(0.0), &request_at_step(3)));
     let mut turns = Vec::new();
     for ticket in running {
         router.finish(secs(0.2), ticket, &complete(None));
@@ -220,14 +220,14 @@
             turns.push(ticket);
         }
     }
-    let place = |ticket| turns.iter().position(|&t| t == ticket);
-    assert!(place(third) < place(first), "{turns:?}");
+    let position = |ticket| turns.iter().position(|&t| t == ticket);
+    assert!(position(step_3) < position(step_1), "{turns:?}");
 }
 
 /// The hosts of a service that another one depends on are all leaving. Callers of the other one
 /// hear so at once, instead of paying for an answer that nothing can be done with.
 #[test]
-fn a_request_is_refused_while_a_dependency_has_no_endpoint() {
+fn request_is_refused_while_a_dependency_has_no_endpoint() {
     let mut cfg = (*Shape::default().config()).clone();
     let mut services = oatdale_config::Arena::default();
     for (key, service) in cfg.services.iter() {
@@ -238,27 +238,27 @@
         services.push(service);
     }
     cfg.services = services;
-    let mut router = Router::new(cfg.into(), place());
+    let mut router = Router::new(cfg.into(), node_place());
     run(router.offer(secs(0.0), &ask(secs(0.0), 1)));
     for host in 3..6 {
         router.endpoint_leaving(secs(0.0), endpoint(host), true);
     }
-    let reason = refused(router.offer(secs(0.0), &ask(secs(0.0), 1)));
+    let reason = refusal_reason(router.offer(secs(0.0), &ask(secs(0.0), 1)));
     assert_eq!(reason, RefusalReason::Dependency);
 }
 
 /// An endpoint refuses every connection. It is left alone after a few failures, so that callers
 /// don't pay for it each time, and tried again later, so that it comes back by itself.
 #[test]
-fn an_endpoint_that_fails_rests_and_comes_back() {
+fn failing_endpoint_is_paused_and_retried_later() {
     let mut router = Shape::default().router();
-    let mut fail = |now: f64| {
+    let mut count_failures = |now: f64| {
         let mut dispatch = run(router.offer(secs(now), &ask(secs(now), now.to_bits())));
         let mut failed = 0;
         while dispatch.endpoint == endpoint(0) {
             failed += 1;
-            let broken = outcome(AttemptResult::NotSent);
-            match router.finish(secs(now), dispatch.ticket, &broken) {
+            let not_sent = outcome(AttemptResult::NotSent);
+            match router.finish(secs(now), dispatch.ticket, &not_sent) {
                 Next::Run(next) => dispatch = next,
                 other => panic!("{other:?}"),
             }
@@ -266,16 +266,18 @@
         router.finish(secs(now), dispatch.ticket, &complete(None));
         failed
     };
-    let at_first: u32 = (0..50).map(|i| fail(f64::from(i) / 1000.0)).sum();
-    assert_eq!(at_first, 3);
-    let later: u32 = (0..50).map(|i| fail(5.0 + f64::from(i) / 1000.0)).sum();
-    assert_eq!(later, 1);
+    let initial_failures: u32 = (0..50).map(|i| count_failures(f64::from(i) / 1000.0)).sum();
+    assert_eq!(initial_failures, 3);
+    let later_failures: u32 = (0..50)
+        .map(|i| count_failures(5.0 + f64::from(i) / 1000.0))
+        .sum();
+    assert_eq!(later_failures, 1);
 }
 
 /// An attempt fails together with its failure domain. The next one goes to another domain, where
 /// it doesn't meet the same cause.
 #[test]
-fn a_retry_goes_to_another_failure_domain() {
+fn retry_goes_to_another_failure_domain() {
     let cfg = Shape::default().config();
     for draw in 0..20 {
         let mut router = Shape::default().router();
@@ -284,7 +286,7 @@
         let Next::Run(second) = router.finish(secs(0.1), first.ticket, &broken) else {
             panic!("an idempotent request is tried again");
         };
-        let domain = |e| cfg.endpoints[e].domain;
-        assert_ne!(domain(first.endpoint), domain(second.endpoint));
+        let domain_of = |e| cfg.endpoints[e].domain;
+        assert_ne!(domain_of(first.endpoint), domain_of(second.endpoint));
     }
 }
--- a/crates/oatdale-policy/tests/router/fixture.rs
+++ b/crates/oatdale-policy/tests/router/fixture.rs
@@ -81,7 +81,7 @@
     }
 
     pub(crate) fn router(&self) -> Router {
-        Router::new(self.config(), place())
+        Router::new(self.config(), node_place())
     }
 
     fn models(&self) -> Arena<ModelKey, Model> {
@@ -170,7 +170,7 @@
 }
 
 /// The node of all tests.
-pub(crate) fn place() -> Place {
+pub(crate) fn node_place() -> Place {
     Place {
         domain: Some(oatdale_config::DomainKey::from_index(0)),
         seed: 7,
@@ -227,7 +227,7 @@
 }
 
 #[track_caller]
-pub(crate) fn refused(offer: Offer) -> RefusalReason {
+pub(crate) fn refusal_reason(offer: Offer) -> RefusalReason {
     match offer {
         Offer::Refuse(refusal) => refusal.reason,
         other => panic!("expected a refusal, got {other:?}"),
--- a/crates/oatdale-policy/tests/router/states.rs
+++ b/crates/oatdale-policy/tests/router/states.rs
@@ -1,8 +1,8 @@
 //! Version states and permissions on every path.
 
 use crate::fixture::{
-    Shape, ask, complete, customer, endpoint, outcome, place, planner, refused, run, secs, version,
-    wait,
+    Shape, ask, complete, customer, endpoint, node_place, outcome, planner, refusal_reason, run,
+    secs, version, wait,
 };
 use oatdale_config::VersionState;
 use oatdale_policy::{
@@ -11,7 +11,7 @@
 
 const CANARY: VersionState = VersionState::Canary { share: 0.2 };
 
-fn shape(states: [VersionState; 3]) -> Shape {
+fn with_states(states: [VersionState; 3]) -> Shape {
     Shape {
         states,
         ..Shape::default()
@@ -29,8 +29,8 @@
 }
 
 #[test]
-fn a_canary_gets_its_share_and_no_more() {
-    let mut router = shape([VersionState::Serving, CANARY, VersionState::Withdrawn]).router();
+fn canary_gets_its_share_of_requests() {
+    let mut router = with_states([VersionState::Serving, CANARY, VersionState::Withdrawn]).router();
     let mut canaries = 0;
     for i in 0_u32..2000 {
         let now = secs(f64::from(i));
@@ -42,29 +42,29 @@
 }
 
 #[test]
-fn a_customer_gets_only_its_versions() {
-    let mut router = shape([VersionState::Serving, CANARY, VersionState::Serving]).router();
+fn customer_gets_only_allowed_versions() {
+    let mut router = with_states([VersionState::Serving, CANARY, VersionState::Serving]).router();
     for i in 0_u32..500 {
         let now = secs(f64::from(i));
-        let asked = Ask {
+        let request = Ask {
             customer: customer(1),
             ..ask(now, u64::from(i))
         };
-        let dispatch = run(router.offer(now, &asked));
+        let dispatch = run(router.offer(now, &request));
         assert_eq!(dispatch.version, Some(version(0)));
         router.finish(now, dispatch.ticket, &complete(Some(0.0)));
     }
 }
 
 #[test]
-fn a_draining_version_gets_only_pinned_requests() {
+fn draining_version_gets_only_pinned_requests() {
     let draining = [
         VersionState::Draining,
         VersionState::Withdrawn,
         VersionState::Withdrawn,
     ];
-    let mut router = shape(draining).router();
-    let refusal = refused(router.offer(secs(0.0), &ask(secs(0.0), 1)));
+    let mut router = with_states(draining).router();
+    let refusal = refusal_reason(router.offer(secs(0.0), &ask(secs(0.0), 1)));
     assert_eq!(refusal, RefusalReason::NoVersion);
     let dispatch = run(router.offer(secs(0.0), &pinned(0.0, 0)));
     assert_eq!(dispatch.version, Some(version(0)));
@@ -74,31 +74,31 @@
 /// An operator withdraws the version of a session under way. The caller is refused and told that
 /// its request did not run; it must never be moved to another version without a word.
 #[test]
-fn a_session_whose_version_is_withdrawn_is_refused() {
-    let mut router = shape([VersionState::Serving; 3]).router();
+fn session_with_a_withdrawn_version_is_refused() {
+    let mut router = with_states([VersionState::Serving; 3]).router();
     let withdrawn = [
         VersionState::Withdrawn,
         VersionState::Serving,
         VersionState::Serving,
     ];
-    router.reconfigure(secs(1.0), shape(withdrawn).config());
-    let refusal = refused(router.offer(secs(1.0), &pinned(1.0, 0)));
+    router.reconfigure(secs(1.0), with_states(withdrawn).config());
+    let refusal = refusal_reason(router.offer(secs(1.0), &pinned(1.0, 0)));
     assert_eq!(refusal, RefusalReason::SessionVersionWithdrawn);
 }
 
 /// A request waits for room when its version is withdrawn. If the choice made on its arrival were
 /// kept, the withdrawn version would answer seconds after the operators took it away.
 #[test]
-fn a_waiting_request_does_not_run_on_a_version_withdrawn_meanwhile() {
-    let only_first = [
+fn waiting_request_does_not_run_on_a_version_withdrawn_meanwhile() {
+    let first_serving = [
         VersionState::Serving,
         VersionState::Withdrawn,
         VersionState::Withdrawn,
     ];
-    let mut router = shape(only_first).router();
-    let (running, ticket) = fill(&mut router);
-    let all_gone = [VersionState::Withdrawn; 3];
-    router.reconfigure(secs(0.5), shape(all_gone).config());
+    let mut router = with_states(first_serving).router();
+    let (running, ticket) = fill_workers(&mut router);
+    let all_withdrawn = [VersionState::Withdrawn; 3];
+    router.reconfigure(secs(0.5), with_states(all_withdrawn).config());
     router.finish(secs(0.5), running, &complete(None));
     let (turn_ticket, turn) = router.next_turn(secs(0.5)).expect("room is free");
     assert_eq!(turn_ticket, ticket);
@@ -111,22 +111,22 @@
 /// An attempt fails just after its version was withdrawn. A retry that kept the version would be
 /// new work for it.
 #[test]
-fn a_retry_does_not_go_to_a_version_withdrawn_meanwhile() {
-    let mut router = shape([VersionState::Serving; 3]).router();
+fn retry_does_not_use_a_version_withdrawn_meanwhile() {
+    let mut router = with_states([VersionState::Serving; 3]).router();
     let dispatch = run(router.offer(secs(0.0), &pinned(0.0, 0)));
     let withdrawn = [
         VersionState::Withdrawn,
         VersionState::Serving,
         VersionState::Serving,
     ];
-    router.reconfigure(secs(0.1), shape(withdrawn).config());
+    router.reconfigure(secs(0.1), with_states(withdrawn).config());
     let next = router.finish(secs(0.1), dispatch.ticket, &outcome(AttemptResult::NotSent));
     assert!(matches!(next, Next::Refuse(_)), "{next:?}");
 }
 
 #[test]
-fn a_stopped_version_goes_on_for_pinned_sessions_only() {
-    let mut router = Router::new(Shape::default().config(), place());
+fn stopped_version_serves_only_pinned_sessions() {
+    let mut router = Router::new(Shape::default().config(), node_place());
     router.set_stopped(version(0), true);
     for i in 0_u32..50 {
         let now = secs(f64::from(i));
@@ -142,8 +142,8 @@
 
 /// A stop must outlive the many configuration changes of a day that say nothing of the version.
 #[test]
-fn a_stop_outlives_a_new_configuration() {
-    let mut router = Router::new(Shape::default().config(), place());
+fn stop_persists_across_reconfiguration() {
+    let mut router = Router::new(Shape::default().config(), node_place());
     router.set_stopped(version(0), true);
     router.reconfigure(secs(1.0), Shape::default().config());
     let dispatch = run(router.offer(secs(1.0), &ask(secs(1.0), 1)));
@@ -151,7 +151,7 @@
 }
 
 /// Fills the workers and leaves one more request waiting.
-fn fill(router: &mut Router) -> (oatdale_policy::Ticket, oatdale_policy::Ticket) {
+fn fill_workers(router: &mut Router) -> (oatdale_policy::Ticket, oatdale_policy::Ticket) {
     let mut running = None;
     for draw in 0..64 {
         match router.offer(secs(0.0), &ask(secs(0.0), draw)) {
@@ -165,16 +165,16 @@
 /// A canary is in the text, but no engine has loaded it yet. Requests of its share would wait for
 /// nothing, and a session pinned to it would have each of its requests refused.
 #[test]
-fn nothing_new_goes_to_a_canary_that_no_engine_holds() {
-    let mut router = shape([VersionState::Serving, CANARY, VersionState::Withdrawn]).router();
+fn canary_loaded_by_no_engine_gets_no_requests() {
+    let mut router = with_states([VersionState::Serving, CANARY, VersionState::Withdrawn]).router();
     for engine in 0..3 {
         router.endpoint_holds(endpoint(engine), Some(vec![version(0)]));
     }
     for draw in 0..100 {
         let opened = router.open_session(secs(0.0), customer(0), planner(), draw);
         assert_eq!(opened.map(|(v, _)| v), Ok(version(0)));
-        let lone = run(router.offer(secs(0.0), &ask(secs(0.0), draw)));
-        assert_eq!(lone.version, Some(version(0)));
-        router.finish(secs(0.0), lone.ticket, &complete(None));
+        let unpinned = run(router.offer(secs(0.0), &ask(secs(0.0), draw)));
+        assert_eq!(unpinned.version, Some(version(0)));
+        router.finish(secs(0.0), unpinned.ticket, &complete(None));
     }
 }
