--- a/crates/oatdale-policy/benches/decision.rs
+++ b/crates/oatdale-policy/benches/decision.rs
@@ -1,7 +1,8 @@
-//! The cost of one decision at the target size: 2,100 endpoints, 40 versions.
+//! Benchmark of routing decisions at the target size of 2,100 endpoints and 40 versions.
 //!
-//! `cargo bench -p oatdale-policy` prints nanoseconds for a decision (offer), for a whole request
-//! (offer and finish) and for taking in a configuration, as the median and the worst of several rounds.
+//! `cargo bench -p oatdale-policy` prints the nanoseconds of a decision (offer), of a complete
+//! request (offer and finish) and of a reconfiguration, as the median and the worst of several
+//! rounds.
 
 use oatdale_config::{
     Arena, Config, Customer, CustomerKey, Digest, Domain, DomainKey, Endpoint, EndpointKey, Key,
@@ -39,7 +40,7 @@
     print("offer and finish", requests);
 }
 
-/// Nanoseconds of taking in a configuration of the same size.
+/// Measures the application of a configuration of the same size; returns nanoseconds per round.
 fn reconfigure(router: &mut Router, cfg: &Arc<Config>) -> Vec<u64> {
     (0..ROUNDS)
         .map(|_| {
@@ -50,7 +51,7 @@
         .collect()
 }
 
-/// Nanoseconds of an offer and of a whole request.
+/// Returns the average nanoseconds of an offer and of a complete request.
 fn measure(router: &mut Router, round: u64) -> (u64, u64) {
     let mut offers = Duration::ZERO;
     let start = Instant::now();
@@ -61,7 +62,7 @@
         let offer = router.offer(now, &ask(now, n));
         offers += offer_start.elapsed();
         let Offer::Run(dispatch) = offer else {
-            panic!("an idle fleet refuses nothing: {offer:?}");
+            panic!("expected an idle fleet to run the request, got {offer:?}");
         };
         router.finish(now, dispatch.ticket, &outcome(n));
     }
@@ -106,7 +107,8 @@
     }
 }
 
-/// One pool; each endpoint holds four of the versions; every service may use all of them.
+/// A configuration of one pool; each endpoint serves four versions, and each service may use all
+/// versions.
 fn config() -> Config {
     let versions = || (0..VERSIONS).map(VersionKey::from_index);
     Config {
--- a/crates/oatdale-policy/src/router.rs
+++ b/crates/oatdale-policy/src/router.rs
@@ -1,4 +1,4 @@
-//! The router: one node's decisions, each a function of what it was told and when.
+//! The router: one node's decisions, which depend only on the calls made to it and their times.
 
 mod finish;
 mod offer;
@@ -25,13 +25,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a request may wait at most before the router looks at the queues again by itself.
+/// Longest time that a request waits before the queues are checked again without another event.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// One node's decisions.
+/// Routing decisions of one node.
 ///
-/// All times are since the node's start and must not fall from call to call. Keys in questions
-/// and answers are those of the configuration that is in force at the call.
+/// All times are since the node's start and must not decrease from call to call. Keys in arguments
+/// and return values are those of the configuration in force at the call.
 ///
 /// After every [`Router::finish`], [`Router::cancel`], [`Router::observe_load`] and
 /// [`Router::reconfigure`], and at [`Router::next_wake`], the node calls [`Router::next_turn`]
@@ -42,7 +42,7 @@
     rng: Pcg64Mcg,
     requests: Tickets<Request>,
     arrival_count: u64,
-    /// Waiting requests by the time at which they are given up.
+    /// Waiting requests, ordered by the time at which they are refused.
     expirations: BTreeSet<(Duration, Ticket)>,
     services: Vec<ServiceState>,
     pools: Vec<PoolState>,
@@ -55,12 +55,12 @@
 }
 
 impl Router {
-    /// A router that has seen nothing yet.
+    /// Creates a router without any recorded requests or learned state.
     pub fn new(cfg: Arc<Config>, place: Place) -> Self {
         Router::with_tuning(cfg, place, Tuning::default())
     }
 
-    /// A router that has seen nothing yet and decides by other rules, for measurements.
+    /// Creates a router that decides by other rules than the default, for measurements.
     pub fn with_tuning(cfg: Arc<Config>, place: Place, tuning: Tuning) -> Self {
         let now = Duration::ZERO;
         let mut router = Router {
@@ -87,12 +87,12 @@
         router
     }
 
-    /// Which version a session that is opened now, before any prompt, keeps.
+    /// Chooses the version for a session that is opened now, before its first prompt.
     ///
     /// # Errors
     ///
-    /// Refuses if the customer may not call the service or no version takes new work. A plain
-    /// service has no versions and refuses too.
+    /// Returns a refusal if the customer may not call the service, if no version accepts new work,
+    /// or if the service is plain and so has no versions.
     pub fn open_session(
         &mut self,
         now: Duration,
@@ -130,7 +130,7 @@
         chosen.ok_or(refusal(RefusalReason::NoVersion))
     }
 
-    /// Takes in an engine's report of its load.
+    /// Records an engine's load report.
     pub fn observe_load(&mut self, now: Duration, endpoint: EndpointKey, report: LoadReport) {
         self.now = self.now.max(now);
         if let Some(state) = self.endpoints.states.get_mut(endpoint.index()) {
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Takes in a late rating, 0 to 1, of an answer that had not been held back for it.
+    /// Records a rating, from 0 to 1, of an answer that was delivered before the rating came.
     pub fn observe_rating(
         &mut self,
         now: Duration,
@@ -152,8 +152,10 @@
         self.record_rating(service, class, version, false, rating, RatingTime::Late);
     }
 
-    /// Takes in a late rating of an answer whose attempt was an escalation
-    /// ([`VersionReason::Escalated`]); these answers are to harder requests and count apart.
+    /// Records a rating, from 0 to 1, that came after the delivery of an answer whose attempt was
+    /// an escalation ([`VersionReason::Escalated`]).
+    ///
+    /// Escalated requests are harder, so their ratings are counted separately.
     pub fn observe_escalated_rating(
         &mut self,
         now: Duration,
@@ -166,7 +168,7 @@
         self.record_rating(service, class, version, true, rating, RatingTime::Late);
     }
 
-    /// Notes that an endpoint leaves, so that it gets nothing new, or that it is back.
+    /// Marks an endpoint as leaving, so that it gets no new requests, or as available again.
     pub fn endpoint_leaving(&mut self, now: Duration, endpoint: EndpointKey, leaving: bool) {
         self.now = self.now.max(now);
         if let Some(state) = self.endpoints.states.get_mut(endpoint.index()) {
@@ -175,7 +177,8 @@
         self.update_limit_ceilings();
     }
 
-    /// Notes which versions an engine reports as loaded; `None` trusts the configuration.
+    /// Records the versions that an engine reports as loaded; `None` assumes those of the
+    /// configuration.
     pub fn endpoint_holds(&mut self, endpoint: EndpointKey, versions: Option<Vec<VersionKey>>) {
         let endpoint_state = self.endpoints.states.get(endpoint.index());
         if endpoint_state.is_some_and(|state| state.holds != versions) {
@@ -190,12 +193,12 @@
         }
     }
 
-    /// Sets the node's own failure domain, once the text names it or no longer does.
+    /// Sets the node's own failure domain; `None` if the configuration does not name it.
     pub fn set_domain(&mut self, domain: Option<DomainKey>) {
         self.endpoints.domain = domain;
     }
 
-    /// Each customer's demand at this node in requests a second, refused ones included.
+    /// Returns each customer's demand at this node in requests per second, including refused ones.
     pub fn demand(&self, now: Duration) -> impl Iterator<Item = (CustomerKey, f64)> {
         self.cfg
             .customers
@@ -204,23 +207,23 @@
             .map(move |(key, state)| (key, state.demand.get(now)))
     }
 
-    /// This node's own counts of how versions behave; none ever falls.
+    /// Returns this node's own counts of each version's results; no count ever decreases.
     pub fn evidence(&self) -> Vec<VersionCounters> {
         self.evidence.own().to_vec()
     }
 
-    /// Takes in another node's counts; an older or repeated report changes nothing.
+    /// Merges another node's counts; an older or repeated report has no effect.
     ///
-    /// `incarnation` names one incarnation of a node, since a node that starts again counts from 0.
+    /// `incarnation` identifies one run of a node, since the counts start at 0 after a restart.
     pub fn merge_evidence(&mut self, incarnation: u64, counters: &[VersionCounters]) {
         self.evidence.merge(incarnation, counters);
     }
 
-    /// Sets whether a stop recorded beside the text keeps new work off a version.
+    /// Sets whether a stop that is recorded outside the configuration keeps new work off a version.
     ///
-    /// A stop that [`Router::take_stops`] returned holds here without a record, until it has been
-    /// set by this call and cleared again, or until a configuration changes the version's state
-    /// or price.
+    /// A stop that [`Router::take_stops`] returned is in force here without a record, until this
+    /// call has set and then cleared it, or until a configuration changes the version's state or
+    /// price.
     pub fn set_stopped(&mut self, version: VersionKey, stopped: bool) {
         if version.index() >= self.cfg.versions.len() {
             return;
@@ -232,7 +235,8 @@
         }
     }
 
-    /// Versions found to be bad since the last call, already stopped here; the node records them.
+    /// Returns the versions found to be bad since the last call. They are already stopped here; the
+    /// node records the stops.
     pub fn take_stops(&mut self, now: Duration) -> Vec<StopDecision> {
         self.now = self.now.max(now);
         let (trials, catalogue) = (&mut self.trials, &self.catalogue);
@@ -243,7 +247,7 @@
         stops
     }
 
-    /// Gauges for the metrics.
+    /// Returns the gauges for the metrics.
     pub fn snapshot(&self) -> Snapshot {
         let services = self.cfg.services.keys().zip(&self.services);
         let pools = self.cfg.pools.keys().zip(&self.pools);
--- a/crates/oatdale-policy/src/router/finish.rs
+++ b/crates/oatdale-policy/src/router/finish.rs
@@ -1,4 +1,4 @@
-//! The end of an attempt: what is learned, and whether another attempt follows.
+//! The end of an attempt: recording of its result, and the decision on a further attempt.
 
 use super::Router;
 use crate::choice::{Plan, Versions};
@@ -12,29 +12,32 @@
 use oatdale_config::{EndpointKey, Key, ServiceKey, ServiceKind, VersionKey};
 use std::time::Duration;
 
-/// An answer is good enough from this rating on.
+/// Lowest rating at which an answer is accepted.
 pub(crate) const MIN_RATING: f64 = 0.5;
 
-/// Attempts of one request at most, escalations included.
+/// Maximum attempts of one request, including escalations.
 const MAX_ATTEMPTS: u16 = 4;
 
-/// An answer counts as slow from this multiple of the usual time to its first byte.
+/// Multiple of the usual time to the first byte above which an answer counts as slow.
 const SLOW_FIRST_BYTE_RATIO: f64 = 3.0;
 
-/// A timeout tells something of the endpoint from this multiple of the usual time to an answer's end.
+/// Multiple of the usual duration of an attempt from which on a timeout is evidence against the
+/// endpoint and the version.
 const CONCLUSIVE_TIMEOUT_RATIO: f64 = 3.0;
 
-/// Whether an answer was kept back until its rating came.
+/// When an answer was rated.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum RatingTime {
+    /// Before its delivery, which waited for the rating.
     OnTime,
+    /// After its delivery.
     Late,
 }
 
 impl Router {
-    /// Takes in the end of an attempt and says what follows.
+    /// Records the end of an attempt and returns what follows.
     ///
-    /// A ticket that is over already is answered by [`Next::Done`].
+    /// Returns [`Next::Done`] for the ticket of a request that is already complete.
     pub fn finish(&mut self, now: Duration, ticket: Ticket, outcome: &Outcome) -> Next {
         self.now = self.now.max(now);
         let Some(request) = self.requests.get(ticket) else {
@@ -61,7 +64,7 @@
         next
     }
 
-    /// Forgets a request whose caller went away, whether it waits or runs.
+    /// Removes a waiting or running request whose caller has disconnected.
     pub fn cancel(&mut self, now: Duration, ticket: Ticket) {
         self.now = self.now.max(now);
         let Some(request) = self.requests.get(ticket) else {
@@ -85,7 +88,8 @@
         self.release_endpoint(attempt);
     }
 
-    /// Gives back the place at the endpoint, also if the request's service or customer is gone.
+    /// Releases the attempt's slot at its endpoint, even if the request's service or customer has
+    /// been removed from the configuration.
     fn release_endpoint(&mut self, attempt: Attempt) {
         if let Some(endpoint) = attempt.endpoint {
             self.endpoints.states[endpoint.index()].over(self.now);
@@ -103,12 +107,12 @@
         self.record_version(ask, attempt, outcome, is_slow);
     }
 
-    /// Whether the caller gave up so early that the timeout says nothing of endpoint and version.
+    /// Whether an attempt timed out too early to be evidence against its endpoint or version.
     ///
-    /// Callers set timeouts of their own. If those of one customer that are far too short counted,
-    /// they would stop sound versions and set endpoints aside for everybody. One that waits for
-    /// several times the usual time, or for half of what the service grants, does count: a version
-    /// that hangs is to be found although all its callers are less patient than the service.
+    /// Callers set their own timeouts. If the far too short timeouts of one customer counted, they
+    /// would stop sound versions and pause endpoints for all customers. A timeout counts after
+    /// several times the usual duration or half of the service's deadline: a version that hangs
+    /// must be detected even if all its callers have shorter timeouts than the service.
     fn is_inconclusive_timeout(&self, ask: &Ask, outcome: &Outcome) -> bool {
         let waited_s = outcome.total.as_secs_f64();
         let deadline_s = self.cfg.services[ask.service].deadline.as_secs_f64();
@@ -117,8 +121,8 @@
         outcome.result == AttemptResult::TimedOut && !is_long && waited_s < deadline_s / 2.0
     }
 
-    /// The time to the first byte over the usual one of the request's class and version, since a
-    /// long prompt would else speak against its endpoint.
+    /// Returns the time to the first byte, divided by the usual one of the request's class and
+    /// version. The absolute time would count long prompts against their endpoint.
     fn relative_first_byte(&self, ask: &Ask, attempt: Attempt, outcome: &Outcome) -> Option<f64> {
         let first_byte = outcome.first_byte?.as_secs_f64();
         let service = &self.services[ask.service.index()];
@@ -129,8 +133,8 @@
         Some(first_byte / usual.max(1e-6))
     }
 
-    /// Whether the first byte came late by what the model's other serving versions take; by its
-    /// own usual time a version that is always slow would never seem so.
+    /// Whether the first byte was late compared with the model's other serving versions. Compared
+    /// with its own usual time, a version that is always slow would never count as slow.
     fn is_slow_for_model(&self, ask: &Ask, attempt: Attempt, outcome: &Outcome) -> bool {
         let (Some(first_byte), Some(version)) = (outcome.first_byte, attempt.version) else {
             return false;
@@ -241,7 +245,7 @@
         );
     }
 
-    /// Takes in a rating; `escalated` says that the request's answer before it was rejected.
+    /// Records a rating; `escalated` is set if the request's previous answer was rejected.
     pub(super) fn record_rating(
         &mut self,
         service: ServiceKey,
@@ -263,8 +267,8 @@
             RatingTime::OnTime => state.learner.rated(class, version, escalated, value),
             RatingTime::Late => state.learner.rated_late(class, version, escalated, value),
         }
-        // Answers after a rejected one are to the harder requests and would speak against the
-        // version that got them.
+        // Escalated requests are harder; their ratings would count against the version that gets
+        // them.
         if !escalated {
             self.evidence.record(version, |c| {
                 c.rated += 1;
@@ -273,6 +277,7 @@
         }
     }
 
+    /// Decides whether the request is complete, escalated, retried or refused.
     fn decide(&mut self, ticket: Ticket, ask: &Ask, attempt: Attempt, outcome: &Outcome) -> Next {
         let may_retry = ask.idempotent && !outcome.forwarded;
         match outcome.result {
@@ -293,7 +298,8 @@
         }
     }
 
-    /// Goes on to the plan's next step that may still serve the request.
+    /// Runs the plan's next step that may still serve the request; without one, the last answer
+    /// stands.
     fn escalate(&mut self, ticket: Ticket, ask: &Ask) -> Next {
         let Some(request) = self.requests.get(ticket) else {
             return Next::Done;
@@ -315,6 +321,8 @@
         Next::Done
     }
 
+    /// Retries at an endpoint not yet tried, preferably with the same version; refuses if the
+    /// attempts, the time or the retry budget do not allow it.
     fn retry(
         &mut self,
         ticket: Ticket,
@@ -351,7 +359,8 @@
         Next::Run(self.dispatch(ticket, plan, step, pick))
     }
 
-    /// Another version for a request outside any session whose version no endpoint can serve.
+    /// Picks another version for a request outside any session, if no endpoint can serve the failed
+    /// version.
     fn pick_other_version(
         &mut self,
         ask: &Ask,
@@ -379,7 +388,8 @@
     })
 }
 
-/// The end of a request whose customer or service left the configuration while it ran.
+/// Returns the result of a request whose customer, service or pinned version was removed from the
+/// configuration while it ran.
 fn finish_orphaned(outcome: &Outcome) -> Next {
     match outcome.result {
         AttemptResult::Complete { .. } | AttemptResult::Cancelled => Next::Done,
--- a/crates/oatdale-policy/src/router/offer.rs
+++ b/crates/oatdale-policy/src/router/offer.rs
@@ -1,4 +1,4 @@
-//! A new request: limits, room and the decision to run, wait or refuse.
+//! Admission of a new request: limits, capacity and the decision to run, queue or refuse it.
 
 use super::Router;
 use crate::choice::{Candidates, Plan};
@@ -11,20 +11,20 @@
 use smallvec::SmallVec;
 use std::time::Duration;
 
-/// The part of the time left that a request may spend in the queue.
+/// Fraction of the time available to a request that it may spend in the queue.
 const MAX_QUEUE_TIME_FRACTION: f64 = 0.5;
 
-/// The shortest and longest advice on when to come back.
+/// Minimum and maximum of a computed retry-after delay.
 const RETRY_AFTER_SECS: (f64, f64) = (0.25, 30.0);
 
-/// How long a caller whose requests all run is told to wait.
+/// Retry-after delay for a customer that has reached its concurrency limit.
 const CONCURRENCY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// How long a caller is told to wait when nothing that serves it can be reached.
+/// Retry-after delay when no endpoint that can serve the request is reachable.
 const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 impl Router {
-    /// Decides on a new request.
+    /// Decides whether a new request runs, waits or is refused.
     pub fn offer(&mut self, now: Duration, ask: &Ask) -> Offer {
         self.now = self.now.max(now);
         match self.admit(ask) {
@@ -96,8 +96,8 @@
         }
     }
 
-    /// A request whose answer is of no use without another service is not begun while that
-    /// service has no room: it would take room here and fail there.
+    /// Refuses a request while a service that it depends on has no room: its answer is of no use
+    /// without that service, so it would take room here and fail there.
     fn check_dependencies(&mut self, ask: &Ask) -> Result<(), Refusal> {
         let cfg = self.cfg.clone();
         for &dependency in &cfg.services[ask.service].depends_on {
@@ -162,7 +162,7 @@
         })
     }
 
-    /// Puts a request into its service's queue.
+    /// Adds a request to its service's queue.
     pub(super) fn enqueue(&mut self, ticket: Ticket) {
         let Some(request) = self.requests.get_mut(ticket) else {
             return;
@@ -186,10 +186,10 @@
         service.queue.push(ask.customer.index(), item);
     }
 
-    /// The expected time in the queue, in seconds, of one more request.
+    /// Returns the expected time in the queue, in seconds, of one more request.
     ///
-    /// With `ask` it counts the customer's own requests only, by its share of the service, or a
-    /// customer that asks little would be refused for the queue of one that asks much.
+    /// With `ask`, only the customer's own requests count, scaled by its share of the service.
+    /// Otherwise a customer with few requests would be refused because of another one's long queue.
     pub(super) fn expected_wait(
         &self,
         service: oatdale_config::ServiceKey,
@@ -200,8 +200,9 @@
         if queued == 0 && self.has_room(service) {
             return 0.0;
         }
-        // By Little's law: what runs now, divided by how long it runs, is how fast places come
-        // free. What runs is the node's real part of a pool that other nodes use too.
+        // By Little's law, the number of running requests divided by their duration is the rate at
+        // which slots become free. The running requests are this node's actual share of a pool that
+        // other nodes use too.
         let pool = self.cfg.services[service].pool;
         let running = f64::from(self.pools[pool.index()].running);
         let even_share = running / self.active_services(pool).max(1) as f64;
@@ -214,7 +215,7 @@
         (ahead_count + 1.0) / slots_per_s
     }
 
-    /// Requests that are served before one more of this customer.
+    /// Estimates how many requests are served before one more of this customer.
     fn requests_ahead(&self, service: oatdale_config::ServiceKey, ask: &Ask) -> f64 {
         let queue = &self.services[service.index()].queue;
         let own_ahead = queue.ahead_in(ask.customer.index(), priority(self.tuning.order, ask));
@@ -232,7 +233,8 @@
         (own_ahead as f64 + 1.0) * (own_weight + other_weights) / own_weight.max(1e-3)
     }
 
-    /// Advice on when to come back, spread so that refused callers don't return all at once.
+    /// Returns a retry-after delay for an expected wait, with jitter so that refused callers don't
+    /// return all at once.
     pub(super) fn jittered_retry_after(&mut self, wait_s: f64) -> Duration {
         let jitter = 0.75 + 0.5 * (self.rng.next_u64() >> 11) as f64 / (1_u64 << 53) as f64;
         Duration::from_secs_f64((wait_s * jitter).clamp(RETRY_AFTER_SECS.0, RETRY_AFTER_SECS.1))
@@ -246,12 +248,13 @@
     }
 }
 
-/// What a request will use, in arbitrary units; a prompt's token costs a tenth of a new one.
+/// Returns the expected cost of a request in arbitrary units; an input token costs a tenth of an
+/// output token.
 fn cost(ask: &Ask) -> f64 {
     1.0 + (f64::from(ask.output_tokens) + 0.1 * f64::from(ask.input_tokens)) / 64.0
 }
 
-/// Requests of a higher priority go first among their customer's.
+/// Returns the priority of a request among those of its customer; the highest runs first.
 fn priority(order: Order, ask: &Ask) -> u32 {
     match (order, ask.session) {
         (Order::Progress, Session::Pinned { step, .. }) => step,
--- a/crates/oatdale-policy/src/router/reconfigure.rs
+++ b/crates/oatdale-policy/src/router/reconfigure.rs
@@ -1,4 +1,4 @@
-//! Taking in a new configuration without losing what was learned or what is under way.
+//! Application of a new configuration that keeps learned state and in-flight requests.
 
 use super::Router;
 use crate::choice::Catalogue;
@@ -13,9 +13,10 @@
 use std::time::Duration;
 
 impl Router {
-    /// Takes in a new configuration; learned state and requests under way are found by name.
+    /// Applies a new configuration; learned state and in-flight requests are carried over by name.
     ///
-    /// Waiting requests whose customer, service or versions are gone are refused at their turn.
+    /// Waiting requests whose customer, service or versions have been removed are refused by
+    /// [`Router::next_turn`].
     pub fn reconfigure(&mut self, now: Duration, cfg: Arc<Config>) {
         self.now = self.now.max(now);
         let old = std::mem::replace(&mut self.cfg, cfg);
@@ -36,7 +37,7 @@
         self.migrate_requests(&rekey);
     }
 
-    /// A limit that was learned stays, fitted to the pool's endpoints of now.
+    /// Keeps the learned limits, scaled to the pools' current endpoints.
     fn migrate_pools(&mut self, old: &Config, rekey: &Rekey) {
         let initial_pools = self.new_pools();
         let old_pools = std::mem::replace(&mut self.pools, initial_pools);
@@ -48,7 +49,7 @@
         self.update_limit_ceilings();
     }
 
-    /// Pools with limits that fit their endpoints.
+    /// Returns idle pools, each with the limit that its endpoints allow.
     pub(super) fn new_pools(&self) -> Vec<PoolState> {
         let keys: Vec<PoolKey> = self.cfg.pools.keys().collect();
         keys.into_iter()
@@ -60,7 +61,7 @@
             .collect()
     }
 
-    /// Fits the limits to the endpoints that take new work.
+    /// Scales the limits to the endpoints that accept new work.
     pub(super) fn update_limit_ceilings(&mut self) {
         for pool in self.cfg.pools.keys() {
             let ceiling = self.pool_ceiling(pool);
@@ -68,6 +69,7 @@
         }
     }
 
+    /// Returns the total concurrency of the endpoints that accept new work, at least 1.
     fn pool_ceiling(&self, pool: PoolKey) -> f64 {
         let used = self.endpoints.used(pool, None);
         let available = used
@@ -79,8 +81,8 @@
             .max(1.0)
     }
 
-    /// Returns the versions whose stop the new text ends; what was counted before speaks of the
-    /// old text and would stop them again at once.
+    /// Carries the stops of versions over and returns the versions whose stop the new configuration
+    /// ends. Counts from before apply to the old configuration and would stop them again at once.
     fn migrate_catalogue(&mut self, old: &Config, rekey: &Rekey) -> Vec<VersionKey> {
         let mut resumed = Vec::new();
         let mut catalogue = Catalogue::new(&self.cfg);
@@ -153,7 +155,7 @@
         self.customers = customers;
     }
 
-    /// Gives requests their new keys and counts them anew.
+    /// Maps requests to the new keys and counts and queues them again.
     fn migrate_requests(&mut self, rekey: &Rekey) {
         let mut waiting: Vec<(u64, Ticket)> = Vec::new();
         self.expirations.clear();
@@ -215,6 +217,7 @@
         }
     }
 
+    /// Makes the next call of [`Router::next_turn`] refuse a waiting request.
     fn expire_immediately(&mut self, ticket: Ticket) {
         let give_up = Duration::ZERO;
         if let Some(request) = self.requests.get_mut(ticket) {
--- a/crates/oatdale-policy/src/router/start.rs
+++ b/crates/oatdale-policy/src/router/start.rs
@@ -1,4 +1,4 @@
-//! Starting a request: room in its pool, a version, an endpoint.
+//! Start of a request: capacity of its pool, choice of a version and of an endpoint.
 
 use super::Router;
 use crate::choice::{Candidates, Plan, Plans};
@@ -9,16 +9,16 @@
 use smallvec::SmallVec;
 use std::time::Duration;
 
-/// A service surges from this multiple of its even part on; chance alone carries a quiet one a
-/// little above it.
+/// Multiple of its even share of the pool from which on a service is surging; chance alone takes a
+/// service with few requests slightly above its share.
 const SURGE_RATIO: f64 = 1.25;
 
-/// From this latency weight on, a version with room goes before a cheaper one without.
+/// Latency weight from which on a version with room is preferred to a cheaper one without.
 const MIN_LATENCY_FIRST_WEIGHT: f64 = 0.5;
 
 impl Router {
-    /// Whether the pool's limit lets a service start one more request; one that uses less than
-    /// an even part is not held back for what the others do.
+    /// Whether the pool's limit lets a service start one more request. In a shared pool, it applies
+    /// to surging services only, so that the others are not held back by a surge.
     pub(super) fn has_room(&self, service: ServiceKey) -> bool {
         let pool = &self.pools[self.cfg.services[service].pool.index()];
         let free = pool.limit.get() - f64::from(pool.running);
@@ -29,11 +29,11 @@
         self.services_in_pool(self.cfg.services[service].pool) > 1
     }
 
-    /// Whether a service uses more of its pool than an even part.
+    /// Whether a service uses clearly more than an even share of its pool.
     ///
-    /// Such a service must leave a little room at each endpoint. Without this a surge fills the
-    /// pool in a moment when the others are quiet, and their next requests, however short, wait
-    /// for the surge's long ones to end.
+    /// Such a service must leave some room at each endpoint. Otherwise a surge would fill the pool
+    /// while the other services are idle, and their next requests, however short, would wait for
+    /// the long ones of the surge.
     fn is_surging(&self, service: ServiceKey) -> bool {
         let pool = self.cfg.services[service].pool;
         let service_count = self.services_in_pool(pool);
@@ -42,7 +42,7 @@
         service_count > 1 && running >= (SURGE_RATIO * even_share).max(1.0)
     }
 
-    /// How many services the pool serves.
+    /// Returns the number of services that use the pool.
     fn services_in_pool(&self, pool: PoolKey) -> usize {
         self.cfg
             .services
@@ -51,7 +51,7 @@
             .count()
     }
 
-    /// How many services of the pool have requests waiting or under way.
+    /// Returns the number of services that have requests waiting or running in the pool.
     pub(super) fn active_services(&self, pool: PoolKey) -> usize {
         self.cfg
             .services
@@ -62,11 +62,11 @@
             .count()
     }
 
-    /// Starts a request if an endpoint has room; `None` leaves it waiting.
+    /// Starts a request if an endpoint has room; returns `None` if the request has to wait.
     ///
     /// # Errors
     ///
-    /// Refuses if no version may serve it any more.
+    /// Returns a refusal if no version may serve the request any longer.
     pub(super) fn start(&mut self, ticket: Ticket) -> Result<Option<Dispatch>, Refusal> {
         let Some(request) = self.requests.get(ticket) else {
             return Ok(None);
@@ -90,8 +90,8 @@
         Ok(None)
     }
 
-    /// Whether a plan whose endpoints are full is worth waiting for: a dearer version with room
-    /// is taken only where latency counts more than cost.
+    /// Whether to wait for a plan whose endpoints are full: a more expensive version with room is
+    /// used only where latency counts more than cost.
     fn should_wait_for(&self, ask: &Ask, plan: &Plan) -> bool {
         let service = &self.cfg.services[ask.service];
         let latency_first = match service.kind {
@@ -105,7 +105,7 @@
             && self.endpoints.any_live(self.now, service.pool, version)
     }
 
-    /// Lets the service's price of quality follow what this request is expected to get.
+    /// Adjusts the service's price of quality to the expected quality of this request's answer.
     fn record_planned_quality(&mut self, ask: &Ask, quality: Option<f64>) {
         let kind = &self.cfg.services[ask.service].kind;
         if let (
@@ -121,9 +121,9 @@
         }
     }
 
-    /// The canary that takes the place of a plan's first version, if the request falls into its
-    /// share and an engine holds it: a roll-out often starts before the engines have loaded it,
-    /// and the share's requests would wait for nothing.
+    /// Returns the canary that replaces a plan's first version, if the request falls into its share
+    /// and an engine has loaded it. A rollout often starts before the engines have loaded the
+    /// version, and the requests of the canary's share would wait in vain.
     fn reachable_canary(&self, ask: &Ask, first_version: VersionKey) -> Option<VersionKey> {
         let canary = self.catalogue.canary(&self.cfg, ask, Some(first_version))?;
         let pool = self.cfg.services[ask.service].pool;
@@ -131,13 +131,13 @@
         is_live.then_some(canary)
     }
 
-    /// What may serve a request now.
+    /// Returns the candidates that may serve a request now.
     pub(super) fn candidates(&self, ask: &Ask) -> Result<Candidates, RefusalReason> {
         self.catalogue.candidates(&self.cfg, ask)
     }
 
-    /// The plans that may serve a request, the preferred one first, with its expected quality;
-    /// never empty.
+    /// Returns the plans that may serve a request, never empty and the preferred one first, and the
+    /// expected quality of the preferred plan.
     pub(super) fn plans(&mut self, ask: &Ask) -> Result<(Plans, Option<f64>), RefusalReason> {
         let candidates = self.candidates(ask)?;
         let pool = self.cfg.services[ask.service].pool;
@@ -170,8 +170,8 @@
         ))
     }
 
-    /// An endpoint with room, or else the least loaded live one: a request that has come this far
-    /// is not put back into the queue, since what it used so far would be lost.
+    /// Picks an endpoint with room, or else the least loaded live one. A request that has already
+    /// been sent is not queued again, since the work done for it would be lost.
     pub(super) fn pick_or_least_loaded(
         &mut self,
         ask: &Ask,
@@ -185,6 +185,7 @@
         })
     }
 
+    /// Picks an endpoint with room, if there is one.
     pub(super) fn pick(
         &mut self,
         ask: &Ask,
@@ -205,7 +206,7 @@
             .pick(self.now, &self.cfg, criteria, &mut self.rng)
     }
 
-    /// Records an attempt and says what to send.
+    /// Records the start of an attempt and returns its dispatch.
     pub(super) fn dispatch(
         &mut self,
         ticket: Ticket,
@@ -213,7 +214,10 @@
         step: usize,
         pick: Pick,
     ) -> Dispatch {
-        let request = self.requests.get_mut(ticket).expect("the caller found it");
+        let request = self
+            .requests
+            .get_mut(ticket)
+            .expect("the ticket belongs to a known request");
         let version = plan.steps.get(step).copied();
         let judge = plan.steps.len() > step + 1;
         let why_version = match step {
@@ -258,7 +262,7 @@
         }
     }
 
-    /// Drops a request and its customer's claim on concurrency.
+    /// Removes a request and releases its slot in the customer's concurrency limit.
     pub(super) fn remove_request(&mut self, ticket: Ticket) {
         let Some(request) = self.requests.remove(ticket) else {
             return;
@@ -273,14 +277,14 @@
         customer.under_way = customer.under_way.saturating_sub(1);
     }
 
-    /// The time left to a request, if any.
+    /// Whether the time until the deadline exceeds the service's average time to the first byte.
     pub(super) fn can_meet_deadline(&self, deadline: Duration, service: ServiceKey) -> bool {
         let first_byte_s = self.services[service.index()].first_byte.get_or(0.0);
         deadline.saturating_sub(self.now).as_secs_f64() > first_byte_s
     }
 }
 
-/// Versions that an endpoint can serve now, or all of them if there are none such.
+/// Returns the versions that some endpoint can serve now, or all versions if there is none.
 fn live_or_all(
     versions: impl Iterator<Item = VersionKey>,
     is_live: impl Fn(VersionKey) -> bool,
--- a/crates/oatdale-policy/src/router/turn.rs
+++ b/crates/oatdale-policy/src/router/turn.rs
@@ -1,15 +1,15 @@
-//! Waiting requests: whose turn it is, and whose deadline can't be met any more.
+//! Waiting requests: start of the next one, and refusal of those whose deadline can't be met.
 
 use super::{RECHECK_INTERVAL, Router};
 use crate::request::{Refusal, RefusalReason, Ticket, Turn};
 use oatdale_config::{Key, PoolKey, ServiceKey};
 use std::time::Duration;
 
-/// Requests looked at in one service before its turn passes.
+/// Flows of one service (one per customer) whose first request is tried before the next service's.
 const MAX_FLOWS_TRIED: usize = 4;
 
 impl Router {
-    /// A waiting request whose turn has come or that must be given up, if there is one.
+    /// Returns a waiting request that is to run or be refused now, if there is one.
     pub fn next_turn(&mut self, now: Duration) -> Option<(Ticket, Turn)> {
         self.now = self.now.max(now);
         if self.expirations.is_empty() {
@@ -22,7 +22,7 @@
         pools.into_iter().find_map(|pool| self.next_in_pool(pool))
     }
 
-    /// When to call [`Router::next_turn`] at the latest; `None` while nothing waits.
+    /// Returns the time by which to call [`Router::next_turn`] again; `None` if no request waits.
     pub fn next_wake(&self) -> Option<Duration> {
         let &(expiration, _) = self.expirations.first()?;
         let pause_end = self
@@ -35,6 +35,7 @@
         Some(expiration.min(recheck).min(pause_end.unwrap_or(recheck)))
     }
 
+    /// Refuses the waiting request that expires first, if it has expired.
     fn expire_first(&mut self) -> Option<(Ticket, Turn)> {
         let &(expires_at, ticket) = self.expirations.first()?;
         if expires_at > self.now {
@@ -104,6 +105,7 @@
         None
     }
 
+    /// Removes a flow's first request from the queue and charges its cost to flow and service.
     fn dequeue(&mut self, pool: PoolKey, service: ServiceKey, flow: usize, cost: f64) {
         let customer = oatdale_config::CustomerKey::from_index(flow);
         let weight = self.cfg.customers[customer].weight;
@@ -114,7 +116,7 @@
         state.virtual_time += cost;
     }
 
-    /// Takes a waiting request out of its queue.
+    /// Removes a waiting request from its queue.
     pub(super) fn remove_from_queue(&mut self, ticket: Ticket) {
         let Some(request) = self.requests.get(ticket) else {
             return;
--- a/crates/oatdale-policy/tests/router/admission.rs
+++ b/crates/oatdale-policy/tests/router/admission.rs
@@ -1,4 +1,4 @@
-//! Limits, queues and refusals.
+//! Tests of limits, queues, retries and refusals.
 
 use crate::fixture::{
     Shape, ask, complete, customer, desk, endpoint, node_place, outcome, planner, refusal_reason,
@@ -29,10 +29,12 @@
         router.finish(secs(0.0), dispatch.ticket, &complete(None));
     }
     let Offer::Refuse(refusal) = router.offer(secs(0.0), &ask(secs(0.0), 1)) else {
-        panic!("the rate is used up");
+        panic!("a request above the rate was not refused");
     };
     assert_eq!(refusal.reason, RefusalReason::CustomerRate);
-    let retry_at = refusal.retry_after.expect("it helps to come back");
+    let retry_at = refusal
+        .retry_after
+        .expect("a refusal for the rate has a retry-after delay");
     run(router.offer(retry_at, &ask(retry_at, 1)));
 }
 
@@ -72,8 +74,8 @@
     assert_eq!(router.next_wake(), None);
 }
 
-/// Endpoints hang and nothing finishes. The caller must hear so when its deadline can't be met
-/// any more, by the router's own wake-up, since no other event comes.
+/// All endpoints hang, so that no event but the router's own wake-up comes. It must refuse the
+/// waiting request once the deadline can't be met.
 #[test]
 fn waiting_request_is_refused_when_its_deadline_cannot_be_met() {
     let mut router = Shape::default().router();
@@ -119,11 +121,11 @@
             }
         }
     }
-    panic!("the small customer's request never ran");
+    panic!("the request of the small customer never ran");
 }
 
-/// A booking confirmation breaks off halfway. It may have run, so sending it again could book
-/// twice.
+/// A non-idempotent call, such as the confirmation of a booking, breaks off halfway. It may have
+/// run, so a retry could book twice.
 #[test]
 fn non_idempotent_request_that_may_have_run_is_not_retried() {
     for result in [AttemptResult::Broken, AttemptResult::TimedOut] {
@@ -149,14 +151,14 @@
     let first = run(router.offer(secs(0.0), &confirm));
     let next = router.finish(secs(0.1), first.ticket, &outcome(AttemptResult::NotSent));
     let Next::Run(second) = next else {
-        panic!("{next:?}");
+        panic!("expected a retry, got {next:?}");
     };
     assert_ne!(second.endpoint, first.endpoint);
     assert_eq!((second.ticket, second.attempt), (first.ticket, 2));
 }
 
-/// A stream breaks after its first tokens reached the caller. Another attempt would add a second
-/// beginning to them.
+/// A stream breaks after its first tokens have reached the caller. A retry would send the
+/// beginning of a second answer after them.
 #[test]
 fn partially_forwarded_answer_is_not_retried() {
     let mut router = Shape::default().router();
@@ -194,9 +196,9 @@
     assert!(matches!(next, Next::Run(_)), "{next:?}");
 }
 
-/// Callers open sessions faster than the service can serve them. If requests went in the order of
-/// their arrival, few sessions would reach their last request: callers would be refused halfway,
-/// begin again and add to the load. So a session that has come further goes first.
+/// Callers open sessions faster than the service can serve them. In order of arrival, few sessions
+/// would reach their last request: callers would be refused halfway, start again and add to the
+/// load. So the session with more completed requests runs first.
 #[test]
 fn session_with_more_completed_requests_runs_first() {
     let mut router = Shape::default().router();
@@ -224,8 +226,8 @@
     assert!(position(step_3) < position(step_1), "{turns:?}");
 }
 
-/// The hosts of a service that another one depends on are all leaving. Callers of the other one
-/// hear so at once, instead of paying for an answer that nothing can be done with.
+/// All hosts of a service that another one depends on are leaving. Requests to the other service
+/// are refused at once, since callers would pay for an answer that they can't use.
 #[test]
 fn request_is_refused_while_a_dependency_has_no_endpoint() {
     let mut cfg = (*Shape::default().config()).clone();
@@ -247,8 +249,8 @@
     assert_eq!(reason, RefusalReason::Dependency);
 }
 
-/// An endpoint refuses every connection. It is left alone after a few failures, so that callers
-/// don't pay for it each time, and tried again later, so that it comes back by itself.
+/// An endpoint refuses every connection. It is paused after a few failures, so that not every
+/// request tries it first, and retried later, so that it can recover.
 #[test]
 fn failing_endpoint_is_paused_and_retried_later() {
     let mut router = Shape::default().router();
@@ -260,7 +262,7 @@
             let not_sent = outcome(AttemptResult::NotSent);
             match router.finish(secs(now), dispatch.ticket, &not_sent) {
                 Next::Run(next) => dispatch = next,
-                other => panic!("{other:?}"),
+                other => panic!("expected a retry, got {other:?}"),
             }
         }
         router.finish(secs(now), dispatch.ticket, &complete(None));
@@ -274,8 +276,8 @@
     assert_eq!(later_failures, 1);
 }
 
-/// An attempt fails together with its failure domain. The next one goes to another domain, where
-/// it doesn't meet the same cause.
+/// An attempt may fail because its whole failure domain fails. The retry goes to another domain,
+/// which the same cause does not affect.
 #[test]
 fn retry_goes_to_another_failure_domain() {
     let cfg = Shape::default().config();
@@ -284,7 +286,7 @@
         let first = run(router.offer(secs(0.0), &ask(secs(0.0), draw)));
         let broken = outcome(AttemptResult::Broken);
         let Next::Run(second) = router.finish(secs(0.1), first.ticket, &broken) else {
-            panic!("an idempotent request is tried again");
+            panic!("an idempotent request was not retried");
         };
         let domain_of = |e| cfg.endpoints[e].domain;
         assert_ne!(domain_of(first.endpoint), domain_of(second.endpoint));
--- a/crates/oatdale-policy/tests/router/fixture.rs
+++ b/crates/oatdale-policy/tests/router/fixture.rs
@@ -1,4 +1,4 @@
-//! A small configuration in the shape of Skyward's and short ways to use a router.
+//! A small configuration modelled on `examples/skyward.yaml`, and helpers to call a router.
 
 use oatdale_config::{
     Arena, Config, Customer, CustomerKey, Digest, Domain, Endpoint, EndpointKey, Key, Limits,
@@ -25,7 +25,7 @@
     CustomerKey::from_index(index)
 }
 
-/// 0 and 1 belong to the cheap model, 2 to the good one.
+/// Versions 0 and 1 belong to the cheap model, version 2 to the good one.
 pub(crate) fn version(index: usize) -> VersionKey {
     VersionKey::from_index(index)
 }
@@ -38,7 +38,7 @@
     Duration::from_secs_f64(secs)
 }
 
-/// What the tests vary.
+/// Parameters of the configuration that tests vary.
 #[derive(Clone, Debug)]
 pub(crate) struct Shape {
     pub(crate) states: [VersionState; 3],
@@ -64,7 +64,8 @@
 }
 
 impl Shape {
-    /// The configuration: three model workers and three desk hosts in three domains, two customers.
+    /// Returns a configuration of two customers, and three workers of the model service and three
+    /// hosts of the plain service in three domains.
     pub(crate) fn config(&self) -> Arc<Config> {
         Arc::new(Config {
             domains: arena((0..3).map(|i| Domain {
@@ -169,7 +170,7 @@
     }))
 }
 
-/// The node of all tests.
+/// The node that all tests use.
 pub(crate) fn node_place() -> Place {
     Place {
         domain: Some(oatdale_config::DomainKey::from_index(0)),
@@ -177,7 +178,7 @@
     }
 }
 
-/// A plain request of customer 0 to the model service with ten seconds left.
+/// A request of customer 0 to the model service, outside any session, with a deadline in 10 s.
 pub(crate) fn ask(now: Duration, draw: u64) -> Ask {
     Ask {
         customer: customer(0),
@@ -214,7 +215,7 @@
 pub(crate) fn run(offer: Offer) -> Dispatch {
     match offer {
         Offer::Run(dispatch) => dispatch,
-        other => panic!("expected to run, got {other:?}"),
+        other => panic!("expected the request to run, got {other:?}"),
     }
 }
 
@@ -222,7 +223,7 @@
 pub(crate) fn wait(offer: Offer) -> Ticket {
     match offer {
         Offer::Wait(ticket) => ticket,
-        other => panic!("expected to wait, got {other:?}"),
+        other => panic!("expected the request to wait, got {other:?}"),
     }
 }
 
--- a/crates/oatdale-policy/tests/router/main.rs
+++ b/crates/oatdale-policy/tests/router/main.rs
@@ -1,4 +1,4 @@
-//! The router's decisions, by subject.
+//! Tests of the router's decisions, grouped by subject.
 
 mod admission;
 mod fixture;
--- a/crates/oatdale-policy/tests/router/states.rs
+++ b/crates/oatdale-policy/tests/router/states.rs
@@ -1,4 +1,4 @@
-//! Version states and permissions on every path.
+//! Tests that version states and permissions apply to new, waiting, retried and pinned requests.
 
 use crate::fixture::{
     Shape, ask, complete, customer, endpoint, node_place, outcome, planner, refusal_reason, run,
@@ -71,8 +71,8 @@
     assert_eq!(dispatch.why_version, VersionReason::Pinned);
 }
 
-/// An operator withdraws the version of a session under way. The caller is refused and told that
-/// its request did not run; it must never be moved to another version without a word.
+/// An operator withdraws the version of an open session. The next request is refused with a reason
+/// that tells the caller that it did not run; it must never silently move to another version.
 #[test]
 fn session_with_a_withdrawn_version_is_refused() {
     let mut router = with_states([VersionState::Serving; 3]).router();
@@ -86,8 +86,8 @@
     assert_eq!(refusal, RefusalReason::SessionVersionWithdrawn);
 }
 
-/// A request waits for room when its version is withdrawn. If the choice made on its arrival were
-/// kept, the withdrawn version would answer seconds after the operators took it away.
+/// The version is withdrawn while a request waits for a free worker. If the choice made on arrival
+/// were kept, the version would answer seconds after its withdrawal.
 #[test]
 fn waiting_request_does_not_run_on_a_version_withdrawn_meanwhile() {
     let first_serving = [
@@ -100,7 +100,7 @@
     let all_withdrawn = [VersionState::Withdrawn; 3];
     router.reconfigure(secs(0.5), with_states(all_withdrawn).config());
     router.finish(secs(0.5), running, &complete(None));
-    let (turn_ticket, turn) = router.next_turn(secs(0.5)).expect("room is free");
+    let (turn_ticket, turn) = router.next_turn(secs(0.5)).expect("a worker is free");
     assert_eq!(turn_ticket, ticket);
     let Turn::Refuse(refusal) = turn else {
         panic!("ran on a withdrawn version: {turn:?}");
@@ -108,8 +108,8 @@
     assert_eq!(refusal.reason, RefusalReason::NoVersion);
 }
 
-/// An attempt fails just after its version was withdrawn. A retry that kept the version would be
-/// new work for it.
+/// An attempt fails just after its version was withdrawn. A retry with that version would be new
+/// work for it.
 #[test]
 fn retry_does_not_use_a_version_withdrawn_meanwhile() {
     let mut router = with_states([VersionState::Serving; 3]).router();
@@ -140,7 +140,8 @@
     assert_eq!(dispatch.version, Some(version(0)));
 }
 
-/// A stop must outlive the many configuration changes of a day that say nothing of the version.
+/// The configuration changes many times a day; a change that does not affect the version must not
+/// end its stop.
 #[test]
 fn stop_persists_across_reconfiguration() {
     let mut router = Router::new(Shape::default().config(), node_place());
@@ -150,20 +151,21 @@
     assert_ne!(dispatch.version, Some(version(0)));
 }
 
-/// Fills the workers and leaves one more request waiting.
+/// Sends requests until the workers are full and one request waits; returns the tickets of the last
+/// running and of the waiting request.
 fn fill_workers(router: &mut Router) -> (oatdale_policy::Ticket, oatdale_policy::Ticket) {
     let mut running = None;
     for draw in 0..64 {
         match router.offer(secs(0.0), &ask(secs(0.0), draw)) {
             Offer::Run(dispatch) => running = Some(dispatch.ticket),
-            other => return (running.expect("there was room"), wait(other)),
+            other => return (running.expect("a request ran"), wait(other)),
         }
     }
-    panic!("the workers never filled");
+    panic!("the workers never became full");
 }
 
-/// A canary is in the text, but no engine has loaded it yet. Requests of its share would wait for
-/// nothing, and a session pinned to it would have each of its requests refused.
+/// The configuration has a canary that no engine has loaded yet. Requests of its share would wait
+/// in vain, and a session pinned to it would have all its requests refused.
 #[test]
 fn canary_loaded_by_no_engine_gets_no_requests() {
     let mut router = with_states([VersionState::Serving, CANARY, VersionState::Withdrawn]).router();
