--- a/crates/oatdale-policy/benches/decision.rs
+++ b/crates/oatdale-policy/benches/decision.rs
@@ -70,11 +70,11 @@
     (per_request(offers), per_request(start.elapsed()))
 }
 
-fn print(label: &str, mut nanoseconds: Vec<u64>) {
+fn print(name: &str, mut nanoseconds: Vec<u64>) {
     nanoseconds.sort_unstable();
     let (median, worst) = (nanoseconds[ROUNDS / 2], nanoseconds[ROUNDS - 1]);
     println!(
-        "{label}: {median} ns (worst round {worst} ns) at {ENDPOINTS} endpoints, {VERSIONS} versions"
+        "{name}: {median} ns (worst round {worst} ns) at {ENDPOINTS} endpoints, {VERSIONS} versions"
     );
 }
 
--- a/crates/oatdale-policy/src/router/offer.rs
+++ b/crates/oatdale-policy/src/router/offer.rs
@@ -44,12 +44,12 @@
     }
 
     fn admit(&mut self, ask: &Ask) -> Result<(), Refusal> {
-        self.check_access(ask).map_err(permanent_refusal)?;
+        self.check_access(ask).map_err(refusal_without_retry)?;
         self.check_customer_limits(ask)?;
         if ask.deadline <= self.now {
-            return Err(permanent_refusal(RefusalReason::Deadline));
+            return Err(refusal_without_retry(RefusalReason::Deadline));
         }
-        let candidates = self.candidates(ask).map_err(permanent_refusal)?;
+        let candidates = self.candidates(ask).map_err(refusal_without_retry)?;
         self.check_reachable(ask, &candidates)?;
         self.check_dependencies(ask)
     }
@@ -241,7 +241,7 @@
     }
 }
 
-fn permanent_refusal(reason: RefusalReason) -> Refusal {
+fn refusal_without_retry(reason: RefusalReason) -> Refusal {
     Refusal {
         reason,
         retry_after: None,
