--- a/crates/oatdale-policy/benches/decision.rs
+++ b/crates/oatdale-policy/benches/decision.rs
@@ -1,7 +1,8 @@
-//! The cost of one decision at the target size: 2,100 endpoints, 40 versions.
+//! Benchmark of routing decisions at the target size of 2,100 endpoints and 40 versions.
 //!
-//! `cargo bench -p oatdale-policy` prints nanoseconds for a decision (offer), for a whole request
-//! (offer and finish) and for taking in a configuration, as the median and the worst of several rounds.
+//! `cargo bench -p oatdale-policy` prints the nanoseconds of a decision (offer), of a complete
+//! request (offer and finish) and of a reconfiguration, as the median and the worst of several
+//! rounds.
 
 use oatdale_config::{
     Arena, Config, Customer, CustomerKey, Digest, Domain, DomainKey, Endpoint, EndpointKey, Key,
@@ -30,50 +31,50 @@
     let mut offers = Vec::new();
     let mut requests = Vec::new();
     for round in 0..ROUNDS as u64 {
-        let (offer, whole) = measure(&mut router, round);
+        let (offer, request) = measure(&mut router, round);
         offers.push(offer);
-        requests.push(whole);
+        requests.push(request);
     }
     print("offer", offers);
     print("reconfigure", reconfigure(&mut router, &cfg));
     print("offer and finish", requests);
 }
 
-/// Nanoseconds of taking in a configuration of the same size.
+/// Measures the application of a configuration of the same size; returns nanoseconds per round.
 fn reconfigure(router: &mut Router, cfg: &Arc<Config>) -> Vec<u64> {
     (0..ROUNDS)
         .map(|_| {
-            let began = Instant::now();
+            let start = Instant::now();
             router.reconfigure(Duration::from_secs(10_000), cfg.clone());
-            began.elapsed().as_nanos() as u64
+            start.elapsed().as_nanos() as u64
         })
         .collect()
 }
 
-/// Nanoseconds of an offer and of a whole request.
+/// Returns the average nanoseconds of an offer and of a complete request.
 fn measure(router: &mut Router, round: u64) -> (u64, u64) {
     let mut offers = Duration::ZERO;
-    let began = Instant::now();
+    let start = Instant::now();
     for i in 0..REQUESTS {
         let n = round * REQUESTS + i;
         let now = Duration::from_micros(300 * n);
-        let before = Instant::now();
+        let offer_start = Instant::now();
         let offer = router.offer(now, &ask(now, n));
-        offers += before.elapsed();
+        offers += offer_start.elapsed();
         let Offer::Run(dispatch) = offer else {
-            panic!("an idle fleet refuses nothing: {offer:?}");
+            panic!("expected an idle fleet to run the request, got {offer:?}");
         };
         router.finish(now, dispatch.ticket, &outcome(n));
     }
-    let each = |time: Duration| (time.as_nanos() / u128::from(REQUESTS)) as u64;
-    (each(offers), each(began.elapsed()))
+    let per_request = |time: Duration| (time.as_nanos() / u128::from(REQUESTS)) as u64;
+    (per_request(offers), per_request(start.elapsed()))
 }
 
-fn print(what: &str, mut nanoseconds: Vec<u64>) {
+fn print(name: &str, mut nanoseconds: Vec<u64>) {
     nanoseconds.sort_unstable();
     let (median, worst) = (nanoseconds[ROUNDS / 2], nanoseconds[ROUNDS - 1]);
     println!(
-        "{what}: {median} ns (worst round {worst} ns) at {ENDPOINTS} endpoints, {VERSIONS} versions"
+        "{name}: {median} ns (worst round {worst} ns) at {ENDPOINTS} endpoints, {VERSIONS} versions"
     );
 }
 
@@ -106,7 +107,8 @@
     }
 }
 
-/// One pool; each endpoint holds four of the versions; every service may use all of them.
+/// A configuration of one pool; each endpoint serves four versions, and each service may use all
+/// versions.
 fn config() -> Config {
     let versions = || (0..VERSIONS).map(VersionKey::from_index);
     Config {
