--- a/crates/oatdale-policy/examples/measure/cascade.rs
+++ b/crates/oatdale-policy/examples/measure/cascade.rs
@@ -7,12 +7,12 @@
 mod load;
 
 use self::load::{
-    Expected, LENGTH_SIGMA, Load, Request, accepts, request, seconds, shifted, skyward, tallyrow,
-    truth,
+    ExpectedOutcome, LENGTH_SIGMA, Request, Workload, expected_outcomes, is_accepted,
+    random_request, response_seconds, shifted, skyward, tallyrow,
 };
 use crate::Seeds;
 use crate::report::Report;
-use crate::world::{Draw, ModelService, Site, customer};
+use crate::world::{ModelService, SimRng, Site, random_customer};
 use oatdale_config::{Config, Key, ServiceKey, VersionKey};
 use oatdale_policy::{
     Ask, AttemptResult, Dispatch, Next, Offer, Outcome, Place, Router, Session, VersionReason,
@@ -26,20 +26,20 @@
 
 /// The first requests, from which the router learns, count in neither cost nor quality of the
 /// steady state; their quality is given apart.
-const WARM_UP: usize = 1_000;
+const WARM_UP_REQUESTS: usize = 1_000;
 
 /// Requests after which a sampled rating arrives.
-const RATING_LAG: usize = 100;
+const RATING_LAG_REQUESTS: usize = 100;
 
 /// Requests over which quality is averaged to see whether it is back on target.
-const WINDOW: usize = 500;
+const RECOVERY_WINDOW_REQUESTS: usize = 500;
 
 /// Tokens that callers allow an answer to have.
-const MOST_OUTPUT: u32 = 4_000;
+const MAX_OUTPUT_TOKENS: u32 = 4_000;
 
 /// What one policy did with one request.
 #[derive(Clone, Copy, Default)]
-struct Result {
+struct RequestResult {
     cost: f64,
     accepted: bool,
     seconds: f64,
@@ -47,21 +47,21 @@
 
 pub(crate) fn run(seeds: Seeds) -> Report {
     let mut report = Report::new("Cascade: cost at the quality target", "cost / optimum");
-    for load in [skyward(), tallyrow()] {
-        let name = load.name;
-        let shift = shifted(&load);
-        let some_rated = Load {
-            sampled: 0.1,
-            ..load.clone()
+    for workload in [skyward(), tallyrow()] {
+        let name = workload.name;
+        let shifted_workload = shifted(&workload);
+        let partly_rated = Workload {
+            rated_share: 0.1,
+            ..workload.clone()
         };
-        let latency_first = Load {
+        let latency_first = Workload {
             latency_weight: 0.5,
-            ..load.clone()
+            ..workload.clone()
         };
         let conditions = [
-            (format!("{name} steady"), &load, &load),
-            (format!("{name} shift"), &load, &shift),
-            (format!("{name} 10% rated"), &some_rated, &some_rated),
+            (format!("{name} steady"), &workload, &workload),
+            (format!("{name} shift"), &workload, &shifted_workload),
+            (format!("{name} 10% rated"), &partly_rated, &partly_rated),
             (
                 format!("{name} latency 0.5"),
                 &latency_first,
@@ -77,68 +77,70 @@
     report
 }
 
-fn measure(report: &mut Report, condition: &str, load: &Load, after: &Load, seed: u64) {
-    let shifts = condition.ends_with("shift");
-    let mut draw = Draw::new(seed * 1_000_003 + 17);
-    let requests: Vec<Request> = (0..REQUESTS).map(|_| request(load, &mut draw)).collect();
-    let site = site(load);
+fn measure(report: &mut Report, condition: &str, workload: &Workload, after: &Workload, seed: u64) {
+    let has_shift = condition.ends_with("shift");
+    let mut rng = SimRng::new(seed * 1_000_003 + 17);
+    let requests: Vec<Request> = (0..REQUESTS)
+        .map(|_| random_request(workload, &mut rng))
+        .collect();
+    let site = site(workload);
     let cfg = Arc::new(site.config());
-    let world = World {
+    let scenario = Scenario {
         cfg: cfg.clone(),
-        loads: [load.clone(), after.clone()],
+        workloads: [workload.clone(), after.clone()],
         requests,
     };
-    let optimum = world.optimum(&mut draw);
-    let best = world.fixed(&[2]);
-    let cheapest = world.fixed(&[0]);
-    let fixed = world.fixed(&[0, 2]);
-    let learned = world.learned(&site, seed);
+    let optimum = scenario.optimum(&mut rng);
+    let best = scenario.fixed_sequence(&[2]);
+    let cheapest = scenario.fixed_sequence(&[0]);
+    let fixed_cascade = scenario.fixed_sequence(&[0, 2]);
+    let learned = scenario.run_router(&site, seed);
     let policies = [
         ("always best", best),
         ("always cheapest", cheapest),
-        ("fixed cascade", fixed),
+        ("fixed cascade", fixed_cascade),
         ("oatdale", learned),
         ("optimum", optimum.clone()),
     ];
     for (policy, results) in policies {
-        let judged = match shifts {
-            false => WARM_UP..REQUESTS,
+        let counted = match has_shift {
+            false => WARM_UP_REQUESTS..REQUESTS,
             true => REQUESTS / 2..REQUESTS,
         };
-        let (cost, quality) = sums(&results[judged.clone()]);
-        let (least, _) = sums(&optimum[judged.clone()]);
-        let met = f64::from(u8::from(quality >= load.target));
-        let taken: f64 = results[judged.clone()].iter().map(|r| r.seconds).sum();
-        let seconds = taken / judged.len() as f64;
-        let (_, early) = sums(&results[..WARM_UP]);
+        let (cost, quality) = mean_cost_and_quality(&results[counted.clone()]);
+        let (optimum_cost, _) = mean_cost_and_quality(&optimum[counted.clone()]);
+        let target_met = f64::from(u8::from(quality >= workload.target));
+        let total_seconds: f64 = results[counted.clone()].iter().map(|r| r.seconds).sum();
+        let seconds = total_seconds / counted.len() as f64;
+        let (_, warm_up_quality) = mean_cost_and_quality(&results[..WARM_UP_REQUESTS]);
         let mut values = vec![
-            ("cost / optimum", cost / least),
+            ("cost / optimum", cost / optimum_cost),
             ("quality", quality),
-            ("target met", met),
+            ("target met", target_met),
             ("seconds to the answer", seconds),
-            ("quality of first 1000", early),
+            ("quality of first 1000", warm_up_quality),
         ];
-        if shifts {
+        if has_shift {
             values.push((
                 "requests until back on target",
-                recovery(&results, load.target),
+                recovery_requests(&results, workload.target),
             ));
         }
         report.add(condition, policy, seed, &values);
     }
 }
 
-fn site(load: &Load) -> Site {
-    Site::of_today(vec![ModelService {
+fn site(workload: &Workload) -> Site {
+    Site::standard(vec![ModelService {
         name: "model",
-        quality: load.target,
-        latency_weight: load.latency_weight,
+        quality: workload.target,
+        latency_weight: workload.latency_weight,
         deadline: 60.0,
     }])
 }
 
 /// Mean cost and share of accepted answers.
-fn sums(results: &[Result]) -> (f64, f64) {
+fn mean_cost_and_quality(results: &[RequestResult]) -> (f64, f64) {
     let n = results.len() as f64;
     let accepted = results.iter().filter(|r| r.accepted).count() as f64;
     (
@@ -149,25 +151,26 @@
 
 /// Requests after the shift until a whole window is on target, less two standard deviations of
 /// the window's own chance.
-fn recovery(results: &[Result], target: f64) -> f64 {
-    let chance = 2.0 * (target * (1.0 - target) / WINDOW as f64).sqrt();
-    let from = REQUESTS / 2;
-    let window = |start: usize| sums(&results[start..start + WINDOW]).1;
-    (from..REQUESTS - WINDOW)
-        .find(|&start| window(start) >= target - chance)
-        .map_or((REQUESTS - from) as f64, |start| (start - from) as f64)
+fn recovery_requests(results: &[RequestResult], target: f64) -> f64 {
+    let margin = 2.0 * (target * (1.0 - target) / RECOVERY_WINDOW_REQUESTS as f64).sqrt();
+    let change = REQUESTS / 2;
+    let window_quality =
+        |start: usize| mean_cost_and_quality(&results[start..start + RECOVERY_WINDOW_REQUESTS]).1;
+    (change..REQUESTS - RECOVERY_WINDOW_REQUESTS)
+        .find(|&start| window_quality(start) >= target - margin)
+        .map_or((REQUESTS - change) as f64, |start| (start - change) as f64)
 }
 
-struct World {
+struct Scenario {
     cfg: Arc<Config>,
     /// Before and after the shift.
-    loads: [Load; 2],
+    workloads: [Workload; 2],
     requests: Vec<Request>,
 }
 
-impl World {
-    fn load(&self, at: usize) -> &Load {
-        &self.loads[usize::from(at >= REQUESTS / 2)]
+impl Scenario {
+    fn workload(&self, request_index: usize) -> &Workload {
+        &self.workloads[usize::from(request_index >= REQUESTS / 2)]
     }
 
     fn cost(&self, request: &Request, version: usize) -> f64 {
@@ -177,23 +180,23 @@
     }
 
     /// What a request is expected to cost before its answer's length is known.
-    fn expected_cost(&self, at: usize, version: usize) -> f64 {
-        let request = &self.requests[at];
-        let median = self.load(at).classes[request.class].output;
+    fn expected_cost(&self, request_index: usize, version: usize) -> f64 {
+        let request = &self.requests[request_index];
+        let median = self.workload(request_index).classes[request.class].output;
         let mean = median * (LENGTH_SIGMA * LENGTH_SIGMA / 2.0).exp();
         let output = mean as u32;
         self.cost(&Request { output, ..*request }, version)
     }
 
     /// Asks the versions in order until one is accepted.
-    fn sequence(&self, at: usize, versions: &[usize]) -> Result {
-        let request = &self.requests[at];
-        let class = &self.load(at).classes[request.class];
-        let mut result = Result::default();
+    fn run_sequence(&self, request_index: usize, versions: &[usize]) -> RequestResult {
+        let request = &self.requests[request_index];
+        let class = &self.workload(request_index).classes[request.class];
+        let mut result = RequestResult::default();
         for &version in versions {
             result.cost += self.cost(request, version);
-            result.seconds += seconds(request, version);
-            result.accepted = accepts(class, request, version);
+            result.seconds += response_seconds(request, version);
+            result.accepted = is_accepted(class, request, version);
             if result.accepted {
                 break;
             }
@@ -201,91 +204,97 @@
         result
     }
 
-    fn fixed(&self, versions: &[usize]) -> Vec<Result> {
+    fn fixed_sequence(&self, versions: &[usize]) -> Vec<RequestResult> {
         (0..self.requests.len())
-            .map(|at| self.sequence(at, versions))
+            .map(|request_index| self.run_sequence(request_index, versions))
             .collect()
     }
 
     /// The least cost that meets the target in expectation, by the true distributions: for each
     /// request the sequence that is worth most at one price of quality, which is found by halving.
-    fn optimum(&self, draw: &mut Draw) -> Vec<Result> {
+    fn optimum(&self, rng: &mut SimRng) -> Vec<RequestResult> {
         let half = self.requests.len() / 2;
-        let mut results = self.optimum_of(0..half, draw);
-        results.extend(self.optimum_of(half..self.requests.len(), draw));
+        let mut results = self.optimum_for(0..half, rng);
+        results.extend(self.optimum_for(half..self.requests.len(), rng));
         results
     }
 
-    fn optimum_of(&self, part: std::ops::Range<usize>, draw: &mut Draw) -> Vec<Result> {
-        let load = self.load(part.start).clone();
-        let truth = truth(&load, draw);
+    fn optimum_for(&self, range: std::ops::Range<usize>, rng: &mut SimRng) -> Vec<RequestResult> {
+        let workload = self.workload(range.start).clone();
+        let outcomes = expected_outcomes(&workload, rng);
         let quality_at = |price: f64| {
-            let total: f64 = part
+            let total: f64 = range
                 .clone()
-                .map(|at| self.choose(at, &truth, price).1)
+                .map(|i| self.best_sequence(i, &outcomes, price).1)
                 .sum();
-            total / part.len() as f64
+            total / range.len() as f64
         };
         let (mut low, mut high) = (0.0, 10.0);
         for _ in 0..50 {
             let middle = 0.5 * (low + high);
-            match quality_at(middle) < load.target {
+            match quality_at(middle) < workload.target {
                 true => low = middle,
                 false => high = middle,
             }
         }
-        part.clone()
-            .map(|at| self.sequence(at, self.choose(at, &truth, high).0))
+        range
+            .clone()
+            .map(|i| self.run_sequence(i, self.best_sequence(i, &outcomes, high).0))
             .collect()
     }
 
     /// The sequence that is worth most to a request, and its expected quality.
-    fn choose<'a>(&self, at: usize, truth: &'a [Vec<Expected>], price: f64) -> (&'a [usize], f64) {
-        let request = &self.requests[at];
-        let worth = |e: &Expected| {
+    fn best_sequence<'a>(
+        &self,
+        request_index: usize,
+        outcomes: &'a [Vec<ExpectedOutcome>],
+        price: f64,
+    ) -> (&'a [usize], f64) {
+        let request = &self.requests[request_index];
+        let net_value = |e: &ExpectedOutcome| {
             let cost: f64 = e
                 .reached
                 .iter()
                 .zip(&e.versions)
-                .map(|(reached, &v)| reached * self.expected_cost(at, v))
+                .map(|(reached, &v)| reached * self.expected_cost(request_index, v))
                 .sum();
             price * e.quality - cost
         };
-        let best = truth[request.class]
+        let best = outcomes[request.class]
             .iter()
-            .max_by(|a, b| worth(a).total_cmp(&worth(b)))
-            .expect("there are sequences");
+            .max_by(|a, b| net_value(a).total_cmp(&net_value(b)))
+            .expect("at least one sequence");
         (&best.versions, best.quality)
     }
 
     /// The real router, one request at a time, with sampled ratings that come late.
-    fn learned(&self, site: &Site, seed: u64) -> Vec<Result> {
+    fn run_router(&self, site: &Site, seed: u64) -> Vec<RequestResult> {
         let place = Place {
             domain: None,
             seed: seed + 1,
         };
-        let mut run = Run {
-            world: self,
+        let mut run = RouterRun {
+            scenario: self,
             router: Router::new(self.cfg.clone(), place),
-            draw: Draw::new(seed ^ 0x5eed),
-            late: VecDeque::new(),
+            rng: SimRng::new(seed ^ 0x5eed),
+            pending_ratings: VecDeque::new(),
         };
         (0..self.requests.len())
-            .map(|at| run.serve(at, site.customers))
+            .map(|request_index| run.serve(request_index, site.customers))
             .collect()
     }
 }
 
 /// One run of the real router.
-struct Run<'a> {
-    world: &'a World,
+struct RouterRun<'a> {
+    scenario: &'a Scenario,
     router: Router,
-    draw: Draw,
-    late: VecDeque<Late>,
+    rng: SimRng,
+    pending_ratings: VecDeque<PendingRating>,
 }
 
 /// A sampled rating on its way.
-struct Late {
+struct PendingRating {
     due: usize,
     class: u8,
     version: VersionKey,
@@ -293,51 +302,56 @@
     rating: f64,
 }
 
-impl Run<'_> {
-    fn serve(&mut self, at: usize, customers: usize) -> Result {
-        let now = Duration::from_millis(100 * at as u64);
-        self.deliver(at, now);
-        let request = self.world.requests[at];
+impl RouterRun<'_> {
+    fn serve(&mut self, request_index: usize, customers: usize) -> RequestResult {
+        let now = Duration::from_millis(100 * request_index as u64);
+        self.deliver_ratings(request_index, now);
+        let request = self.scenario.requests[request_index];
         let ask = Ask {
-            customer: customer(&mut self.draw, customers),
+            customer: random_customer(&mut self.rng, customers),
             service: ServiceKey::from_index(0),
             idempotent: true,
             session: Session::None,
             deadline: now + Duration::from_secs(60),
             input_tokens: request.input,
-            output_tokens: MOST_OUTPUT,
+            output_tokens: MAX_OUTPUT_TOKENS,
             prefix: request.draw,
             draw: request.draw,
             stream: false,
             class: request.class as u8,
         };
         let Offer::Run(mut dispatch) = self.router.offer(now, &ask) else {
-            panic!("an idle site refuses nothing");
+            panic!("idle site did not dispatch a request at once");
         };
-        let mut result = Result::default();
+        let mut result = RequestResult::default();
         loop {
-            let outcome = self.attempt(at, dispatch, &mut result);
+            let outcome = self.attempt(request_index, dispatch, &mut result);
             match self.router.finish(now, dispatch.ticket, &outcome) {
                 Next::Run(next) => dispatch = next,
                 Next::Done => return result,
-                Next::Refuse(refusal) => panic!("nothing fails here: {refusal:?}"),
+                Next::Refuse(refusal) => panic!("refused without a failed attempt: {refusal:?}"),
             }
         }
     }
 
-    fn attempt(&mut self, at: usize, dispatch: Dispatch, result: &mut Result) -> Outcome {
-        let world = self.world;
-        let request = &world.requests[at];
-        let version = dispatch.version.expect("a model service");
-        result.cost += world.cost(request, version.index());
-        let total = seconds(request, version.index());
+    fn attempt(
+        &mut self,
+        request_index: usize,
+        dispatch: Dispatch,
+        result: &mut RequestResult,
+    ) -> Outcome {
+        let scenario = self.scenario;
+        let request = &scenario.requests[request_index];
+        let version = dispatch.version.expect("model services dispatch a version");
+        result.cost += scenario.cost(request, version.index());
+        let total = response_seconds(request, version.index());
         result.seconds += total;
-        let class = &world.load(at).classes[request.class];
-        result.accepted = accepts(class, request, version.index());
+        let class = &scenario.workload(request_index).classes[request.class];
+        result.accepted = is_accepted(class, request, version.index());
         let rating = f64::from(u8::from(result.accepted));
-        if !dispatch.judge && self.draw.unit() < world.loads[0].sampled {
-            self.late.push_back(Late {
-                due: at + RATING_LAG,
+        if !dispatch.judge && self.rng.uniform() < scenario.workloads[0].rated_share {
+            self.pending_ratings.push_back(PendingRating {
+                due: request_index + RATING_LAG_REQUESTS,
                 class: request.class as u8,
                 version,
                 escalated: dispatch.why_version == VersionReason::Escalated,
@@ -356,12 +370,16 @@
         }
     }
 
-    fn deliver(&mut self, at: usize, now: Duration) {
+    fn deliver_ratings(&mut self, request_index: usize, now: Duration) {
         let service = ServiceKey::from_index(0);
-        while self.late.front().is_some_and(|late| late.due <= at) {
-            let late = self.late.pop_front().expect("it was just seen");
-            let (class, version, rating) = (late.class, late.version, late.rating);
-            match late.escalated {
+        while self
+            .pending_ratings
+            .front()
+            .is_some_and(|pending| pending.due <= request_index)
+        {
+            let pending = self.pending_ratings.pop_front().expect("front was checked");
+            let (class, version, rating) = (pending.class, pending.version, pending.rating);
+            match pending.escalated {
                 true => self
                     .router
                     .observe_escalated_rating(now, service, class, version, rating),
--- a/crates/oatdale-policy/examples/measure/cascade/load.rs
+++ b/crates/oatdale-policy/examples/measure/cascade/load.rs
@@ -1,21 +1,21 @@
 //! Workloads of the cascade round: requests, what accepts them, and the true distributions.
 
-use crate::world::Draw;
+use crate::world::SimRng;
 
 /// The standard deviation of the logarithm of prompts' and answers' lengths.
 pub(super) const LENGTH_SIGMA: f64 = 0.4;
 
 /// Draws from which the true distributions are worked out.
-pub(super) const TRUTH: usize = 20_000;
+pub(super) const SAMPLES_PER_CLASS: usize = 20_000;
 
 /// A workload: how able each of the three versions is, and how long requests are.
 #[derive(Clone)]
-pub(super) struct Load {
+pub(super) struct Workload {
     pub(super) name: &'static str,
     pub(super) target: f64,
     pub(super) latency_weight: f64,
     /// The share of answers that were not held back and are rated later.
-    pub(super) sampled: f64,
+    pub(super) rated_share: f64,
     /// For each class: its share, tokens of prompt and answer, and the versions' abilities.
     pub(super) classes: Vec<Class>,
 }
@@ -39,12 +39,12 @@
 }
 
 /// Short tagging, notes and pass schedules.
-pub(super) fn skyward() -> Load {
-    Load {
+pub(super) fn skyward() -> Workload {
+    Workload {
         name: "skyward",
         target: 0.90,
         latency_weight: 0.0,
-        sampled: 1.0,
+        rated_share: 1.0,
         classes: vec![
             class(0.5, 200.0, 20.0, [0.95, 0.97, 0.99]),
             class(0.3, 1500.0, 200.0, [0.75, 0.90, 0.96]),
@@ -54,12 +54,12 @@
 }
 
 /// Tags, licence summaries and whole registers.
-pub(super) fn tallyrow() -> Load {
-    Load {
+pub(super) fn tallyrow() -> Workload {
+    Workload {
         name: "tallyrow",
         target: 0.90,
         latency_weight: 0.0,
-        sampled: 1.0,
+        rated_share: 1.0,
         classes: vec![
             class(0.4, 150.0, 15.0, [0.94, 0.96, 0.99]),
             class(0.3, 3000.0, 600.0, [0.70, 0.88, 0.95]),
@@ -78,85 +78,95 @@
 }
 
 /// The cheapest version gets much worse at everything but the easiest class.
-pub(super) fn shifted(load: &Load) -> Load {
-    let mut load = load.clone();
-    for class in &mut load.classes[1..] {
+pub(super) fn shifted(workload: &Workload) -> Workload {
+    let mut workload = workload.clone();
+    for class in &mut workload.classes[1..] {
         class.ability[0] *= 0.5;
     }
-    load
+    workload
 }
 
-pub(super) fn request(load: &Load, draw: &mut Draw) -> Request {
-    let mut place = draw.unit();
-    let class = load
+pub(super) fn random_request(workload: &Workload, rng: &mut SimRng) -> Request {
+    let mut remaining_share = rng.uniform();
+    let class = workload
         .classes
         .iter()
         .position(|c| {
-            place -= c.share;
-            place < 0.0
+            remaining_share -= c.share;
+            remaining_share < 0.0
         })
-        .unwrap_or(load.classes.len() - 1);
-    let Class { input, output, .. } = load.classes[class];
+        .unwrap_or(workload.classes.len() - 1);
+    let Class { input, output, .. } = workload.classes[class];
     Request {
         class,
-        input: draw.log_normal(input, LENGTH_SIGMA) as u32 + 1,
-        output: draw.log_normal(output, LENGTH_SIGMA) as u32 + 1,
-        difficulty: draw.unit(),
-        noise: [(); 3].map(|()| draw.unit()),
-        draw: draw.bits(),
+        input: rng.log_normal(input, LENGTH_SIGMA) as u32 + 1,
+        output: rng.log_normal(output, LENGTH_SIGMA) as u32 + 1,
+        difficulty: rng.uniform(),
+        noise: [(); 3].map(|()| rng.uniform()),
+        draw: rng.random_bits(),
     }
 }
 
 /// How long a version takes; dearer ones are slower.
-pub(super) fn seconds(request: &Request, version: usize) -> f64 {
-    let pace = [0.006, 0.012, 0.025][version];
-    0.05 + pace * f64::from(request.output)
+pub(super) fn response_seconds(request: &Request, version: usize) -> f64 {
+    let s_per_token = [0.006, 0.012, 0.025][version];
+    0.05 + s_per_token * f64::from(request.output)
 }
 
 /// Whether a version's answer is accepted: half by the request's difficulty, which all versions
 /// share, and half by a draw of its own.
-pub(super) fn accepts(class: &Class, request: &Request, version: usize) -> bool {
-    let own = request.noise[version];
-    let mixed = 0.5 * (request.difficulty + own);
+pub(super) fn is_accepted(class: &Class, request: &Request, version: usize) -> bool {
+    let version_noise = request.noise[version];
+    let mixed = 0.5 * (request.difficulty + version_noise);
     // The sum of two uniform draws is triangular; this brings it back to uniform.
-    let place = match mixed < 0.5 {
+    let uniform_difficulty = match mixed < 0.5 {
         true => 2.0 * mixed * mixed,
         false => 1.0 - 2.0 * (1.0 - mixed) * (1.0 - mixed),
     };
-    place < class.ability[version]
+    uniform_difficulty < class.ability[version]
 }
 
 /// What a sequence of versions does in one class, by the true distributions.
-pub(super) struct Expected {
+pub(super) struct ExpectedOutcome {
     pub(super) versions: Vec<usize>,
     /// How often each step is reached.
     pub(super) reached: Vec<f64>,
     pub(super) quality: f64,
 }
 
-pub(super) fn truth(load: &Load, draw: &mut Draw) -> Vec<Vec<Expected>> {
+pub(super) fn expected_outcomes(
+    workload: &Workload,
+    rng: &mut SimRng,
+) -> Vec<Vec<ExpectedOutcome>> {
     const SEQUENCES: [&[usize]; 7] = [&[0], &[1], &[2], &[0, 1], &[0, 2], &[1, 2], &[0, 1, 2]];
-    load.classes
+    workload
+        .classes
         .iter()
         .map(|class| {
-            let samples: Vec<Request> = (0..TRUTH).map(|_| request(load, draw)).collect();
-            let of = |versions: &&[usize]| expected(class, &samples, versions);
-            SEQUENCES.iter().map(of).collect()
+            let samples: Vec<Request> = (0..SAMPLES_PER_CLASS)
+                .map(|_| random_request(workload, rng))
+                .collect();
+            let outcome_of = |versions: &&[usize]| expected_outcome(class, &samples, versions);
+            SEQUENCES.iter().map(outcome_of).collect()
         })
         .collect()
 }
 
-pub(super) fn expected(class: &Class, samples: &[Request], versions: &[usize]) -> Expected {
+pub(super) fn expected_outcome(
+    class: &Class,
+    samples: &[Request],
+    versions: &[usize],
+) -> ExpectedOutcome {
     let n = samples.len() as f64;
-    let mut left: Vec<&Request> = samples.iter().collect();
+    let mut unaccepted: Vec<&Request> = samples.iter().collect();
     let mut reached = Vec::new();
     for &version in versions {
-        reached.push(left.len() as f64 / n);
-        left.retain(|request| !accepts(class, request, version));
+        reached.push(unaccepted.len() as f64 / n);
+        unaccepted.retain(|request| !is_accepted(class, request, version));
     }
-    Expected {
+    ExpectedOutcome {
         versions: versions.to_vec(),
         reached,
-        quality: 1.0 - left.len() as f64 / n,
+        quality: 1.0 - unaccepted.len() as f64 / n,
     }
 }
--- a/crates/oatdale-policy/examples/measure/endpoints.rs
+++ b/crates/oatdale-policy/examples/measure/endpoints.rs
@@ -9,11 +9,11 @@
 use oatdale_policy::Tuning;
 
 /// Seconds of a run; the first few are not counted.
-const LENGTH: f64 = 60.0;
-const WARM_UP: f64 = 10.0;
+const RUN_LENGTH_S: f64 = 60.0;
+const WARM_UP_S: f64 = 10.0;
 
 /// Requests a second, about 70% of what the workers can do.
-const RATE: f64 = 19.0;
+const REQUESTS_PER_S: f64 = 19.0;
 
 /// Nodes that share the workers.
 const NODES: usize = 8;
@@ -27,13 +27,13 @@
 
 pub(crate) fn run(seeds: Seeds) -> Report {
     let mut report = Report::new("Endpoint choice: time to the first token", "p99 ms");
-    let slow = vec![(4, 5.0, 0.0)];
+    let slow_endpoint = vec![(4, 5.0, 0.0)];
     let conditions = [
         ("lag 0 ms", 0.0, Vec::new(), 0),
         ("lag 100 ms", 0.1, Vec::new(), 0),
         ("lag 1000 ms", 1.0, Vec::new(), 0),
-        ("slow endpoint, lag 100 ms", 0.1, slow.clone(), 0),
-        ("slow endpoint, lag 1000 ms", 1.0, slow, 0),
+        ("slow endpoint, lag 100 ms", 0.1, slow_endpoint.clone(), 0),
+        ("slow endpoint, lag 1000 ms", 1.0, slow_endpoint, 0),
         ("prefix caches, lag 100 ms", 0.1, Vec::new(), 60),
     ];
     for (name, lag, faults, prefixes) in conditions {
@@ -45,14 +45,14 @@
                     policy,
                     nodes: NODES,
                     lag,
-                    length: LENGTH,
+                    length: RUN_LENGTH_S,
                     faults: faults.clone(),
                     tuning: Tuning::default(),
-                    attempts: 1,
-                    comes_back: None,
+                    baseline_attempts: 1,
+                    fixed_retry_delay: None,
                     seed,
                 });
-                report.add(name, policy.name(), seed, &figures(&sim));
+                report.add(name, policy.name(), seed, &metrics(&sim));
             }
         }
     }
@@ -60,7 +60,7 @@
 }
 
 fn site() -> Site {
-    let mut site = Site::of_today(vec![ModelService {
+    let mut site = Site::standard(vec![ModelService {
         name: "model",
         quality: 0.1,
         latency_weight: 0.0,
@@ -75,7 +75,7 @@
 fn flows(prefixes: usize) -> Vec<Flow> {
     let flow = |share: f64, input: f64, output: f64| Flow {
         service: ServiceKey::from_index(0),
-        rate: RATE * share,
+        rate: REQUESTS_PER_S * share,
         surge: None,
         input,
         output,
@@ -92,16 +92,20 @@
     ]
 }
 
-fn figures(sim: &Sim) -> [(&'static str, f64); 4] {
+fn metrics(sim: &Sim) -> [(&'static str, f64); 4] {
     let mut times: Vec<f64> = sim
         .jobs
         .iter()
-        .filter(|j| j.arrived >= WARM_UP)
-        .filter_map(Job::first_byte_after)
+        .filter(|j| j.arrived_at >= WARM_UP_S)
+        .filter_map(Job::time_to_first_byte)
         .collect();
-    let counted = sim.jobs.iter().filter(|j| j.arrived >= WARM_UP).count();
-    let hits: u64 = sim.engines.iter().map(|e| e.hits).sum();
-    let lookups: u64 = sim.engines.iter().map(|e| e.lookups).sum();
+    let counted = sim
+        .jobs
+        .iter()
+        .filter(|j| j.arrived_at >= WARM_UP_S)
+        .count();
+    let hits: u64 = sim.engines.iter().map(|e| e.cache_hits).sum();
+    let lookups: u64 = sim.engines.iter().map(|e| e.cache_lookups).sum();
     [
         ("p50 ms", 1000.0 * quantile(&mut times, 0.5)),
         ("p99 ms", 1000.0 * quantile(&mut times, 0.99)),
--- a/crates/oatdale-policy/examples/measure/engine.rs
+++ b/crates/oatdale-policy/examples/measure/engine.rs
@@ -1,29 +1,29 @@
 //! Stand-in for an endpoint: slots, batching, a prefix cache, slowness and failures.
 
-use crate::world::Draw;
+use crate::world::SimRng;
 use oatdale_policy::AttemptResult;
 use std::collections::VecDeque;
 
 /// Prefixes that an engine's cache holds.
-const CACHED: usize = 24;
+const CACHE_CAPACITY: usize = 24;
 
 /// What a cached prefix leaves of the time to read the prompt.
-const CACHE_LEAVES: f64 = 0.1;
+const CACHED_PREFILL_FRACTION: f64 = 0.1;
 
 /// Tokens of prompt read in a second.
-const READ: f64 = 20_000.0;
+const PREFILL_TOKENS_PER_S: f64 = 20_000.0;
 
 /// Seconds for one token of an answer when the engine runs nothing else.
-const TOKEN: f64 = 0.02;
+const DECODE_S_PER_TOKEN: f64 = 0.02;
 
 /// What each further request in the batch adds to a token's time.
-const BATCHING: f64 = 0.03;
+const BATCH_SLOWDOWN: f64 = 0.03;
 
 /// The least time to the first byte.
-const OVERHEAD: f64 = 0.005;
+const OVERHEAD_S: f64 = 0.005;
 
 /// Seconds until a failing endpoint's error comes.
-const FAILS_AFTER: f64 = 0.05;
+const FAILURE_DELAY_S: f64 = 0.05;
 
 /// Work for an engine.
 #[derive(Clone, Copy, Debug)]
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Started {
     pub(crate) work: Work,
-    pub(crate) first_byte: f64,
+    pub(crate) first_byte_at: f64,
     pub(crate) end: f64,
     pub(crate) result: AttemptResult,
 }
@@ -49,14 +49,14 @@
 pub(crate) struct Engine {
     slots: usize,
     running: usize,
-    waiting: VecDeque<Work>,
+    queue: VecDeque<Work>,
     cache: VecDeque<u64>,
     /// All times are multiplied by this.
-    pub(crate) slowness: f64,
+    pub(crate) slowdown: f64,
     /// The share of attempts that fail.
-    pub(crate) failing: f64,
-    pub(crate) hits: u64,
-    pub(crate) lookups: u64,
+    pub(crate) failure_rate: f64,
+    pub(crate) cache_hits: u64,
+    pub(crate) cache_lookups: u64,
 }
 
 impl Engine {
@@ -64,57 +64,58 @@
         Engine {
             slots: slots as usize,
             running: 0,
-            waiting: VecDeque::new(),
+            queue: VecDeque::new(),
             cache: VecDeque::new(),
-            slowness: 1.0,
-            failing: 0.0,
-            hits: 0,
-            lookups: 0,
+            slowdown: 1.0,
+            failure_rate: 0.0,
+            cache_hits: 0,
+            cache_lookups: 0,
         }
     }
 
     pub(crate) fn load(&self) -> (u32, u32) {
-        (self.running as u32, self.waiting.len() as u32)
+        (self.running as u32, self.queue.len() as u32)
     }
 
     /// Takes work in; it starts now if a slot is free.
-    pub(crate) fn submit(&mut self, now: f64, work: Work, draw: &mut Draw) -> Option<Started> {
+    pub(crate) fn submit(&mut self, now: f64, work: Work, rng: &mut SimRng) -> Option<Started> {
         if self.running >= self.slots {
-            self.waiting.push_back(work);
+            self.queue.push_back(work);
             return None;
         }
-        Some(self.start(now, work, draw))
+        Some(self.start(now, work, rng))
     }
 
     /// Notes that work ended; the next may start.
-    pub(crate) fn end(&mut self, now: f64, draw: &mut Draw) -> Option<Started> {
+    pub(crate) fn end(&mut self, now: f64, rng: &mut SimRng) -> Option<Started> {
         self.running -= 1;
-        let next = self.waiting.pop_front()?;
-        Some(self.start(now, next, draw))
+        let next = self.queue.pop_front()?;
+        Some(self.start(now, next, rng))
     }
 
-    fn start(&mut self, now: f64, work: Work, draw: &mut Draw) -> Started {
+    fn start(&mut self, now: f64, work: Work, rng: &mut SimRng) -> Started {
         self.running += 1;
-        if draw.unit() < self.failing {
-            let end = now + FAILS_AFTER;
+        if rng.uniform() < self.failure_rate {
+            let end = now + FAILURE_DELAY_S;
             return Started {
                 work,
-                first_byte: end,
+                first_byte_at: end,
                 end,
                 result: AttemptResult::Broken,
             };
         }
-        let cached = work.input > 0 && self.look_up(work.prefix);
-        let crowding = 1.0 + BATCHING * (self.running as f64 - 1.0);
-        let leaves = if cached { CACHE_LEAVES } else { 1.0 };
-        let read = f64::from(work.input) / READ * leaves;
-        let jitter = 0.9 + 0.2 * draw.unit();
-        let first = (OVERHEAD + read) * crowding * self.slowness * jitter;
-        let rest = f64::from(work.output) * TOKEN * crowding * self.slowness * jitter;
+        let cached = work.input > 0 && self.lookup_cache(work.prefix);
+        let batch_factor = 1.0 + BATCH_SLOWDOWN * (self.running as f64 - 1.0);
+        let prefill_fraction = if cached { CACHED_PREFILL_FRACTION } else { 1.0 };
+        let prefill = f64::from(work.input) / PREFILL_TOKENS_PER_S * prefill_fraction;
+        let jitter = 0.9 + 0.2 * rng.uniform();
+        let first_byte_delay = (OVERHEAD_S + prefill) * batch_factor * self.slowdown * jitter;
+        let decode =
+            f64::from(work.output) * DECODE_S_PER_TOKEN * batch_factor * self.slowdown * jitter;
         Started {
             work,
-            first_byte: now + first,
-            end: now + first + rest,
+            first_byte_at: now + first_byte_delay,
+            end: now + first_byte_delay + decode,
             result: AttemptResult::Complete {
                 rating: None,
                 output_tokens: work.output,
@@ -122,22 +123,22 @@
         }
     }
 
-    fn look_up(&mut self, prefix: u64) -> bool {
-        self.lookups += 1;
-        let at = self.cache.iter().position(|&p| p == prefix);
-        if let Some(at) = at {
-            self.cache.remove(at);
-            self.hits += 1;
-        } else if self.cache.len() == CACHED {
+    fn lookup_cache(&mut self, prefix: u64) -> bool {
+        self.cache_lookups += 1;
+        let index = self.cache.iter().position(|&p| p == prefix);
+        if let Some(index) = index {
+            self.cache.remove(index);
+            self.cache_hits += 1;
+        } else if self.cache.len() == CACHE_CAPACITY {
             self.cache.pop_front();
         }
         self.cache.push_back(prefix);
-        at.is_some()
+        index.is_some()
     }
 }
 
 /// The seconds that work takes on an endpoint that runs a full batch, without a cache.
-pub(crate) fn full_time(input: f64, output: f64, slots: u32) -> f64 {
-    let crowding = 1.0 + BATCHING * (f64::from(slots) - 1.0);
-    (OVERHEAD + input / READ + output * TOKEN) * crowding
+pub(crate) fn full_batch_seconds(input: f64, output: f64, slots: u32) -> f64 {
+    let batch_factor = 1.0 + BATCH_SLOWDOWN * (f64::from(slots) - 1.0);
+    (OVERHEAD_S + input / PREFILL_TOKENS_PER_S + output * DECODE_S_PER_TOKEN) * batch_factor
 }
--- a/crates/oatdale-policy/examples/measure/exposure.rs
+++ b/crates/oatdale-policy/examples/measure/exposure.rs
@@ -7,7 +7,7 @@
 
 use crate::Seeds;
 use crate::report::Report;
-use crate::world::{Draw, ModelService, Site};
+use crate::world::{ModelService, SimRng, Site};
 use oatdale_config::{Config, CustomerKey, Key, ModelKey, ServiceKey, VersionKey, VersionState};
 use oatdale_policy::{Ask, AttemptResult, Dispatch, Offer, Outcome, Place, Router, Session};
 use std::collections::VecDeque;
@@ -15,47 +15,47 @@
 use std::time::Duration;
 
 /// The canary's share.
-const SHARE: f64 = 0.2;
+const CANARY_SHARE: f64 = 0.2;
 
 /// Requests of one roll-out at most.
-const REQUESTS: usize = 5_000;
+const MAX_REQUESTS: usize = 5_000;
 
 /// Requests a second over all nodes.
-const RATE: usize = 20;
+const REQUESTS_PER_S: usize = 20;
 
 const NODES: usize = 4;
 
 /// Outcomes that the breaker looks back on.
-const WINDOW: usize = 100;
+const WINDOW_OUTCOMES: usize = 100;
 
 /// Healthy roll-outs for each seed, from which false stops are counted.
-const HEALTHY: u64 = 500;
+const HEALTHY_ROLLOUTS_PER_SEED: u64 = 500;
 
 /// Healthy streams from which the breaker's thresholds are found.
-const CALIBRATION: u64 = 20_000;
+const CALIBRATION_ROLLOUTS: u64 = 20_000;
 
 /// The share of healthy roll-outs that may be stopped, for each of three faults.
-const FALSE_STOPS: f64 = 0.001 / 3.0;
+const MAX_FALSE_STOP_SHARE: f64 = 0.001 / 3.0;
 
 /// How a version behaves: the shares of errors, low ratings and slow answers.
 #[derive(Clone, Copy)]
 struct Behaviour {
-    errors: f64,
-    low: f64,
-    slow: f64,
+    error_share: f64,
+    low_rating_share: f64,
+    slow_share: f64,
 }
 
 const HEALTHY_VERSION: Behaviour = Behaviour {
-    errors: 0.01,
-    low: 0.10,
-    slow: 0.02,
+    error_share: 0.01,
+    low_rating_share: 0.10,
+    slow_share: 0.02,
 };
 
 /// What a cause that all versions share, such as a rack that fails, makes of healthy ones.
-const BAD_DAY: Behaviour = Behaviour {
-    errors: 0.05,
-    low: 0.20,
-    slow: 0.10,
+const SHARED_FAULT: Behaviour = Behaviour {
+    error_share: 0.05,
+    low_rating_share: 0.20,
+    slow_share: 0.10,
 };
 
 /// Threads for the healthy roll-outs.
@@ -72,7 +72,7 @@
 struct Case {
     name: &'static str,
     canary: Behaviour,
-    rating_lag: usize,
+    rating_lag_s: usize,
 }
 
 pub(crate) fn run(seeds: Seeds) -> Report {
@@ -81,46 +81,50 @@
         "served until stop",
     );
     let breakers = [
-        Breaker::calibrated("breaker, knows the usual shares", HEALTHY_VERSION),
-        Breaker::calibrated("breaker, allows for a bad day", BAD_DAY),
+        Breaker::calibrated("breaker, calibrated to usual rates", HEALTHY_VERSION),
+        Breaker::calibrated("breaker, calibrated to a shared fault", SHARED_FAULT),
     ];
     for case in cases() {
         let canary = case.canary;
         for seed in seeds.clone() {
-            let (served, stopped) = sequential(canary, HEALTHY_VERSION, case.rating_lag, seed);
-            report.add(case.name, "oatdale", seed, &figures(served, stopped));
-            let lag = (case.rating_lag * RATE) as f64 * SHARE;
+            let (served, stopped) = run_rollout(canary, HEALTHY_VERSION, case.rating_lag_s, seed);
+            report.add(case.name, "oatdale", seed, &metrics(served, stopped));
+            let lag = (case.rating_lag_s * REQUESTS_PER_S) as f64 * CANARY_SHARE;
             for b in &breakers {
-                let stopped = breaker(canary, lag as usize, b.thresholds, seed);
-                let served = stopped.unwrap_or((REQUESTS as f64 * SHARE) as usize);
-                report.add(case.name, b.name, seed, &figures(served, stopped.is_some()));
+                let stopped = run_breaker(canary, lag as usize, b.thresholds, seed);
+                let served = stopped.unwrap_or((MAX_REQUESTS as f64 * CANARY_SHARE) as usize);
+                report.add(case.name, b.name, seed, &metrics(served, stopped.is_some()));
             }
         }
     }
-    false_stops(&mut report, seeds, &breakers);
+    report_false_stops(&mut report, seeds, &breakers);
     report
 }
 
 fn cases() -> [Case; 8] {
-    let bad = |errors, low, slow| Behaviour { errors, low, slow };
-    let case = |name, canary, rating_lag| Case {
+    let faulty = |error_share, low_rating_share, slow_share| Behaviour {
+        error_share,
+        low_rating_share,
+        slow_share,
+    };
+    let case = |name, canary, rating_lag_s| Case {
         name,
         canary,
-        rating_lag,
+        rating_lag_s,
     };
     [
-        case("errors 5%", bad(0.05, 0.10, 0.02), 10),
-        case("errors 20%", bad(0.20, 0.10, 0.02), 10),
-        case("errors 100%", bad(1.0, 0.10, 0.02), 10),
-        case("low ratings 30%, 10 s late", bad(0.01, 0.30, 0.02), 10),
-        case("low ratings 60%, 10 s late", bad(0.01, 0.60, 0.02), 10),
-        case("low ratings 60%, 60 s late", bad(0.01, 0.60, 0.02), 60),
-        case("slow 20%", bad(0.01, 0.10, 0.20), 10),
-        case("slow 60%", bad(0.01, 0.10, 0.60), 10),
+        case("errors 5%", faulty(0.05, 0.10, 0.02), 10),
+        case("errors 20%", faulty(0.20, 0.10, 0.02), 10),
+        case("errors 100%", faulty(1.0, 0.10, 0.02), 10),
+        case("low ratings 30%, 10 s late", faulty(0.01, 0.30, 0.02), 10),
+        case("low ratings 60%, 10 s late", faulty(0.01, 0.60, 0.02), 10),
+        case("low ratings 60%, 60 s late", faulty(0.01, 0.60, 0.02), 60),
+        case("slow 20%", faulty(0.01, 0.10, 0.20), 10),
+        case("slow 60%", faulty(0.01, 0.10, 0.60), 10),
     ]
 }
 
-fn figures(served: usize, stopped: bool) -> [(&'static str, f64); 2] {
+fn metrics(served: usize, stopped: bool) -> [(&'static str, f64); 2] {
     [
         ("served until stop", served as f64),
         ("stopped", f64::from(u8::from(stopped))),
@@ -129,25 +133,29 @@
 
 /// How often healthy roll-outs are stopped, at the usual shares of bad outcomes and where a cause
 /// that all versions share raises them.
-fn false_stops(report: &mut Report, seeds: Seeds, breakers: &[Breaker]) {
+fn report_false_stops(report: &mut Report, seeds: Seeds, breakers: &[Breaker]) {
     let metric = "stopped of 1000 healthy";
-    for (name, version) in [("healthy", HEALTHY_VERSION), ("healthy, bad day", BAD_DAY)] {
-        let counts = in_threads(seeds.clone(), |seed| {
-            let of = |stops: &dyn Fn(u64) -> bool| {
-                let runs = (0..HEALTHY).filter(|i| stops(1_000_000 + seed * HEALTHY + i));
-                1000.0 * runs.count() as f64 / HEALTHY as f64
+    for (name, version) in [
+        ("healthy", HEALTHY_VERSION),
+        ("healthy, shared fault", SHARED_FAULT),
+    ] {
+        let counts = run_in_threads(seeds.clone(), |seed| {
+            let per_1000 = |is_stopped: &dyn Fn(u64) -> bool| {
+                let stopped_runs = (0..HEALTHY_ROLLOUTS_PER_SEED)
+                    .filter(|i| is_stopped(1_000_000 + seed * HEALTHY_ROLLOUTS_PER_SEED + i));
+                1000.0 * stopped_runs.count() as f64 / HEALTHY_ROLLOUTS_PER_SEED as f64
             };
-            let ours = of(&|s| sequential(version, version, 10, s).1);
-            let lag = (10.0 * RATE as f64 * SHARE) as usize;
-            let theirs: Vec<f64> = breakers
+            let router_stops = per_1000(&|s| run_rollout(version, version, 10, s).1);
+            let lag = (10.0 * REQUESTS_PER_S as f64 * CANARY_SHARE) as usize;
+            let breaker_stops: Vec<f64> = breakers
                 .iter()
-                .map(|b| of(&|s| breaker(version, lag, b.thresholds, s).is_some()))
+                .map(|b| per_1000(&|s| run_breaker(version, lag, b.thresholds, s).is_some()))
                 .collect();
-            (ours, theirs)
+            (router_stops, breaker_stops)
         });
-        for (seed, (ours, theirs)) in seeds.clone().zip(counts) {
-            report.add(name, "oatdale", seed, &[(metric, ours)]);
-            for (b, value) in breakers.iter().zip(theirs) {
+        for (seed, (router_stops, breaker_stops)) in seeds.clone().zip(counts) {
+            report.add(name, "oatdale", seed, &[(metric, router_stops)]);
+            for (b, value) in breakers.iter().zip(breaker_stops) {
                 report.add(name, b.name, seed, &[(metric, value)]);
             }
         }
@@ -155,22 +163,29 @@
 }
 
 /// Runs the seeds on a few threads; the results come in the seeds' order.
-fn in_threads<T: Send>(seeds: Seeds, run: impl Fn(u64) -> T + Sync) -> Vec<T> {
+fn run_in_threads<T: Send>(seeds: Seeds, run: impl Fn(u64) -> T + Sync) -> Vec<T> {
     let seeds: Vec<u64> = seeds.collect();
-    let part = seeds.len().div_ceil(THREADS).max(1);
+    let chunk_len = seeds.len().div_ceil(THREADS).max(1);
     std::thread::scope(|scope| {
         let run = &run;
-        let parts: Vec<_> = seeds
-            .chunks(part)
+        let handles: Vec<_> = seeds
+            .chunks(chunk_len)
             .map(|seeds| scope.spawn(move || seeds.iter().map(|&s| run(s)).collect::<Vec<T>>()))
             .collect();
-        let joined = parts.into_iter().map(|p| p.join().expect("a run panicked"));
+        let joined = handles
+            .into_iter()
+            .map(|p| p.join().expect("worker thread panicked"));
         joined.flatten().collect()
     })
 }
 
 /// One roll-out under the real routers: requests served by the canary, and whether it was stopped.
-fn sequential(canary: Behaviour, other: Behaviour, rating_lag: usize, seed: u64) -> (usize, bool) {
+fn run_rollout(
+    canary: Behaviour,
+    serving: Behaviour,
+    rating_lag_s: usize,
+    seed: u64,
+) -> (usize, bool) {
     let cfg = Arc::new(config());
     let mut rollout = Rollout {
         routers: (0..NODES as u64)
@@ -183,15 +198,15 @@
             })
             .collect(),
         canary,
-        other,
-        draw: Draw::new(seed * 31 + 7),
-        late: VecDeque::new(),
+        serving,
+        rng: SimRng::new(seed * 31 + 7),
+        pending_ratings: VecDeque::new(),
         served: 0,
     };
-    for at in 0..REQUESTS {
-        let now = Duration::from_millis((1000 * at / RATE) as u64);
-        rollout.serve(at, now, rating_lag * RATE);
-        if at % RATE == 0 && rollout.gossip(now) {
+    for request_index in 0..MAX_REQUESTS {
+        let now = Duration::from_millis((1000 * request_index / REQUESTS_PER_S) as u64);
+        rollout.serve(request_index, now, rating_lag_s * REQUESTS_PER_S);
+        if request_index % REQUESTS_PER_S == 0 && rollout.gossip(now) {
             return (rollout.served, true);
         }
     }
@@ -201,29 +216,34 @@
 struct Rollout {
     routers: Vec<Router>,
     canary: Behaviour,
-    other: Behaviour,
-    draw: Draw,
-    late: VecDeque<(usize, usize, VersionKey, f64)>,
+    serving: Behaviour,
+    rng: SimRng,
+    pending_ratings: VecDeque<(usize, usize, VersionKey, f64)>,
     served: usize,
 }
 
 impl Rollout {
-    fn serve(&mut self, at: usize, now: Duration, rating_lag: usize) {
-        while self.late.front().is_some_and(|late| late.0 <= at) {
-            let (_, node, version, rating) = self.late.pop_front().expect("it was just seen");
+    fn serve(&mut self, request_index: usize, now: Duration, rating_lag_requests: usize) {
+        while self
+            .pending_ratings
+            .front()
+            .is_some_and(|pending| pending.0 <= request_index)
+        {
+            let (_, node, version, rating) =
+                self.pending_ratings.pop_front().expect("front was checked");
             self.routers[node].observe_rating(now, service(), 0, version, rating);
         }
-        let node = self.draw.below(NODES);
+        let node = self.rng.below(NODES);
         let ask = Ask {
-            customer: CustomerKey::from_index(self.draw.below(10)),
+            customer: CustomerKey::from_index(self.rng.below(10)),
             service: service(),
             idempotent: false,
             session: Session::None,
             deadline: now + Duration::from_secs(60),
             input_tokens: 100,
             output_tokens: 100,
-            prefix: self.draw.bits(),
-            draw: self.draw.bits(),
+            prefix: self.rng.random_bits(),
+            draw: self.rng.random_bits(),
             stream: true,
             class: 0,
         };
@@ -234,33 +254,37 @@
         let outcome = self.outcome(dispatch);
         if let AttemptResult::Complete { .. } = outcome.result {
             let behaviour = self.behaviour(dispatch);
-            let rating = f64::from(u8::from(self.draw.unit() >= behaviour.low));
-            let version = dispatch.version.expect("a model service");
-            self.late
-                .push_back((at + rating_lag, node, version, rating));
+            let rating = f64::from(u8::from(self.rng.uniform() >= behaviour.low_rating_share));
+            let version = dispatch.version.expect("model services dispatch a version");
+            self.pending_ratings.push_back((
+                request_index + rating_lag_requests,
+                node,
+                version,
+                rating,
+            ));
         }
         self.routers[node].finish(now, dispatch.ticket, &outcome);
     }
 
     fn behaviour(&self, dispatch: Dispatch) -> Behaviour {
-        match dispatch.version == Some(canary()) {
+        match dispatch.version == Some(canary_version()) {
             true => self.canary,
-            false => self.other,
+            false => self.serving,
         }
     }
 
     fn outcome(&mut self, dispatch: Dispatch) -> Outcome {
-        self.served += usize::from(dispatch.version == Some(canary()));
+        self.served += usize::from(dispatch.version == Some(canary_version()));
         let behaviour = self.behaviour(dispatch);
-        let result = match self.draw.unit() < behaviour.errors {
+        let result = match self.rng.uniform() < behaviour.error_share {
             true => AttemptResult::Broken,
             false => AttemptResult::Complete {
                 rating: None,
                 output_tokens: 100,
             },
         };
-        let slow = self.draw.unit() < behaviour.slow;
-        let seconds = 0.2 * (0.8 + 0.4 * self.draw.unit()) * if slow { 8.0 } else { 1.0 };
+        let slow = self.rng.uniform() < behaviour.slow_share;
+        let seconds = 0.2 * (0.8 + 0.4 * self.rng.uniform()) * if slow { 8.0 } else { 1.0 };
         let first_byte = Duration::from_secs_f64(seconds);
         Outcome {
             result,
@@ -274,39 +298,42 @@
     fn gossip(&mut self, now: Duration) -> bool {
         let counters: Vec<_> = self.routers.iter().map(Router::evidence).collect();
         let mut stopped = false;
-        for (at, router) in self.routers.iter_mut().enumerate() {
-            for (from, counters) in counters.iter().enumerate().filter(|(from, _)| *from != at) {
+        for (to, router) in self.routers.iter_mut().enumerate() {
+            for (from, counters) in counters.iter().enumerate().filter(|(from, _)| *from != to) {
                 router.merge_evidence(from as u64, counters);
             }
             let stops = router.take_stops(now);
-            stopped |= stops.iter().any(|stop| stop.version == canary());
+            stopped |= stops.iter().any(|stop| stop.version == canary_version());
         }
         stopped
     }
 }
 
 /// The breaker on a stream of the canary's outcomes: how many were served until it stopped.
-fn breaker(
+fn run_breaker(
     canary: Behaviour,
-    rating_lag: usize,
+    rating_lag_served: usize,
     thresholds: [usize; 3],
     seed: u64,
 ) -> Option<usize> {
-    let mut draw = Draw::new(seed * 131 + 5);
+    let mut rng = SimRng::new(seed * 131 + 5);
     let mut windows = [(); 3].map(|()| Window::default());
     let mut ratings = VecDeque::new();
-    for served in 1..=(REQUESTS as f64 * SHARE) as usize {
-        let error = draw.unit() < canary.errors;
-        let mut over = windows[0].add(error) >= thresholds[0];
+    for served in 1..=(MAX_REQUESTS as f64 * CANARY_SHARE) as usize {
+        let error = rng.uniform() < canary.error_share;
+        let mut is_over = windows[0].add(error) >= thresholds[0];
         if !error {
-            over |= windows[2].add(draw.unit() < canary.slow) >= thresholds[2];
-            ratings.push_back((served + rating_lag, draw.unit() < canary.low));
+            is_over |= windows[2].add(rng.uniform() < canary.slow_share) >= thresholds[2];
+            ratings.push_back((
+                served + rating_lag_served,
+                rng.uniform() < canary.low_rating_share,
+            ));
         }
         while ratings.front().is_some_and(|&(due, _)| due <= served) {
-            let (_, low) = ratings.pop_front().expect("it was just seen");
-            over |= windows[1].add(low) >= thresholds[1];
+            let (_, low) = ratings.pop_front().expect("front was checked");
+            is_over |= windows[1].add(low) >= thresholds[1];
         }
-        if over {
+        if is_over {
             return Some(served);
         }
     }
@@ -316,42 +343,48 @@
 /// The last outcomes, and how many of them were bad.
 #[derive(Default)]
 struct Window {
-    last: VecDeque<bool>,
-    bad: usize,
+    outcomes: VecDeque<bool>,
+    bad_count: usize,
 }
 
 impl Window {
-    fn add(&mut self, bad: bool) -> usize {
-        if self.last.len() == WINDOW {
-            self.bad -= usize::from(self.last.pop_front() == Some(true));
+    fn add(&mut self, is_bad: bool) -> usize {
+        if self.outcomes.len() == WINDOW_OUTCOMES {
+            self.bad_count -= usize::from(self.outcomes.pop_front() == Some(true));
         }
-        self.last.push_back(bad);
-        self.bad += usize::from(bad);
-        self.bad
+        self.outcomes.push_back(is_bad);
+        self.bad_count += usize::from(is_bad);
+        self.bad_count
     }
 }
 
 impl Breaker {
     /// The least thresholds that healthy streams with these shares reach rarely enough.
     fn calibrated(name: &'static str, healthy: Behaviour) -> Self {
-        let shares = [healthy.errors, healthy.low, healthy.slow];
+        let shares = [
+            healthy.error_share,
+            healthy.low_rating_share,
+            healthy.slow_share,
+        ];
         let thresholds = shares.map(|share| {
-            let mut draw = Draw::new(99);
-            let mut most: Vec<usize> = (0..CALIBRATION).map(|_| worst(share, &mut draw)).collect();
-            most.sort_unstable();
-            let allowed = (CALIBRATION as f64 * FALSE_STOPS) as usize;
-            most[most.len() - 1 - allowed] + 1
+            let mut rng = SimRng::new(99);
+            let mut worst_counts: Vec<usize> = (0..CALIBRATION_ROLLOUTS)
+                .map(|_| max_bad_in_window(share, &mut rng))
+                .collect();
+            worst_counts.sort_unstable();
+            let allowed_stops = (CALIBRATION_ROLLOUTS as f64 * MAX_FALSE_STOP_SHARE) as usize;
+            worst_counts[worst_counts.len() - 1 - allowed_stops] + 1
         });
         Breaker { name, thresholds }
     }
 }
 
 /// The most bad outcomes in any window of one healthy roll-out.
-fn worst(share: f64, draw: &mut Draw) -> usize {
+fn max_bad_in_window(share: f64, rng: &mut SimRng) -> usize {
     let mut window = Window::default();
-    let served = (REQUESTS as f64 * SHARE) as usize;
+    let served = (MAX_REQUESTS as f64 * CANARY_SHARE) as usize;
     (0..served)
-        .map(|_| window.add(draw.unit() < share))
+        .map(|_| window.add(rng.uniform() < share))
         .max()
         .unwrap_or(0)
 }
@@ -360,13 +393,13 @@
     ServiceKey::from_index(0)
 }
 
-fn canary() -> VersionKey {
+fn canary_version() -> VersionKey {
     VersionKey::from_index(1)
 }
 
 /// One model with a serving version and a canary.
 fn config() -> Config {
-    let mut site = Site::of_today(vec![ModelService {
+    let mut site = Site::standard(vec![ModelService {
         name: "model",
         quality: 0.5,
         latency_weight: 0.0,
@@ -377,7 +410,7 @@
     let mut models = oatdale_config::Arena::default();
     models.push(oatdale_config::Model {
         name: "m".to_owned(),
-        versions: vec![VersionKey::from_index(0), canary()],
+        versions: vec![VersionKey::from_index(0), canary_version()],
     });
     cfg.models = models;
     let mut versions = oatdale_config::Arena::default();
@@ -385,8 +418,10 @@
         let mut version = version.clone();
         version.model = ModelKey::from_index(0);
         version.name = format!("{}", key.index());
-        if key == canary() {
-            version.state = VersionState::Canary { share: SHARE };
+        if key == canary_version() {
+            version.state = VersionState::Canary {
+                share: CANARY_SHARE,
+            };
         }
         versions.push(version);
     }
--- a/crates/oatdale-policy/examples/measure/main.rs
+++ b/crates/oatdale-policy/examples/measure/main.rs
@@ -21,16 +21,16 @@
 use std::process::ExitCode;
 
 /// Seeds that a round runs unless told otherwise.
-const SEEDS: u64 = 20;
+const DEFAULT_SEEDS: u64 = 20;
 
 /// The seeds of a run.
 pub(crate) type Seeds = std::ops::Range<u64>;
 
 /// A round's name and what runs it.
-type Round = (&'static str, fn(Seeds) -> Report);
+type Experiment = (&'static str, fn(Seeds) -> Report);
 
 /// All rounds.
-const ROUNDS: [Round; 6] = [
+const EXPERIMENTS: [Experiment; 6] = [
     ("cascade", cascade::run),
     ("endpoints", endpoints::run),
     ("overload", overload::run),
@@ -41,9 +41,9 @@
 
 /// What the command line asks for.
 struct Args {
-    round: Option<String>,
+    experiment: Option<String>,
     seeds: u64,
-    from: u64,
+    first_seed: u64,
     out: Option<PathBuf>,
 }
 
@@ -57,43 +57,50 @@
     }
 }
 
-fn parse(mut words: impl Iterator<Item = String>) -> Result<Args, String> {
+fn parse(mut argv: impl Iterator<Item = String>) -> Result<Args, String> {
     let mut args = Args {
-        round: None,
-        seeds: SEEDS,
-        from: 0,
+        experiment: None,
+        seeds: DEFAULT_SEEDS,
+        first_seed: 0,
         out: None,
     };
-    while let Some(word) = words.next() {
-        let mut value = || words.next().ok_or(format!("{word} needs a value"));
-        match word.as_str() {
-            "--seeds" => args.seeds = number(&value()?)?,
-            "--from" => args.from = number(&value()?)?,
+    while let Some(arg) = argv.next() {
+        let mut value = || argv.next().ok_or(format!("{arg} requires a value"));
+        match arg.as_str() {
+            "--seeds" => args.seeds = parse_number(&value()?)?,
+            "--from" => args.first_seed = parse_number(&value()?)?,
             "--out" => args.out = Some(PathBuf::from(value()?)),
-            name if ROUNDS.iter().any(|(round, _)| *round == name) => {
-                args.round = Some(word);
+            name if EXPERIMENTS
+                .iter()
+                .any(|(experiment, _)| *experiment == name) =>
+            {
+                args.experiment = Some(arg);
             }
-            other => return Err(format!("no round or option {other}; rounds: {}", names())),
+            other => return Err(format!("bad argument {other}; experiments: {}", names())),
         }
     }
     Ok(args)
 }
 
-fn number(word: &str) -> Result<u64, String> {
-    word.parse()
-        .map_err(|_| format!("{word} is no whole number"))
+fn parse_number(text: &str) -> Result<u64, String> {
+    text.parse()
+        .map_err(|_| format!("invalid number {text}: expected an unsigned integer"))
 }
 
 fn names() -> String {
-    ROUNDS.map(|(name, _)| name).join(", ")
+    EXPERIMENTS.map(|(name, _)| name).join(", ")
 }
 
 fn run(args: &Args) -> Result<(), String> {
-    for (name, round) in ROUNDS {
-        if args.round.as_ref().is_some_and(|only| only != name) {
+    for (name, experiment) in EXPERIMENTS {
+        if args
+            .experiment
+            .as_ref()
+            .is_some_and(|selected| selected != name)
+        {
             continue;
         }
-        let report = round(args.from..args.from + args.seeds);
+        let report = experiment(args.first_seed..args.first_seed + args.seeds);
         println!("{}", report.table());
         if let Some(out) = &args.out {
             report.write(out, name).map_err(|e| e.to_string())?;
--- a/crates/oatdale-policy/examples/measure/overload.rs
+++ b/crates/oatdale-policy/examples/measure/overload.rs
@@ -4,7 +4,7 @@
 //! is ten times the usual rate of notes, all of it from one customer, for 60 seconds.
 
 use crate::Seeds;
-use crate::engine::full_time;
+use crate::engine::full_batch_seconds;
 use crate::report::{Report, quantile};
 use crate::sim::{Flow, Job, Policy, Setup, Sim};
 use crate::world::{ModelService, Site};
@@ -12,11 +12,11 @@
 use oatdale_policy::Tuning;
 
 /// Seconds of a run, and from when to when the surge lasts.
-const LENGTH: f64 = 120.0;
-const SURGE: (f64, f64) = (40.0, 100.0);
+const RUN_LENGTH_S: f64 = 120.0;
+const SURGE_S: (f64, f64) = (40.0, 100.0);
 
 /// Seconds after a surge's start, or a run's, that are not counted.
-const SETTLE: f64 = 10.0;
+const SETTLE_S: f64 = 10.0;
 
 /// Flows by their place.
 const TAGS: usize = 0;
@@ -27,7 +27,7 @@
 
 /// Requests a second of each flow; the usual ones keep the workers busy to about 45%, and the
 /// last is what the surge adds to the notes.
-const RATES: [f64; 5] = [6.0, 3.6, 2.4, 20.0, 32.4];
+const REQUESTS_PER_S: [f64; 5] = [6.0, 3.6, 2.4, 20.0, 32.4];
 
 /// Tokens of prompt and answer of each flow.
 const TOKENS: [(f64, f64); 5] = [
@@ -39,7 +39,7 @@
 ];
 
 /// Seconds that callers of each flow wait.
-const DEADLINES: [f64; 5] = [10.0, 30.0, 60.0, 2.0, 30.0];
+const DEADLINES_S: [f64; 5] = [10.0, 30.0, 60.0, 2.0, 30.0];
 
 const NODES: usize = 3;
 
@@ -47,29 +47,29 @@
     let mut report = Report::new("Overload: a surge on one service", "p99 of tags / quiet");
     for policy in [Policy::Random, Policy::LeastReported, Policy::Oatdale] {
         for seed in seeds.clone() {
-            let quiet = sim(policy, seed, 1.0, false);
-            let surge = sim(policy, seed, 1.0, true);
+            let quiet = simulate(policy, seed, 1.0, false);
+            let surge = simulate(policy, seed, 1.0, true);
             let name = policy.name();
-            report.add("10x notes", name, seed, &surge_figures(&quiet, &surge));
-            let crowd = sim(policy, seed, 7.0, false);
-            report.add("3x capacity", name, seed, &goodput_figures(&crowd));
+            report.add("10x notes", name, seed, &surge_metrics(&quiet, &surge));
+            let overloaded = simulate(policy, seed, 7.0, false);
+            report.add("3x capacity", name, seed, &goodput_metrics(&overloaded));
         }
     }
     report
 }
 
-fn sim(policy: Policy, seed: u64, times: f64, surge: bool) -> Sim {
+fn simulate(policy: Policy, seed: u64, load_factor: f64, has_surge: bool) -> Sim {
     Sim::run(Setup {
         site: site(),
-        flows: flows(times, surge),
+        flows: flows(load_factor, has_surge),
         policy,
         nodes: NODES,
         lag: 0.1,
-        length: LENGTH,
+        length: RUN_LENGTH_S,
         faults: Vec::new(),
         tuning: Tuning::default(),
-        attempts: 1,
-        comes_back: None,
+        baseline_attempts: 1,
+        fixed_retry_delay: None,
         seed,
     })
 }
@@ -81,37 +81,37 @@
         latency_weight: 0.5,
         deadline,
     };
-    let mut site = Site::of_today(vec![
-        service("tags", DEADLINES[TAGS]),
-        service("notes", DEADLINES[NOTES]),
-        service("schedules", DEADLINES[SCHEDULES]),
+    let mut site = Site::standard(vec![
+        service("tags", DEADLINES_S[TAGS]),
+        service("notes", DEADLINES_S[NOTES]),
+        service("schedules", DEADLINES_S[SCHEDULES]),
     ]);
     site.prices.truncate(1);
     site
 }
 
-fn flows(times: f64, surge: bool) -> Vec<Flow> {
-    let usual = |i: usize| flow(i, ServiceKey::from_index(i), times);
-    let mut flows: Vec<Flow> = [TAGS, NOTES, SCHEDULES].map(usual).to_vec();
+fn flows(load_factor: f64, has_surge: bool) -> Vec<Flow> {
+    let usual_flow = |i: usize| flow(i, ServiceKey::from_index(i), load_factor);
+    let mut flows: Vec<Flow> = [TAGS, NOTES, SCHEDULES].map(usual_flow).to_vec();
     flows.push(flow(BOOKINGS, ServiceKey::from_index(BOOKINGS), 1.0));
-    if surge {
-        let mut added = flow(SURGING, ServiceKey::from_index(NOTES), 1e-3);
-        added.surge = Some((SURGE.0, SURGE.1, 1e3));
-        added.customer = Some(CustomerKey::from_index(0));
-        flows.push(added);
+    if has_surge {
+        let mut surge_flow = flow(SURGING, ServiceKey::from_index(NOTES), 1e-3);
+        surge_flow.surge = Some((SURGE_S.0, SURGE_S.1, 1e3));
+        surge_flow.customer = Some(CustomerKey::from_index(0));
+        flows.push(surge_flow);
     }
     flows
 }
 
-fn flow(index: usize, service: ServiceKey, times: f64) -> Flow {
+fn flow(index: usize, service: ServiceKey, load_factor: f64) -> Flow {
     Flow {
         service,
-        rate: RATES[index] * times,
+        rate: REQUESTS_PER_S[index] * load_factor,
         surge: None,
         input: TOKENS[index].0,
         output: TOKENS[index].1,
         prefixes: 1 << 30,
-        deadline: DEADLINES[index],
+        deadline: DEADLINES_S[index],
         customer: None,
         steps: 0,
         until: None,
@@ -119,68 +119,74 @@
 }
 
 /// What happens to the others during the surge, and to the workers' capacity.
-fn surge_figures(quiet: &Sim, surge: &Sim) -> Vec<(&'static str, f64)> {
-    let ratio = |flow| p99(surge, flow) / p99(quiet, flow);
+fn surge_metrics(quiet: &Sim, surge: &Sim) -> Vec<(&'static str, f64)> {
+    let ratio = |flow| p99_first_byte(surge, flow) / p99_first_byte(quiet, flow);
     let mut values = vec![
         ("p99 of tags / quiet", ratio(TAGS)),
         ("p99 of schedules / quiet", ratio(SCHEDULES)),
         ("p99 of bookings / quiet", ratio(BOOKINGS)),
-        ("p99 of tags ms", 1000.0 * p99(surge, TAGS)),
+        ("p99 of tags ms", 1000.0 * p99_first_byte(surge, TAGS)),
         (
             "tags and schedules in time",
-            answered(surge, &[TAGS, SCHEDULES]),
+            in_time_share(surge, &[TAGS, SCHEDULES]),
         ),
-        ("surging customer in time", answered(surge, &[SURGING])),
+        ("surging customer in time", in_time_share(surge, &[SURGING])),
     ];
-    values.extend(goodput_figures(surge));
+    values.extend(goodput_metrics(surge));
     values
 }
 
-fn goodput_figures(sim: &Sim) -> Vec<(&'static str, f64)> {
+fn goodput_metrics(sim: &Sim) -> Vec<(&'static str, f64)> {
     let mut refused: Vec<f64> = [NOTES, SURGING]
         .iter()
-        .flat_map(|&flow| during(sim, flow))
-        .filter_map(|j| j.refused.map(|at| at - j.arrived))
+        .flat_map(|&flow| surge_arrivals(sim, flow))
+        .filter_map(|j| j.refused_at.map(|at| at - j.arrived_at))
         .collect();
     vec![
         ("goodput / capacity", goodput(sim)),
-        ("notes of all customers in time", answered(sim, &[NOTES])),
+        (
+            "notes of all customers in time",
+            in_time_share(sim, &[NOTES]),
+        ),
         ("p99 s until refused", quantile(&mut refused, 0.99)),
     ]
 }
 
-fn during(sim: &Sim, flow: usize) -> impl Iterator<Item = &Job> {
-    sim.arrived(flow, SURGE.0 + SETTLE, SURGE.1)
+fn surge_arrivals(sim: &Sim, flow: usize) -> impl Iterator<Item = &Job> {
+    sim.arrivals(flow, SURGE_S.0 + SETTLE_S, SURGE_S.1)
 }
 
 /// The 99th hundredth of the time to the first byte; one that never came counts as the deadline.
-fn p99(sim: &Sim, flow: usize) -> f64 {
-    let mut times: Vec<f64> = during(sim, flow)
-        .map(|j| j.first_byte_after().unwrap_or(DEADLINES[flow]))
+fn p99_first_byte(sim: &Sim, flow: usize) -> f64 {
+    let mut times: Vec<f64> = surge_arrivals(sim, flow)
+        .map(|j| j.time_to_first_byte().unwrap_or(DEADLINES_S[flow]))
         .collect();
     quantile(&mut times, 0.99)
 }
 
-fn answered(sim: &Sim, flows: &[usize]) -> f64 {
-    let jobs: Vec<&Job> = flows.iter().flat_map(|&flow| during(sim, flow)).collect();
-    let good = jobs.iter().filter(|j| j.is_good()).count();
-    good as f64 / jobs.len().max(1) as f64
+fn in_time_share(sim: &Sim, flows: &[usize]) -> f64 {
+    let jobs: Vec<&Job> = flows
+        .iter()
+        .flat_map(|&flow| surge_arrivals(sim, flow))
+        .collect();
+    let in_time = jobs.iter().filter(|j| j.met_deadline()).count();
+    in_time as f64 / jobs.len().max(1) as f64
 }
 
 /// Work of answers that ended in time within the surge, over what full workers can do.
 fn goodput(sim: &Sim) -> f64 {
     let site = site();
-    let from = SURGE.0 + SETTLE;
-    let work: f64 = sim
+    let from = SURGE_S.0 + SETTLE_S;
+    let useful_seconds: f64 = sim
         .jobs
         .iter()
-        .filter(|j| j.flow != BOOKINGS && j.is_good())
-        .filter(|j| j.done.is_some_and(|at| at >= from && at < SURGE.1))
+        .filter(|j| j.flow != BOOKINGS && j.met_deadline())
+        .filter(|j| j.done_at.is_some_and(|at| at >= from && at < SURGE_S.1))
         .map(|j| {
             let (input, output) = (f64::from(j.work.input), f64::from(j.work.output));
-            full_time(input, output, site.worker_concurrency)
+            full_batch_seconds(input, output, site.worker_concurrency)
         })
         .sum();
     let slots = site.workers as f64 * f64::from(site.worker_concurrency);
-    work / (slots * (SURGE.1 - from))
+    useful_seconds / (slots * (SURGE_S.1 - from))
 }
--- a/crates/oatdale-policy/examples/measure/report.rs
+++ b/crates/oatdale-policy/examples/measure/report.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 
 /// One seed's figure.
-struct Figure {
+struct Measurement {
     condition: String,
     policy: String,
     metric: &'static str,
@@ -18,24 +18,24 @@
 pub(crate) struct Report {
     title: String,
     /// The metric that is plotted.
-    plotted: &'static str,
-    figures: Vec<Figure>,
+    plotted_metric: &'static str,
+    measurements: Vec<Measurement>,
 }
 
 /// A figure over all seeds.
 #[derive(Clone, Copy)]
 struct Spread {
     mean: f64,
-    least: f64,
-    most: f64,
+    lowest: f64,
+    highest: f64,
 }
 
 impl Report {
-    pub(crate) fn new(title: impl Into<String>, plotted: &'static str) -> Self {
+    pub(crate) fn new(title: impl Into<String>, plotted_metric: &'static str) -> Self {
         Report {
             title: title.into(),
-            plotted,
-            figures: Vec::new(),
+            plotted_metric,
+            measurements: Vec::new(),
         }
     }
 
@@ -47,8 +47,8 @@
         values: &[(&'static str, f64)],
     ) {
         let (condition, policy) = (condition.into(), policy.into());
-        self.figures
-            .extend(values.iter().map(|&(metric, value)| Figure {
+        self.measurements
+            .extend(values.iter().map(|&(metric, value)| Measurement {
                 condition: condition.clone(),
                 policy: policy.clone(),
                 metric,
@@ -59,7 +59,7 @@
 
     /// A table in Markdown: mean over the seeds, and the least and greatest.
     pub(crate) fn table(&self) -> String {
-        let metrics = distinct(self.figures.iter().map(|f| f.metric));
+        let metrics = distinct(self.measurements.iter().map(|m| m.metric));
         let mut text = format!("## {}\n\n| condition | policy |", self.title);
         for metric in &metrics {
             let _ = write!(text, " {metric} |");
@@ -69,7 +69,7 @@
             let _ = write!(text, "\n| {condition} | {policy} |");
             for metric in &metrics {
                 let cell = self.spread(condition, policy, metric);
-                let _ = write!(text, " {} |", cell.map_or(String::new(), show));
+                let _ = write!(text, " {} |", cell.map_or(String::new(), format_spread));
             }
         }
         text.push('\n');
@@ -81,52 +81,52 @@
         std::fs::create_dir_all(out)?;
         let mut csv = csv::Writer::from_path(out.join(format!("{name}.csv")))?;
         csv.write_record(["condition", "policy", "metric", "seed", "value"])?;
-        for f in &self.figures {
-            let (seed, value) = (f.seed.to_string(), format!("{:.6}", f.value));
-            csv.write_record([&f.condition, &f.policy, f.metric, &seed, &value])?;
+        for m in &self.measurements {
+            let (seed, value) = (m.seed.to_string(), format!("{:.6}", m.value));
+            csv.write_record([&m.condition, &m.policy, m.metric, &seed, &value])?;
         }
         csv.flush()?;
         self.plot(&out.join(format!("{name}.svg")))
     }
 
     fn plot(&self, path: &Path) -> Result<(), Box<dyn Error>> {
-        let conditions = distinct(self.figures.iter().map(|f| f.condition.as_str()));
-        let policies = distinct(self.figures.iter().map(|f| f.policy.as_str()));
-        let most = self
-            .figures
+        let conditions = distinct(self.measurements.iter().map(|m| m.condition.as_str()));
+        let policies = distinct(self.measurements.iter().map(|m| m.policy.as_str()));
+        let highest_value = self
+            .measurements
             .iter()
-            .filter(|f| f.metric == self.plotted)
-            .map(|f| f.value)
+            .filter(|m| m.metric == self.plotted_metric)
+            .map(|m| m.value)
             .fold(1e-9, f64::max);
         let area = SVGBackend::new(path, (1200, 500)).into_drawing_area();
         area.fill(&WHITE)?;
-        let caption = format!("{}: {}", self.title, self.plotted);
+        let caption = format!("{}: {}", self.title, self.plotted_metric);
         let width = conditions.len() as f64;
         let mut chart = ChartBuilder::on(&area)
             .caption(caption, ("sans-serif", 18))
             .margin(10)
             .x_label_area_size(40)
             .y_label_area_size(60)
-            .build_cartesian_2d(0.0..width, 0.0..most * 1.05)?;
+            .build_cartesian_2d(0.0..width, 0.0..highest_value * 1.05)?;
         chart
             .configure_mesh()
             .disable_x_mesh()
             .x_labels(conditions.len() * 2 + 1)
-            .x_label_formatter(&|x| label(&conditions, *x))
+            .x_label_formatter(&|x| condition_label(&conditions, *x))
             .draw()?;
-        for (at, policy) in policies.iter().enumerate() {
-            let colour = Palette99::pick(at).to_rgba();
-            let place = (at as f64 + 1.0) / (policies.len() as f64 + 1.0);
+        for (series, policy) in policies.iter().enumerate() {
+            let colour = Palette99::pick(series).to_rgba();
+            let offset = (series as f64 + 1.0) / (policies.len() as f64 + 1.0);
             let points: Vec<(f64, Spread)> = conditions
                 .iter()
                 .enumerate()
                 .filter_map(|(x, condition)| {
-                    let spread = self.spread(condition, policy, self.plotted)?;
-                    Some((x as f64 + place, spread))
+                    let spread = self.spread(condition, policy, self.plotted_metric)?;
+                    Some((x as f64 + offset, spread))
                 })
                 .collect();
             chart.draw_series(points.iter().map(|&(x, s)| {
-                PathElement::new([(x, s.least), (x, s.most)], colour.stroke_width(2))
+                PathElement::new([(x, s.lowest), (x, s.highest)], colour.stroke_width(2))
             }))?;
             chart
                 .draw_series(
@@ -148,54 +148,54 @@
 
     fn rows(&self) -> Vec<(&str, &str)> {
         distinct(
-            self.figures
+            self.measurements
                 .iter()
-                .map(|f| (f.condition.as_str(), f.policy.as_str())),
+                .map(|m| (m.condition.as_str(), m.policy.as_str())),
         )
     }
 
     fn spread(&self, condition: &str, policy: &str, metric: &str) -> Option<Spread> {
         let values: Vec<f64> = self
-            .figures
+            .measurements
             .iter()
-            .filter(|f| f.condition == condition && f.policy == policy && f.metric == metric)
-            .map(|f| f.value)
+            .filter(|m| m.condition == condition && m.policy == policy && m.metric == metric)
+            .map(|m| m.value)
             .collect();
         let n = values.len() as f64;
         (!values.is_empty()).then(|| Spread {
             mean: values.iter().sum::<f64>() / n,
-            least: values.iter().copied().fold(f64::MAX, f64::min),
-            most: values.iter().copied().fold(f64::MIN, f64::max),
+            lowest: values.iter().copied().fold(f64::MAX, f64::min),
+            highest: values.iter().copied().fold(f64::MIN, f64::max),
         })
     }
 }
 
 /// The value below which a share of the sorted values lies; 0 of none.
-pub(crate) fn quantile(values: &mut [f64], share: f64) -> f64 {
+pub(crate) fn quantile(values: &mut [f64], fraction: f64) -> f64 {
     values.sort_unstable_by(f64::total_cmp);
-    let at = (values.len() as f64 * share) as usize;
+    let rank = (values.len() as f64 * fraction) as usize;
     values
-        .get(at.min(values.len().saturating_sub(1)))
+        .get(rank.min(values.len().saturating_sub(1)))
         .copied()
         .unwrap_or(0.0)
 }
 
-fn label(conditions: &[&str], x: f64) -> String {
+fn condition_label(conditions: &[&str], x: f64) -> String {
     let is_middle = (x.fract() - 0.5).abs() < 1e-6;
     let condition = conditions.get(x as usize).filter(|_| is_middle);
     condition.map_or(String::new(), |c| (*c).to_owned())
 }
 
-fn show(s: Spread) -> String {
+fn format_spread(s: Spread) -> String {
     format!(
         "{} ({}–{})",
-        digits(s.mean),
-        digits(s.least),
-        digits(s.most)
+        format_number(s.mean),
+        format_number(s.lowest),
+        format_number(s.highest)
     )
 }
 
-fn digits(x: f64) -> String {
+fn format_number(x: f64) -> String {
     match x.abs() {
         x if x >= 100.0 || x == 0.0 => format!("{x:.0}"),
         x if x >= 10.0 => format!("{x:.1}"),
--- a/crates/oatdale-policy/examples/measure/retries.rs
+++ b/crates/oatdale-policy/examples/measure/retries.rs
@@ -8,21 +8,23 @@
 use oatdale_policy::{Retries, Tuning};
 
 /// Seconds of a run; the first few are not counted.
-const LENGTH: f64 = 60.0;
-const WARM_UP: f64 = 5.0;
+const RUN_LENGTH_S: f64 = 60.0;
+const WARM_UP_S: f64 = 5.0;
 
 /// Requests a second, about 40% of what all workers can do.
-const RATE: f64 = 20.0;
+const REQUESTS_PER_S: f64 = 20.0;
 
 pub(crate) fn run(seeds: Seeds) -> Report {
-    let mut report = Report::new("Retries: amplification and success", "attempts a request");
-    let third = |share: f64| (0..3).map(|e| (e, 1.0, share)).collect::<Vec<_>>();
-    let all = |share: f64| (0..9).map(|e| (e, 1.0, share)).collect::<Vec<_>>();
+    let mut report = Report::new("Retries: amplification and success", "attempts per request");
+    let third_failing =
+        |failure_rate: f64| (0..3).map(|e| (e, 1.0, failure_rate)).collect::<Vec<_>>();
+    let all_failing =
+        |failure_rate: f64| (0..9).map(|e| (e, 1.0, failure_rate)).collect::<Vec<_>>();
     let conditions = [
-        ("a third fails always", third(1.0)),
-        ("a third fails by half", third(0.5)),
-        ("all fail by half", all(0.5)),
-        ("all fail by nine tenths", all(0.9)),
+        ("1/3 of endpoints at 100% failures", third_failing(1.0)),
+        ("1/3 of endpoints at 50% failures", third_failing(0.5)),
+        ("all endpoints at 50% failures", all_failing(0.5)),
+        ("all endpoints at 90% failures", all_failing(0.9)),
     ];
     let policies = [
         ("random, no retry", Policy::Random, Retries::Budget, 1),
@@ -31,7 +33,7 @@
         ("oatdale", Policy::Oatdale, Retries::Budget, 1),
     ];
     for (condition, faults) in conditions {
-        for (name, policy, retries, attempts) in policies {
+        for (name, policy, retries, baseline_attempts) in policies {
             for seed in seeds.clone() {
                 let sim = Sim::run(Setup {
                     site: site(),
@@ -39,17 +41,17 @@
                     policy,
                     nodes: 3,
                     lag: 0.1,
-                    length: LENGTH,
+                    length: RUN_LENGTH_S,
                     faults: faults.clone(),
                     tuning: Tuning {
                         retries,
                         ..Tuning::default()
                     },
-                    attempts,
-                    comes_back: None,
+                    baseline_attempts,
+                    fixed_retry_delay: None,
                     seed,
                 });
-                report.add(condition, name, seed, &figures(&sim));
+                report.add(condition, name, seed, &metrics(&sim));
             }
         }
     }
@@ -57,7 +59,7 @@
 }
 
 fn site() -> Site {
-    let mut site = Site::of_today(vec![ModelService {
+    let mut site = Site::standard(vec![ModelService {
         name: "notes",
         quality: 0.1,
         latency_weight: 0.0,
@@ -70,7 +72,7 @@
 fn flow() -> Flow {
     Flow {
         service: ServiceKey::from_index(0),
-        rate: RATE,
+        rate: REQUESTS_PER_S,
         surge: None,
         input: 500.0,
         output: 100.0,
@@ -82,15 +84,19 @@
     }
 }
 
-fn figures(sim: &Sim) -> [(&'static str, f64); 3] {
-    let jobs: Vec<&Job> = sim.jobs.iter().filter(|j| j.arrived >= WARM_UP).collect();
+fn metrics(sim: &Sim) -> [(&'static str, f64); 3] {
+    let jobs: Vec<&Job> = sim
+        .jobs
+        .iter()
+        .filter(|j| j.arrived_at >= WARM_UP_S)
+        .collect();
     let n = jobs.len() as f64;
     let attempts: f64 = jobs.iter().map(|j| f64::from(j.attempts)).sum();
-    let good = jobs.iter().filter(|j| j.is_good()).count() as f64;
-    let mut times: Vec<f64> = jobs.iter().filter_map(|j| j.first_byte_after()).collect();
+    let in_time = jobs.iter().filter(|j| j.met_deadline()).count() as f64;
+    let mut times: Vec<f64> = jobs.iter().filter_map(|j| j.time_to_first_byte()).collect();
     [
-        ("attempts a request", attempts / n),
-        ("answered in time", good / n),
+        ("attempts per request", attempts / n),
+        ("answered in time", in_time / n),
         ("p99 ms", 1000.0 * quantile(&mut times, 0.99)),
     ]
 }
--- a/crates/oatdale-policy/examples/measure/sim.rs
+++ b/crates/oatdale-policy/examples/measure/sim.rs
@@ -3,10 +3,10 @@
 mod due;
 mod model;
 
-use self::due::Due;
+use self::due::ScheduledEvent;
 pub(crate) use self::model::{Flow, Job, Policy, Setup};
 use crate::engine::{Engine, Started, Work};
-use crate::world::{Draw, customer};
+use crate::world::{SimRng, random_customer};
 use oatdale_config::{Config, CustomerKey, DomainKey, EndpointKey, Key, VersionKey};
 use oatdale_policy::{
     Ask, AttemptResult, LoadReport, Next, Offer, Outcome, Place, Refusal, Router, Session, Ticket,
@@ -18,17 +18,17 @@
 use std::time::Duration;
 
 /// Seconds between two reports of an engine's load.
-const REPORT_EVERY: f64 = 0.1;
+const LOAD_REPORT_INTERVAL_S: f64 = 0.1;
 
 /// Seconds between a session's answer and its next request.
-const THINKING: f64 = 0.2;
+const THINK_TIME_S: f64 = 0.2;
 
 /// A caller's session.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Dialog {
+pub(crate) struct CallerSession {
     flow: usize,
     customer: CustomerKey,
-    pub(crate) completed: Option<f64>,
+    pub(crate) completed_at: Option<f64>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -43,10 +43,10 @@
     End {
         endpoint: usize,
         started: Started,
-        sent: f64,
+        sent_at: f64,
     },
-    Measure,
-    Report {
+    SampleLoad,
+    DeliverReport {
         endpoint: usize,
         report: LoadReport,
     },
@@ -60,16 +60,16 @@
     setup: Setup,
     cfg: Arc<Config>,
     now: f64,
-    made: u64,
-    events: BinaryHeap<Reverse<Due>>,
+    event_count: u64,
+    events: BinaryHeap<Reverse<ScheduledEvent>>,
     pub(crate) engines: Vec<Engine>,
-    sent: Vec<Vec<(usize, u16, f64)>>,
+    pending_attempts: Vec<Vec<(usize, u16, f64)>>,
     routers: Vec<Router>,
-    reports: Vec<f64>,
-    turn: usize,
-    draw: Draw,
+    reported_loads: Vec<f64>,
+    round_robin: usize,
+    rng: SimRng,
     pub(crate) jobs: Vec<Job>,
-    pub(crate) sessions: Vec<Dialog>,
+    pub(crate) sessions: Vec<CallerSession>,
 }
 
 impl Sim {
@@ -88,50 +88,54 @@
             .iter()
             .map(|(_, e)| Engine::new(e.concurrency))
             .collect();
-        for &(at, slowness, failing) in &setup.faults {
-            engines[at].slowness = slowness;
-            engines[at].failing = failing;
+        for &(faulty, slowdown, failure_rate) in &setup.faults {
+            engines[faulty].slowdown = slowdown;
+            engines[faulty].failure_rate = failure_rate;
         }
         let mut sim = Sim {
             routers: (0..setup.nodes).map(router).collect(),
-            reports: vec![0.0; engines.len()],
-            sent: vec![Vec::new(); engines.len()],
-            draw: Draw::new(setup.seed * 7919 + 3),
+            reported_loads: vec![0.0; engines.len()],
+            pending_attempts: vec![Vec::new(); engines.len()],
+            rng: SimRng::new(setup.seed * 7919 + 3),
             cfg,
             now: 0.0,
-            made: 0,
+            event_count: 0,
             events: BinaryHeap::new(),
             engines,
-            turn: 0,
+            round_robin: 0,
             jobs: Vec::new(),
             sessions: Vec::new(),
             setup,
         };
         for flow in 0..sim.setup.flows.len() {
-            sim.next_arrival(flow);
+            sim.schedule_arrival(flow);
         }
-        sim.push(0.0, Event::Measure);
-        while let Some(Reverse(due)) = sim.events.pop() {
-            sim.now = due.at;
-            sim.handle(due.event);
+        sim.schedule(0.0, Event::SampleLoad);
+        while let Some(Reverse(scheduled)) = sim.events.pop() {
+            sim.now = scheduled.at;
+            sim.handle(scheduled.event);
         }
         sim
     }
 
     /// Jobs of a flow that arrived in a span of time.
-    pub(crate) fn arrived(&self, flow: usize, from: f64, to: f64) -> impl Iterator<Item = &Job> {
+    pub(crate) fn arrivals(&self, flow: usize, from: f64, to: f64) -> impl Iterator<Item = &Job> {
         self.jobs
             .iter()
-            .filter(move |j| j.flow == flow && j.arrived >= from && j.arrived < to)
+            .filter(move |j| j.flow == flow && j.arrived_at >= from && j.arrived_at < to)
     }
 
-    fn push(&mut self, at: f64, event: Event) {
-        self.made += 1;
-        let order = self.made;
-        self.events.push(Reverse(Due { at, order, event }));
+    fn schedule(&mut self, at: f64, event: Event) {
+        self.event_count += 1;
+        let sequence = self.event_count;
+        self.events.push(Reverse(ScheduledEvent {
+            at,
+            sequence,
+            event,
+        }));
     }
 
-    fn time(&self) -> Duration {
+    fn elapsed(&self) -> Duration {
         Duration::from_secs_f64(self.now)
     }
 
@@ -139,111 +143,116 @@
         match event {
             Event::Arrive { flow } => {
                 self.arrive(flow);
-                self.next_arrival(flow);
+                self.schedule_arrival(flow);
             }
-            Event::Step { session, step } => self.step(session, step),
+            Event::Step { session, step } => self.request_step(session, step),
             Event::End {
                 endpoint,
                 started,
-                sent,
-            } => self.end(endpoint, started, sent),
-            Event::Measure => self.measure(),
-            Event::Report { endpoint, report } => self.report(endpoint, report),
-            Event::Wake { node } => self.turns(node),
+                sent_at,
+            } => self.end(endpoint, started, sent_at),
+            Event::SampleLoad => self.sample_load(),
+            Event::DeliverReport { endpoint, report } => self.deliver_report(endpoint, report),
+            Event::Wake { node } => self.process_turns(node),
         }
     }
 
-    fn next_arrival(&mut self, flow: usize) {
+    fn schedule_arrival(&mut self, flow: usize) {
         let Flow { rate, surge, .. } = self.setup.flows[flow];
         // Draws at the highest rate and keeps each with the present rate's share of it.
-        let highest = surge.map_or(rate, |(_, _, by)| rate * by.max(1.0));
+        let peak_rate = surge.map_or(rate, |(_, _, factor)| rate * factor.max(1.0));
         let mut at = self.now;
         loop {
-            at += self.draw.exponential(1.0 / highest);
-            let now = match surge {
-                Some((from, to, by)) if at >= from && at < to => rate * by,
+            at += self.rng.exponential(1.0 / peak_rate);
+            let current_rate = match surge {
+                Some((from, to, factor)) if at >= from && at < to => rate * factor,
                 _ => rate,
             };
-            if self.draw.unit() * highest < now {
+            if self.rng.uniform() * peak_rate < current_rate {
                 break;
             }
         }
         let until = self.setup.flows[flow].until.unwrap_or(self.setup.length);
         if at < until {
-            self.push(at, Event::Arrive { flow });
+            self.schedule(at, Event::Arrive { flow });
         }
     }
 
     fn arrive(&mut self, flow: usize) {
-        let kind = &self.setup.flows[flow];
-        let (only, steps) = (kind.customer, kind.steps);
-        let any = customer(&mut self.draw, self.setup.site.customers);
-        let customer = only.unwrap_or(any);
+        let flow_spec = &self.setup.flows[flow];
+        let (fixed_customer, steps) = (flow_spec.customer, flow_spec.steps);
+        let drawn_customer = random_customer(&mut self.rng, self.setup.site.customers);
+        let customer = fixed_customer.unwrap_or(drawn_customer);
         if steps == 0 {
-            self.request(flow, customer, None);
+            self.create_request(flow, customer, None);
             return;
         }
-        self.sessions.push(Dialog {
+        self.sessions.push(CallerSession {
             flow,
             customer,
-            completed: None,
+            completed_at: None,
         });
-        self.step(self.sessions.len() - 1, 0);
+        self.request_step(self.sessions.len() - 1, 0);
     }
 
-    fn step(&mut self, session: usize, step: u32) {
-        let Dialog { flow, customer, .. } = self.sessions[session];
+    fn request_step(&mut self, session: usize, step: u32) {
+        let CallerSession { flow, customer, .. } = self.sessions[session];
         if self.now < self.setup.length {
-            self.request(flow, customer, Some((session, step)));
+            self.create_request(flow, customer, Some((session, step)));
         }
     }
 
     /// A session's request was answered in time, or was not: then the session begins again.
-    fn step_over(&mut self, job: usize, retry_after: Option<Duration>) {
+    fn advance_session(&mut self, job: usize, retry_after: Option<Duration>) {
         let Some((session, step)) = self.jobs[job].session else {
             return;
         };
-        let dialog = self.sessions[session];
-        let is_good = self.jobs[job].is_good();
-        match is_good {
-            true if step + 1 == self.setup.flows[dialog.flow].steps => {
-                self.sessions[session].completed = Some(self.now);
+        let caller_session = self.sessions[session];
+        let met_deadline = self.jobs[job].met_deadline();
+        match met_deadline {
+            true if step + 1 == self.setup.flows[caller_session.flow].steps => {
+                self.sessions[session].completed_at = Some(self.now);
             }
             true => {
                 let step = step + 1;
-                self.push(self.now + THINKING, Event::Step { session, step });
+                self.schedule(self.now + THINK_TIME_S, Event::Step { session, step });
             }
             false => {
-                let told = retry_after.map_or(1.0, |d| d.as_secs_f64());
-                let at = self.now + self.setup.comes_back.unwrap_or(told);
-                self.push(at, Event::Step { session, step: 0 });
+                let advised_delay = retry_after.map_or(1.0, |d| d.as_secs_f64());
+                let at = self.now + self.setup.fixed_retry_delay.unwrap_or(advised_delay);
+                self.schedule(at, Event::Step { session, step: 0 });
             }
         }
     }
 
-    fn request(&mut self, flow: usize, customer: CustomerKey, session: Option<(usize, u32)>) {
-        let kind = self.setup.flows[flow].clone();
-        let input = self.draw.log_normal(kind.input.max(1.0), 0.4) as u32;
-        let output = self.draw.log_normal(kind.output, 0.4).max(1.0) as u32;
-        let prefix = self.draw.below(kind.prefixes.max(1)) as u64;
-        let node = self.draw.below(self.setup.nodes);
+    fn create_request(
+        &mut self,
+        flow: usize,
+        customer: CustomerKey,
+        session: Option<(usize, u32)>,
+    ) {
+        let flow_spec = self.setup.flows[flow].clone();
+        let input = self.rng.log_normal(flow_spec.input.max(1.0), 0.4) as u32;
+        let output = self.rng.log_normal(flow_spec.output, 0.4).max(1.0) as u32;
+        let prefix = self.rng.below(flow_spec.prefixes.max(1)) as u64;
+        let node = self.rng.below(self.setup.nodes);
         let job = self.jobs.len();
         self.jobs.push(Job {
             flow,
             customer,
-            arrived: self.now,
-            deadline: self.now + kind.deadline,
+            arrived_at: self.now,
+            deadline: self.now + flow_spec.deadline,
             work: Work {
                 job,
                 attempt: 0,
-                input: if kind.input > 0.0 { input } else { 0 },
+                input: if flow_spec.input > 0.0 { input } else { 0 },
                 output,
                 prefix: (flow as u64) << 32 | prefix,
             },
             attempts: 0,
-            first_byte: None,
-            done: None,
-            refused: None,
+            first_byte_at: None,
+            done_at: None,
+            refused_at: None,
             session,
             node,
             ticket: None,
@@ -251,33 +260,33 @@
         match self.setup.policy {
             Policy::Oatdale => self.offer(job),
             Policy::Random | Policy::RoundRobin | Policy::LeastReported => {
-                let endpoint = self.simple_choice(job);
+                let endpoint = self.baseline_endpoint(job);
                 self.send(job, 1, endpoint);
             }
         }
     }
 
-    fn simple_choice(&mut self, job: usize) -> usize {
+    fn baseline_endpoint(&mut self, job: usize) -> usize {
         let service = self.setup.flows[self.jobs[job].flow].service;
         let pool = self.cfg.services[service].pool;
         let endpoints = &self.cfg.pools[pool].endpoints;
         match self.setup.policy {
             Policy::RoundRobin => {
-                self.turn += 1;
-                endpoints[self.turn % endpoints.len()].index()
+                self.round_robin += 1;
+                endpoints[self.round_robin % endpoints.len()].index()
             }
             Policy::LeastReported => endpoints
                 .iter()
                 .map(|e| e.index())
-                .min_by(|&a, &b| self.reports[a].total_cmp(&self.reports[b]))
-                .expect("a pool has endpoints"),
-            Policy::Random | Policy::Oatdale => endpoints[self.draw.below(endpoints.len())].index(),
+                .min_by(|&a, &b| self.reported_loads[a].total_cmp(&self.reported_loads[b]))
+                .expect("pool without endpoints"),
+            Policy::Random | Policy::Oatdale => endpoints[self.rng.below(endpoints.len())].index(),
         }
     }
 
     fn offer(&mut self, job: usize) {
-        let now = self.time();
-        let draw = self.draw.bits();
+        let now = self.elapsed();
+        let draw = self.rng.random_bits();
         let j = &self.jobs[job];
         let ask = Ask {
             customer: j.customer,
@@ -307,21 +316,21 @@
             }
             Offer::Wait(ticket) => {
                 self.jobs[job].ticket = Some(ticket);
-                self.wake_later(node);
+                self.schedule_wake(node);
             }
             Offer::Refuse(refusal) => self.refuse(job, refusal),
         }
     }
 
-    fn wake_later(&mut self, node: usize) {
+    fn schedule_wake(&mut self, node: usize) {
         if let Some(at) = self.routers[node].next_wake() {
             let at = at.as_secs_f64().max(self.now + 1e-6);
-            self.push(at, Event::Wake { node });
+            self.schedule(at, Event::Wake { node });
         }
     }
 
-    fn turns(&mut self, node: usize) {
-        let now = self.time();
+    fn process_turns(&mut self, node: usize) {
+        let now = self.elapsed();
         while let Some((ticket, turn)) = self.routers[node].next_turn(now) {
             let job = self.job_of(node, ticket);
             match turn {
@@ -332,49 +341,49 @@
     }
 
     fn job_of(&self, node: usize, ticket: Ticket) -> usize {
-        let is_it = |j: &Job| j.node == node && j.ticket == Some(ticket);
+        let is_match = |j: &Job| j.node == node && j.ticket == Some(ticket);
         self.jobs
             .iter()
-            .rposition(is_it)
-            .expect("the ticket has a job")
+            .rposition(is_match)
+            .expect("ticket without a job")
     }
 
     fn send(&mut self, job: usize, attempt: u16, endpoint: usize) {
         self.jobs[job].attempts += 1;
         let mut work = self.jobs[job].work;
         work.attempt = attempt;
-        self.sent[endpoint].push((job, attempt, self.now));
-        let started = self.engines[endpoint].submit(self.now, work, &mut self.draw);
-        self.started(endpoint, started);
+        self.pending_attempts[endpoint].push((job, attempt, self.now));
+        let started = self.engines[endpoint].submit(self.now, work, &mut self.rng);
+        self.schedule_end(endpoint, started);
     }
 
-    fn started(&mut self, endpoint: usize, started: Option<Started>) {
+    fn schedule_end(&mut self, endpoint: usize, started: Option<Started>) {
         let Some(started) = started else { return };
         let (job, attempt) = (started.work.job, started.work.attempt);
-        let at = self.sent[endpoint]
+        let pending_index = self.pending_attempts[endpoint]
             .iter()
             .position(|&(j, a, _)| (j, a) == (job, attempt))
-            .expect("what starts was sent");
-        let (_, _, sent) = self.sent[endpoint].swap_remove(at);
+            .expect("started attempt was not sent");
+        let (_, _, sent_at) = self.pending_attempts[endpoint].swap_remove(pending_index);
         let end = Event::End {
             endpoint,
             started,
-            sent,
+            sent_at,
         };
-        self.push(started.end, end);
+        self.schedule(started.end, end);
     }
 
-    fn end(&mut self, endpoint: usize, started: Started, sent: f64) {
-        let next = self.engines[endpoint].end(self.now, &mut self.draw);
-        self.started(endpoint, next);
+    fn end(&mut self, endpoint: usize, started: Started, sent_at: f64) {
+        let next = self.engines[endpoint].end(self.now, &mut self.rng);
+        self.schedule_end(endpoint, next);
         let job = started.work.job;
-        let is_whole = matches!(started.result, AttemptResult::Complete { .. });
-        if is_whole {
-            self.jobs[job].first_byte = Some(started.first_byte);
-            self.jobs[job].done = Some(self.now);
+        let is_complete = matches!(started.result, AttemptResult::Complete { .. });
+        if is_complete {
+            self.jobs[job].first_byte_at = Some(started.first_byte_at);
+            self.jobs[job].done_at = Some(self.now);
         }
         if self.setup.policy != Policy::Oatdale {
-            self.simple_end(job, started.work.attempt, is_whole);
+            self.end_baseline_attempt(job, started.work.attempt, is_complete);
             return;
         }
         let (node, Some(ticket)) = (self.jobs[job].node, self.jobs[job].ticket) else {
@@ -383,36 +392,37 @@
         let outcome = Outcome {
             result: started.result,
             forwarded: false,
-            first_byte: is_whole.then(|| Duration::from_secs_f64(started.first_byte - sent)),
-            total: Duration::from_secs_f64(self.now - sent),
+            first_byte: is_complete
+                .then(|| Duration::from_secs_f64(started.first_byte_at - sent_at)),
+            total: Duration::from_secs_f64(self.now - sent_at),
         };
-        let now = self.time();
+        let now = self.elapsed();
         match self.routers[node].finish(now, ticket, &outcome) {
             Next::Run(d) => self.send(job, d.attempt, d.endpoint.index()),
             Next::Done => {
                 self.jobs[job].ticket = None;
-                self.step_over(job, None);
+                self.advance_session(job, None);
             }
             Next::Refuse(refusal) => self.refuse(job, refusal),
         }
-        self.turns(node);
+        self.process_turns(node);
     }
 
     fn refuse(&mut self, job: usize, refusal: Refusal) {
         self.jobs[job].ticket = None;
-        self.jobs[job].refused = Some(self.now);
-        self.step_over(job, refusal.retry_after);
+        self.jobs[job].refused_at = Some(self.now);
+        self.advance_session(job, refusal.retry_after);
     }
 
     /// The end of an attempt under a simple policy, which tries again at once.
-    fn simple_end(&mut self, job: usize, attempt: u16, is_whole: bool) {
-        if !is_whole && u32::from(attempt) < self.setup.attempts {
-            let endpoint = self.simple_choice(job);
+    fn end_baseline_attempt(&mut self, job: usize, attempt: u16, is_complete: bool) {
+        if !is_complete && u32::from(attempt) < self.setup.baseline_attempts {
+            let endpoint = self.baseline_endpoint(job);
             self.send(job, attempt + 1, endpoint);
         }
     }
 
-    fn measure(&mut self) {
+    fn sample_load(&mut self) {
         let age = Duration::from_secs_f64(self.setup.lag);
         for endpoint in 0..self.engines.len() {
             let (running, waiting) = self.engines[endpoint].load();
@@ -421,25 +431,25 @@
                 waiting,
                 age,
             };
-            self.push(
+            self.schedule(
                 self.now + self.setup.lag,
-                Event::Report { endpoint, report },
+                Event::DeliverReport { endpoint, report },
             );
         }
         if self.now < self.setup.length {
-            self.push(self.now + REPORT_EVERY, Event::Measure);
+            self.schedule(self.now + LOAD_REPORT_INTERVAL_S, Event::SampleLoad);
         }
     }
 
-    fn report(&mut self, endpoint: usize, report: LoadReport) {
-        self.reports[endpoint] = f64::from(report.running + report.waiting);
+    fn deliver_report(&mut self, endpoint: usize, report: LoadReport) {
+        self.reported_loads[endpoint] = f64::from(report.running + report.waiting);
         if self.setup.policy != Policy::Oatdale {
             return;
         }
-        let now = self.time();
+        let now = self.elapsed();
         for node in 0..self.routers.len() {
             self.routers[node].observe_load(now, EndpointKey::from_index(endpoint), report);
-            self.turns(node);
+            self.process_turns(node);
         }
     }
 }
--- a/crates/oatdale-policy/examples/measure/sim/due.rs
+++ b/crates/oatdale-policy/examples/measure/sim/due.rs
@@ -3,30 +3,30 @@
 use super::Event;
 
 /// An event in the queue; earlier ones first, in the order of their making among equals.
-pub(super) struct Due {
+pub(super) struct ScheduledEvent {
     pub(super) at: f64,
-    pub(super) order: u64,
+    pub(super) sequence: u64,
     pub(super) event: Event,
 }
 
-impl PartialEq for Due {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other).is_eq()
     }
 }
 
-impl Eq for Due {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Due {
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Due {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         self.at
             .total_cmp(&other.at)
-            .then(self.order.cmp(&other.order))
+            .then(self.sequence.cmp(&other.sequence))
     }
 }
--- a/crates/oatdale-policy/examples/measure/sim/model.rs
+++ b/crates/oatdale-policy/examples/measure/sim/model.rs
@@ -66,9 +66,9 @@
     pub(crate) faults: Vec<(usize, f64, f64)>,
     pub(crate) tuning: Tuning,
     /// Attempts of one request by the simple policies.
-    pub(crate) attempts: u32,
+    pub(crate) baseline_attempts: u32,
     /// When a refused session's caller comes back: as told, or after this many seconds.
-    pub(crate) comes_back: Option<f64>,
+    pub(crate) fixed_retry_delay: Option<f64>,
     pub(crate) seed: u64,
 }
 
@@ -77,15 +77,15 @@
 pub(crate) struct Job {
     pub(crate) flow: usize,
     pub(crate) customer: CustomerKey,
-    pub(crate) arrived: f64,
+    pub(crate) arrived_at: f64,
     pub(crate) deadline: f64,
     pub(crate) work: Work,
     pub(crate) attempts: u32,
     /// When the first byte of the answer came.
-    pub(crate) first_byte: Option<f64>,
+    pub(crate) first_byte_at: Option<f64>,
     /// When the whole answer had come.
-    pub(crate) done: Option<f64>,
-    pub(crate) refused: Option<f64>,
+    pub(crate) done_at: Option<f64>,
+    pub(crate) refused_at: Option<f64>,
     /// The session and how many of its requests went before.
     pub(crate) session: Option<(usize, u32)>,
     pub(super) node: usize,
@@ -94,12 +94,12 @@
 
 impl Job {
     /// Whether the whole answer came in time.
-    pub(crate) fn is_good(&self) -> bool {
-        self.done.is_some_and(|at| at <= self.deadline)
+    pub(crate) fn met_deadline(&self) -> bool {
+        self.done_at.is_some_and(|at| at <= self.deadline)
     }
 
     /// Seconds to the first byte.
-    pub(crate) fn first_byte_after(&self) -> Option<f64> {
-        self.first_byte.map(|at| at - self.arrived)
+    pub(crate) fn time_to_first_byte(&self) -> Option<f64> {
+        self.first_byte_at.map(|at| at - self.arrived_at)
     }
 }
--- a/crates/oatdale-policy/examples/measure/world.rs
+++ b/crates/oatdale-policy/examples/measure/world.rs
@@ -11,35 +11,35 @@
 use std::time::Duration;
 
 /// Seeded draws.
-pub(crate) struct Draw(Pcg64Mcg);
+pub(crate) struct SimRng(Pcg64Mcg);
 
-impl Draw {
+impl SimRng {
     pub(crate) fn new(seed: u64) -> Self {
-        Draw(Pcg64Mcg::seed_from_u64(seed))
+        SimRng(Pcg64Mcg::seed_from_u64(seed))
     }
 
-    pub(crate) fn bits(&mut self) -> u64 {
+    pub(crate) fn random_bits(&mut self) -> u64 {
         self.0.next_u64()
     }
 
     /// Uniform from 0 to 1.
-    pub(crate) fn unit(&mut self) -> f64 {
-        (self.bits() >> 11) as f64 / (1_u64 << 53) as f64
+    pub(crate) fn uniform(&mut self) -> f64 {
+        (self.random_bits() >> 11) as f64 / (1_u64 << 53) as f64
     }
 
     pub(crate) fn below(&mut self, n: usize) -> usize {
-        (self.bits() % n as u64) as usize
+        (self.random_bits() % n as u64) as usize
     }
 
     /// Exponential with a mean.
     pub(crate) fn exponential(&mut self, mean: f64) -> f64 {
-        -mean * (1.0 - self.unit()).ln()
+        -mean * (1.0 - self.uniform()).ln()
     }
 
     /// Log-normal by its median and the standard deviation of its logarithm.
     pub(crate) fn log_normal(&mut self, median: f64, sigma: f64) -> f64 {
-        let radius = (-2.0 * (1.0 - self.unit()).ln()).sqrt();
-        let normal = radius * (std::f64::consts::TAU * self.unit()).cos();
+        let radius = (-2.0 * (1.0 - self.uniform()).ln()).sqrt();
+        let normal = radius * (std::f64::consts::TAU * self.uniform()).cos();
         median * (sigma * normal).exp()
     }
 }
@@ -69,7 +69,7 @@
 
 impl Site {
     /// Three models of unlike cost, 9 workers, 3 plain hosts, 10 customers.
-    pub(crate) fn of_today(services: Vec<ModelService>) -> Self {
+    pub(crate) fn standard(services: Vec<ModelService>) -> Self {
         Site {
             prices: vec![(0.15, 0.6), (0.8, 3.2), (2.5, 10.0)],
             services,
@@ -190,8 +190,8 @@
 }
 
 /// The customer of a request: a few large ones and many small ones.
-pub(crate) fn customer(draw: &mut Draw, customers: usize) -> CustomerKey {
-    let skewed = draw.unit().powi(2) * customers as f64;
+pub(crate) fn random_customer(rng: &mut SimRng, customers: usize) -> CustomerKey {
+    let skewed = rng.uniform().powi(2) * customers as f64;
     CustomerKey::from_index((skewed as usize).min(customers - 1))
 }
 
