--- a/crates/oatdale-policy/examples/measure/cascade.rs
+++ b/crates/oatdale-policy/examples/measure/cascade.rs
@@ -1,8 +1,10 @@
-//! Cost at the quality target: the learned cascade against simple ones and the optimum.
+//! Cost at the quality target: the router's learned cascade compared with fixed cascades and the
+//! optimum.
 //!
-//! Each request has a hidden difficulty. A version's answer is accepted if the version's ability
-//! in the request's class exceeds that difficulty and a noise of its own, so a request that one
-//! version fails is harder for the next one too. The optimum knows the true distributions.
+//! Each request has a hidden difficulty. A version's answer is accepted if the version's ability in
+//! the request's class exceeds a mix of that difficulty and noise that is independent for each
+//! version. A request that one version fails is therefore harder for the next one too. The optimum
+//! knows the true distributions.
 
 mod load;
 
@@ -21,23 +23,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Requests of one run; the shift comes in the middle.
+/// Requests of one run. A shift of the workload, if any, takes place in the middle.
 const REQUESTS: usize = 8_000;
 
-/// The first requests, from which the router learns, count in neither cost nor quality of the
-/// steady state; their quality is given apart.
+/// Requests at the start, from which the router learns. They are excluded from the cost and quality
+/// of the steady state; their quality is a metric of its own.
 const WARM_UP_REQUESTS: usize = 1_000;
 
-/// Requests after which a sampled rating arrives.
+/// Number of requests after which a sampled rating arrives.
 const RATING_LAG_REQUESTS: usize = 100;
 
-/// Requests over which quality is averaged to see whether it is back on target.
+/// Requests over which quality is averaged to decide whether it is back on target.
 const RECOVERY_WINDOW_REQUESTS: usize = 500;
 
-/// Tokens that callers allow an answer to have.
+/// Limit of output tokens that callers set.
 const MAX_OUTPUT_TOKENS: u32 = 4_000;
 
-/// What one policy did with one request.
+/// Result of one request under one policy.
 #[derive(Clone, Copy, Default)]
 struct RequestResult {
     cost: f64,
@@ -77,6 +79,8 @@
     report
 }
 
+/// Runs all policies on the same requests, whose workload changes from `workload` to `after` in the
+/// middle.
 fn measure(report: &mut Report, condition: &str, workload: &Workload, after: &Workload, seed: u64) {
     let has_shift = condition.ends_with("shift");
     let mut rng = SimRng::new(seed * 1_000_003 + 17);
@@ -139,7 +143,7 @@
     }])
 }
 
-/// Mean cost and share of accepted answers.
+/// Returns the mean cost and the share of accepted answers.
 fn mean_cost_and_quality(results: &[RequestResult]) -> (f64, f64) {
     let n = results.len() as f64;
     let accepted = results.iter().filter(|r| r.accepted).count() as f64;
@@ -149,8 +153,8 @@
     )
 }
 
-/// Requests after the shift until a whole window is on target, less two standard deviations of
-/// the window's own chance.
+/// Returns the number of requests after the shift until the quality of a window reaches the target
+/// less two standard deviations of a window's random variation.
 fn recovery_requests(results: &[RequestResult], target: f64) -> f64 {
     let margin = 2.0 * (target * (1.0 - target) / RECOVERY_WINDOW_REQUESTS as f64).sqrt();
     let change = REQUESTS / 2;
@@ -161,9 +165,10 @@
         .map_or((REQUESTS - change) as f64, |start| (start - change) as f64)
 }
 
+/// Requests of one run, and the workloads that decide how they are answered.
 struct Scenario {
     cfg: Arc<Config>,
-    /// Before and after the shift.
+    /// Workloads before and after the shift.
     workloads: [Workload; 2],
     requests: Vec<Request>,
 }
@@ -179,7 +184,7 @@
         (input + price.output * f64::from(request.output)) / 1e6
     }
 
-    /// What a request is expected to cost before its answer's length is known.
+    /// Returns the expected cost of a request while the length of its answer is unknown.
     fn expected_cost(&self, request_index: usize, version: usize) -> f64 {
         let request = &self.requests[request_index];
         let median = self.workload(request_index).classes[request.class].output;
@@ -188,7 +193,7 @@
         self.cost(&Request { output, ..*request }, version)
     }
 
-    /// Asks the versions in order until one is accepted.
+    /// Calls the versions in order until an answer is accepted.
     fn run_sequence(&self, request_index: usize, versions: &[usize]) -> RequestResult {
         let request = &self.requests[request_index];
         let class = &self.workload(request_index).classes[request.class];
@@ -204,14 +209,16 @@
         result
     }
 
+    /// Results of the same sequence of versions for all requests.
     fn fixed_sequence(&self, versions: &[usize]) -> Vec<RequestResult> {
         (0..self.requests.len())
             .map(|request_index| self.run_sequence(request_index, versions))
             .collect()
     }
 
-    /// The least cost that meets the target in expectation, by the true distributions: for each
-    /// request the sequence that is worth most at one price of quality, which is found by halving.
+    /// Results at the lowest expected cost that meets the target, according to the true
+    /// distributions: each request uses the sequence of highest net value at a common price of
+    /// quality, which is found by bisection.
     fn optimum(&self, rng: &mut SimRng) -> Vec<RequestResult> {
         let half = self.requests.len() / 2;
         let mut results = self.optimum_for(0..half, rng);
@@ -243,7 +250,7 @@
             .collect()
     }
 
-    /// The sequence that is worth most to a request, and its expected quality.
+    /// Returns the sequence of highest net value for a request, and its expected quality.
     fn best_sequence<'a>(
         &self,
         request_index: usize,
@@ -267,7 +274,7 @@
         (&best.versions, best.quality)
     }
 
-    /// The real router, one request at a time, with sampled ratings that come late.
+    /// Results of the router, with one request at a time and delayed sampled ratings.
     fn run_router(&self, site: &Site, seed: u64) -> Vec<RequestResult> {
         let place = Place {
             domain: None,
@@ -285,7 +292,7 @@
     }
 }
 
-/// One run of the real router.
+/// One run of the router.
 struct RouterRun<'a> {
     scenario: &'a Scenario,
     router: Router,
@@ -293,8 +300,9 @@
     pending_ratings: VecDeque<PendingRating>,
 }
 
-/// A sampled rating on its way.
+/// Sampled rating that has not arrived yet.
 struct PendingRating {
+    /// Index of the request at which it arrives.
     due: usize,
     class: u8,
     version: VersionKey,
@@ -334,6 +342,7 @@
         }
     }
 
+    /// Runs one attempt, adds its cost and time to the result, and may sample a rating.
     fn attempt(
         &mut self,
         request_index: usize,
@@ -370,6 +379,7 @@
         }
     }
 
+    /// Passes the ratings that are due to the router.
     fn deliver_ratings(&mut self, request_index: usize, now: Duration) {
         let service = ServiceKey::from_index(0);
         while self
--- a/crates/oatdale-policy/examples/measure/cascade/load.rs
+++ b/crates/oatdale-policy/examples/measure/cascade/load.rs
@@ -1,25 +1,28 @@
-//! Workloads of the cascade round: requests, what accepts them, and the true distributions.
+//! Workloads of the cascade experiment: requests, acceptance of answers, and the true
+//! distributions.
 
 use crate::world::SimRng;
 
-/// The standard deviation of the logarithm of prompts' and answers' lengths.
+/// Standard deviation of the logarithm of the lengths of prompts and answers.
 pub(super) const LENGTH_SIGMA: f64 = 0.4;
 
-/// Draws from which the true distributions are worked out.
+/// Random requests of each class from which the true distributions are estimated.
 pub(super) const SAMPLES_PER_CLASS: usize = 20_000;
 
-/// A workload: how able each of the three versions is, and how long requests are.
+/// Distribution of requests, and the abilities of the three versions.
 #[derive(Clone)]
 pub(super) struct Workload {
     pub(super) name: &'static str,
     pub(super) target: f64,
     pub(super) latency_weight: f64,
-    /// The share of answers that were not held back and are rated later.
+    /// Share of the answers that are rated later, among those that were not held back for a rating
+    /// at once.
     pub(super) rated_share: f64,
-    /// For each class: its share, tokens of prompt and answer, and the versions' abilities.
     pub(super) classes: Vec<Class>,
 }
 
+/// Class of similar requests: its share of all requests, median prompt and output tokens, and the
+/// ability of each version.
 #[derive(Clone, Copy)]
 pub(super) struct Class {
     pub(super) share: f64,
@@ -28,17 +31,20 @@
     pub(super) ability: [f64; 3],
 }
 
+/// Request with the hidden values that decide which versions' answers are accepted.
 #[derive(Clone, Copy)]
 pub(super) struct Request {
     pub(super) class: usize,
     pub(super) input: u32,
     pub(super) output: u32,
     pub(super) difficulty: f64,
+    /// Independent part of the difficulty for each version.
     pub(super) noise: [f64; 3],
+    /// Random hash for [`oatdale_policy::Ask`].
     pub(super) draw: u64,
 }
 
-/// Short tagging, notes and pass schedules.
+/// Skyward: short tagging, notes and pass schedules.
 pub(super) fn skyward() -> Workload {
     Workload {
         name: "skyward",
@@ -53,7 +59,7 @@
     }
 }
 
-/// Tags, licence summaries and whole registers.
+/// Tallyrow: tags, licence summaries and complete registers.
 pub(super) fn tallyrow() -> Workload {
     Workload {
         name: "tallyrow",
@@ -77,7 +83,7 @@
     }
 }
 
-/// The cheapest version gets much worse at everything but the easiest class.
+/// Returns the workload with a much worse cheapest version in all classes but the easiest.
 pub(super) fn shifted(workload: &Workload) -> Workload {
     let mut workload = workload.clone();
     for class in &mut workload.classes[1..] {
@@ -107,18 +113,19 @@
     }
 }
 
-/// How long a version takes; dearer ones are slower.
+/// Returns the response time of a version; more expensive versions are slower.
 pub(super) fn response_seconds(request: &Request, version: usize) -> f64 {
     let s_per_token = [0.006, 0.012, 0.025][version];
     0.05 + s_per_token * f64::from(request.output)
 }
 
-/// Whether a version's answer is accepted: half by the request's difficulty, which all versions
-/// share, and half by a draw of its own.
+/// Whether a version's answer is accepted: half of the difficulty is common to all versions, and
+/// half is independent for each version.
 pub(super) fn is_accepted(class: &Class, request: &Request, version: usize) -> bool {
     let version_noise = request.noise[version];
     let mixed = 0.5 * (request.difficulty + version_noise);
-    // The sum of two uniform draws is triangular; this brings it back to uniform.
+    // The mean of two uniform numbers has a triangular distribution; its distribution function maps
+    // it to a uniform one.
     let uniform_difficulty = match mixed < 0.5 {
         true => 2.0 * mixed * mixed,
         false => 1.0 - 2.0 * (1.0 - mixed) * (1.0 - mixed),
@@ -126,14 +133,15 @@
     uniform_difficulty < class.ability[version]
 }
 
-/// What a sequence of versions does in one class, by the true distributions.
+/// Expected outcome of a sequence of versions in one class, according to the true distributions.
 pub(super) struct ExpectedOutcome {
     pub(super) versions: Vec<usize>,
-    /// How often each step is reached.
+    /// Probability that each step is reached.
     pub(super) reached: Vec<f64>,
     pub(super) quality: f64,
 }
 
+/// Returns the expected outcomes of all sequences of versions, by class.
 pub(super) fn expected_outcomes(
     workload: &Workload,
     rng: &mut SimRng,
--- a/crates/oatdale-policy/examples/measure/endpoints.rs
+++ b/crates/oatdale-policy/examples/measure/endpoints.rs
@@ -1,5 +1,5 @@
-//! Choice of an endpoint: time to the first token under lagging reports, a slow endpoint and
-//! prefix caches.
+//! Choice of an endpoint: time to the first token with delayed load reports, with a slow endpoint
+//! and with prefix caches.
 
 use crate::Seeds;
 use crate::report::{Report, quantile};
@@ -8,11 +8,11 @@
 use oatdale_config::{Key, ServiceKey};
 use oatdale_policy::Tuning;
 
-/// Seconds of a run; the first few are not counted.
+/// Length of a run; requests that arrive during the warm-up are not counted.
 const RUN_LENGTH_S: f64 = 60.0;
 const WARM_UP_S: f64 = 10.0;
 
-/// Requests a second, about 70% of what the workers can do.
+/// Request rate, about 70% of the workers' capacity.
 const REQUESTS_PER_S: f64 = 19.0;
 
 /// Nodes that share the workers.
@@ -66,12 +66,13 @@
         latency_weight: 0.0,
         deadline: 60.0,
     }]);
-    // One version, so that only the choice of an endpoint differs.
+    // A single version, so that the policies differ in the choice of an endpoint only.
     site.prices.truncate(1);
     site
 }
 
-/// Short, middling and long requests; `prefixes` beginnings each, or all different for 0.
+/// Short, medium and long requests, each with `prefixes` distinct prompt prefixes; 0 stands for
+/// prompts that practically never share a prefix.
 fn flows(prefixes: usize) -> Vec<Flow> {
     let flow = |share: f64, input: f64, output: f64| Flow {
         service: ServiceKey::from_index(0),
--- a/crates/oatdale-policy/examples/measure/engine.rs
+++ b/crates/oatdale-policy/examples/measure/engine.rs
@@ -1,41 +1,44 @@
-//! Stand-in for an endpoint: slots, batching, a prefix cache, slowness and failures.
+//! Simulated endpoint with slots, batching, a prefix cache, slowdown and failures.
 
 use crate::world::SimRng;
 use oatdale_policy::AttemptResult;
 use std::collections::VecDeque;
 
-/// Prefixes that an engine's cache holds.
+/// Prompt prefixes that an engine's cache holds.
 const CACHE_CAPACITY: usize = 24;
 
-/// What a cached prefix leaves of the time to read the prompt.
+/// Fraction of the prefill time that remains if the prompt's prefix is cached.
 const CACHED_PREFILL_FRACTION: f64 = 0.1;
 
-/// Tokens of prompt read in a second.
+/// Prompt tokens that are read per second.
 const PREFILL_TOKENS_PER_S: f64 = 20_000.0;
 
-/// Seconds for one token of an answer when the engine runs nothing else.
+/// Seconds per output token when the engine runs no other request.
 const DECODE_S_PER_TOKEN: f64 = 0.02;
 
-/// What each further request in the batch adds to a token's time.
+/// Fraction by which each further request in the batch lengthens a request's times.
 const BATCH_SLOWDOWN: f64 = 0.03;
 
-/// The least time to the first byte.
+/// Seconds to the first byte for an empty prompt, before slowdown and jitter.
 const OVERHEAD_S: f64 = 0.005;
 
-/// Seconds until a failing endpoint's error comes.
+/// Seconds until a failing attempt returns its error.
 const FAILURE_DELAY_S: f64 = 0.05;
 
-/// Work for an engine.
+/// One attempt of a request, as submitted to an engine.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Work {
+    /// Index in `Sim::jobs`.
     pub(crate) job: usize,
     pub(crate) attempt: u16,
+    /// Prompt tokens.
     pub(crate) input: u32,
+    /// Output tokens.
     pub(crate) output: u32,
     pub(crate) prefix: u64,
 }
 
-/// When and how work that starts now will end.
+/// Times and result of an attempt, which are settled when it starts.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Started {
     pub(crate) work: Work,
@@ -44,16 +47,16 @@
     pub(crate) result: AttemptResult,
 }
 
-/// One endpoint.
+/// State of one endpoint.
 #[derive(Clone, Debug)]
 pub(crate) struct Engine {
     slots: usize,
     running: usize,
     queue: VecDeque<Work>,
     cache: VecDeque<u64>,
-    /// All times are multiplied by this.
+    /// Factor of all times.
     pub(crate) slowdown: f64,
-    /// The share of attempts that fail.
+    /// Share of attempts that fail.
     pub(crate) failure_rate: f64,
     pub(crate) cache_hits: u64,
     pub(crate) cache_lookups: u64,
@@ -73,11 +76,12 @@
         }
     }
 
+    /// Returns the numbers of running and queued attempts.
     pub(crate) fn load(&self) -> (u32, u32) {
         (self.running as u32, self.queue.len() as u32)
     }
 
-    /// Takes work in; it starts now if a slot is free.
+    /// Starts an attempt if a slot is free, and queues it otherwise.
     pub(crate) fn submit(&mut self, now: f64, work: Work, rng: &mut SimRng) -> Option<Started> {
         if self.running >= self.slots {
             self.queue.push_back(work);
@@ -86,7 +90,7 @@
         Some(self.start(now, work, rng))
     }
 
-    /// Notes that work ended; the next may start.
+    /// Frees the slot of an ended attempt and starts the next queued one, if any.
     pub(crate) fn end(&mut self, now: f64, rng: &mut SimRng) -> Option<Started> {
         self.running -= 1;
         let next = self.queue.pop_front()?;
@@ -123,6 +127,7 @@
         }
     }
 
+    /// Returns whether the prefix is cached, and makes it the most recently used one.
     fn lookup_cache(&mut self, prefix: u64) -> bool {
         self.cache_lookups += 1;
         let index = self.cache.iter().position(|&p| p == prefix);
@@ -137,7 +142,7 @@
     }
 }
 
-/// The seconds that work takes on an endpoint that runs a full batch, without a cache.
+/// Returns the seconds that a request takes on an endpoint with a full batch and without a cache.
 pub(crate) fn full_batch_seconds(input: f64, output: f64, slots: u32) -> f64 {
     let batch_factor = 1.0 + BATCH_SLOWDOWN * (f64::from(slots) - 1.0);
     (OVERHEAD_S + input / PREFILL_TOKENS_PER_S + output * DECODE_S_PER_TOKEN) * batch_factor
--- a/crates/oatdale-policy/examples/measure/exposure.rs
+++ b/crates/oatdale-policy/examples/measure/exposure.rs
@@ -1,9 +1,9 @@
-//! Exposure: requests that a bad canary serves until it is stopped, against a breaker with a
-//! fixed threshold that stops healthy roll-outs as rarely.
+//! Exposure: requests that a bad canary serves until it is stopped, compared with a circuit breaker
+//! whose fixed threshold stops healthy rollouts equally rarely.
 //!
-//! Four nodes share their counts once a second. The breaker sees every outcome at once and stops
-//! when too many of the last hundred were bad; its threshold is the lowest that stops at most one
-//! in a thousand healthy roll-outs, found on streams of their own.
+//! Four nodes exchange their counts once a second. The breaker receives every outcome immediately
+//! and stops the canary when too many of the last hundred were bad. Its threshold is the lowest one
+//! that stops at most one in a thousand healthy rollouts, calibrated on separate random streams.
 
 use crate::Seeds;
 use crate::report::Report;
@@ -14,30 +14,30 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The canary's share.
+/// Share of the requests that go to the canary.
 const CANARY_SHARE: f64 = 0.2;
 
-/// Requests of one roll-out at most.
+/// Requests after which a rollout ends if it was not stopped.
 const MAX_REQUESTS: usize = 5_000;
 
-/// Requests a second over all nodes.
+/// Request rate over all nodes.
 const REQUESTS_PER_S: usize = 20;
 
 const NODES: usize = 4;
 
-/// Outcomes that the breaker looks back on.
+/// Number of most recent outcomes that the breaker counts.
 const WINDOW_OUTCOMES: usize = 100;
 
-/// Healthy roll-outs for each seed, from which false stops are counted.
+/// Healthy rollouts among which false stops are counted.
 const HEALTHY_ROLLOUTS_PER_SEED: u64 = 500;
 
-/// Healthy streams from which the breaker's thresholds are found.
+/// Healthy rollouts on which the breaker's thresholds are calibrated.
 const CALIBRATION_ROLLOUTS: u64 = 20_000;
 
-/// The share of healthy roll-outs that may be stopped, for each of three faults.
+/// Share of healthy rollouts that the breaker may stop for each of the three faults.
 const MAX_FALSE_STOP_SHARE: f64 = 0.001 / 3.0;
 
-/// How a version behaves: the shares of errors, low ratings and slow answers.
+/// Behaviour of a version: its shares of errors, low ratings and slow responses.
 #[derive(Clone, Copy)]
 struct Behaviour {
     error_share: f64,
@@ -51,24 +51,24 @@
     slow_share: 0.02,
 };
 
-/// What a cause that all versions share, such as a rack that fails, makes of healthy ones.
+/// Behaviour of healthy versions under a fault that affects all versions, such as a failing rack.
 const SHARED_FAULT: Behaviour = Behaviour {
     error_share: 0.05,
     low_rating_share: 0.20,
     slow_share: 0.10,
 };
 
-/// Threads for the healthy roll-outs.
+/// Threads that run healthy rollouts.
 const THREADS: usize = 4;
 
-/// A breaker and the counts in its windows at which it stops, for errors, low ratings and slow
-/// answers.
+/// Circuit breaker with the counts in its windows at which it stops a rollout, for errors, low
+/// ratings and slow responses.
 struct Breaker {
     name: &'static str,
     thresholds: [usize; 3],
 }
 
-/// A bad canary, and the seconds until a rating comes.
+/// Bad canary, and the time until a rating arrives.
 struct Case {
     name: &'static str,
     canary: Behaviour,
@@ -89,6 +89,7 @@
         for seed in seeds.clone() {
             let (served, stopped) = run_rollout(canary, HEALTHY_VERSION, case.rating_lag_s, seed);
             report.add(case.name, "oatdale", seed, &metrics(served, stopped));
+            // The breaker counts the lag in requests to the canary.
             let lag = (case.rating_lag_s * REQUESTS_PER_S) as f64 * CANARY_SHARE;
             for b in &breakers {
                 let stopped = run_breaker(canary, lag as usize, b.thresholds, seed);
@@ -131,8 +132,8 @@
     ]
 }
 
-/// How often healthy roll-outs are stopped, at the usual shares of bad outcomes and where a cause
-/// that all versions share raises them.
+/// Adds the number of stops per 1000 healthy rollouts, at the usual shares of bad outcomes and
+/// under a fault of all versions that raises them.
 fn report_false_stops(report: &mut Report, seeds: Seeds, breakers: &[Breaker]) {
     let metric = "stopped of 1000 healthy";
     for (name, version) in [
@@ -162,7 +163,7 @@
     }
 }
 
-/// Runs the seeds on a few threads; the results come in the seeds' order.
+/// Runs the seeds on several threads and returns the results in the order of the seeds.
 fn run_in_threads<T: Send>(seeds: Seeds, run: impl Fn(u64) -> T + Sync) -> Vec<T> {
     let seeds: Vec<u64> = seeds.collect();
     let chunk_len = seeds.len().div_ceil(THREADS).max(1);
@@ -179,7 +180,8 @@
     })
 }
 
-/// One roll-out under the real routers: requests served by the canary, and whether it was stopped.
+/// Runs a rollout with the router. Returns the number of requests that the canary served, and
+/// whether it was stopped.
 fn run_rollout(
     canary: Behaviour,
     serving: Behaviour,
@@ -213,11 +215,13 @@
     (rollout.served, false)
 }
 
+/// State of one rollout.
 struct Rollout {
     routers: Vec<Router>,
     canary: Behaviour,
     serving: Behaviour,
     rng: SimRng,
+    /// Index of the request at which a rating arrives, node, version and rating.
     pending_ratings: VecDeque<(usize, usize, VersionKey, f64)>,
     served: usize,
 }
@@ -248,7 +252,8 @@
             class: 0,
         };
         let Offer::Run(dispatch) = self.routers[node].offer(now, &ask) else {
-            // Endpoints rest after failures in a row, as they do when a version fails always.
+            // Endpoints are avoided for a while after consecutive failures, which happens if a
+            // version always fails.
             return;
         };
         let outcome = self.outcome(dispatch);
@@ -273,6 +278,7 @@
         }
     }
 
+    /// Draws the outcome of an attempt and counts the attempts of the canary.
     fn outcome(&mut self, dispatch: Dispatch) -> Outcome {
         self.served += usize::from(dispatch.version == Some(canary_version()));
         let behaviour = self.behaviour(dispatch);
@@ -294,7 +300,7 @@
         }
     }
 
-    /// Nodes exchange their counts; true once one of them stops the canary.
+    /// Exchanges the counts between the nodes and returns whether one of them stops the canary.
     fn gossip(&mut self, now: Duration) -> bool {
         let counters: Vec<_> = self.routers.iter().map(Router::evidence).collect();
         let mut stopped = false;
@@ -309,7 +315,10 @@
     }
 }
 
-/// The breaker on a stream of the canary's outcomes: how many were served until it stopped.
+/// Runs the breaker on a stream of the canary's outcomes. Returns the number of requests served
+/// until it stopped the rollout, or `None` if it did not.
+///
+/// `rating_lag_served` is the number of requests to the canary after which a rating arrives.
 fn run_breaker(
     canary: Behaviour,
     rating_lag_served: usize,
@@ -340,7 +349,7 @@
     None
 }
 
-/// The last outcomes, and how many of them were bad.
+/// Most recent outcomes, and the number of bad ones.
 #[derive(Default)]
 struct Window {
     outcomes: VecDeque<bool>,
@@ -348,6 +357,7 @@
 }
 
 impl Window {
+    /// Adds an outcome and returns the number of bad outcomes in the window.
     fn add(&mut self, is_bad: bool) -> usize {
         if self.outcomes.len() == WINDOW_OUTCOMES {
             self.bad_count -= usize::from(self.outcomes.pop_front() == Some(true));
@@ -359,7 +369,8 @@
 }
 
 impl Breaker {
-    /// The least thresholds that healthy streams with these shares reach rarely enough.
+    /// Returns the breaker with the lowest thresholds that healthy rollouts with these shares reach
+    /// rarely enough.
     fn calibrated(name: &'static str, healthy: Behaviour) -> Self {
         let shares = [
             healthy.error_share,
@@ -379,7 +390,7 @@
     }
 }
 
-/// The most bad outcomes in any window of one healthy roll-out.
+/// Returns the maximum number of bad outcomes in any window of one healthy rollout.
 fn max_bad_in_window(share: f64, rng: &mut SimRng) -> usize {
     let mut window = Window::default();
     let served = (MAX_REQUESTS as f64 * CANARY_SHARE) as usize;
@@ -397,7 +408,7 @@
     VersionKey::from_index(1)
 }
 
-/// One model with a serving version and a canary.
+/// Returns a configuration of one model with a serving version and a canary.
 fn config() -> Config {
     let mut site = Site::standard(vec![ModelService {
         name: "model",
--- a/crates/oatdale-policy/examples/measure/main.rs
+++ b/crates/oatdale-policy/examples/measure/main.rs
@@ -1,9 +1,10 @@
-//! Measures the router's decisions in rounds, each against simpler ways of deciding.
+//! Simulations that compare the router's decisions with simpler policies.
 //!
-//! `cargo run --release -p oatdale-policy --example measure -- [round] [--seeds N] [--from N]
-//! [--out DIR]` runs one round, or all, over N seeds from a first one on and prints a table. With `--out` it writes `<round>.csv` with every
-//! seed's figures and `<round>.svg` with a plot. Time is simulated and every draw comes from the
-//! seed: the same command writes the same bytes.
+//! `cargo run --release -p oatdale-policy --example measure -- [experiment] [--seeds N]
+//! [--from SEED] [--out DIR]` runs one experiment, or all, with N consecutive seeds starting at
+//! `--from`, and prints a table. With `--out` it also writes `<experiment>.csv` with the values
+//! of every seed and `<experiment>.svg` with a plot. Time is simulated and all random numbers
+//! derive from the seed: the same command writes the same bytes.
 
 mod cascade;
 mod endpoints;
@@ -20,16 +21,15 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Seeds that a round runs unless told otherwise.
+/// Number of seeds without `--seeds`.
 const DEFAULT_SEEDS: u64 = 20;
 
-/// The seeds of a run.
+/// Seeds with which an experiment is repeated.
 pub(crate) type Seeds = std::ops::Range<u64>;
 
-/// A round's name and what runs it.
+/// Name of an experiment on the command line, and the function that runs it.
 type Experiment = (&'static str, fn(Seeds) -> Report);
 
-/// All rounds.
 const EXPERIMENTS: [Experiment; 6] = [
     ("cascade", cascade::run),
     ("endpoints", endpoints::run),
@@ -39,8 +39,9 @@
     ("progress", progress::run),
 ];
 
-/// What the command line asks for.
+/// Parsed command line.
 struct Args {
+    /// The only experiment to run, or `None` for all.
     experiment: Option<String>,
     seeds: u64,
     first_seed: u64,
--- a/crates/oatdale-policy/examples/measure/overload.rs
+++ b/crates/oatdale-policy/examples/measure/overload.rs
@@ -1,7 +1,8 @@
-//! Overload: a surge on one service, and three times what the workers can do.
+//! Overload: a surge on one service, and a load of three times the workers' capacity.
 //!
-//! Skyward's tags, notes and schedules share the workers; bookings go to plain hosts. The surge
-//! is ten times the usual rate of notes, all of it from one customer, for 60 seconds.
+//! Skyward's tags, notes and schedules share the workers; bookings use plain hosts. The surge
+//! raises the rate of notes to ten times the usual one for 60 seconds; one customer sends all of
+//! the added requests.
 
 use crate::Seeds;
 use crate::engine::full_batch_seconds;
@@ -11,25 +12,25 @@
 use oatdale_config::{CustomerKey, Key, ServiceKey};
 use oatdale_policy::Tuning;
 
-/// Seconds of a run, and from when to when the surge lasts.
+/// Length of a run, and start and end of the surge.
 const RUN_LENGTH_S: f64 = 120.0;
 const SURGE_S: (f64, f64) = (40.0, 100.0);
 
-/// Seconds after a surge's start, or a run's, that are not counted.
+/// Time after the start of the surge that is not counted, also in runs without a surge.
 const SETTLE_S: f64 = 10.0;
 
-/// Flows by their place.
+/// Indices of the flows.
 const TAGS: usize = 0;
 const NOTES: usize = 1;
 const SCHEDULES: usize = 2;
 const BOOKINGS: usize = 3;
 const SURGING: usize = 4;
 
-/// Requests a second of each flow; the usual ones keep the workers busy to about 45%, and the
-/// last is what the surge adds to the notes.
+/// Request rate of each flow. The usual flows use about 45% of the workers' capacity; the last is
+/// the rate that the surge adds to the notes.
 const REQUESTS_PER_S: [f64; 5] = [6.0, 3.6, 2.4, 20.0, 32.4];
 
-/// Tokens of prompt and answer of each flow.
+/// Median prompt and output tokens of each flow.
 const TOKENS: [(f64, f64); 5] = [
     (200.0, 20.0),
     (1500.0, 200.0),
@@ -38,7 +39,7 @@
     (1500.0, 200.0),
 ];
 
-/// Seconds that callers of each flow wait.
+/// Time that the callers of each flow wait.
 const DEADLINES_S: [f64; 5] = [10.0, 30.0, 60.0, 2.0, 30.0];
 
 const NODES: usize = 3;
@@ -51,6 +52,7 @@
             let surge = simulate(policy, seed, 1.0, true);
             let name = policy.name();
             report.add("10x notes", name, seed, &surge_metrics(&quiet, &surge));
+            // Seven times the usual load is about three times the capacity.
             let overloaded = simulate(policy, seed, 7.0, false);
             report.add("3x capacity", name, seed, &goodput_metrics(&overloaded));
         }
@@ -95,6 +97,7 @@
     let mut flows: Vec<Flow> = [TAGS, NOTES, SCHEDULES].map(usual_flow).to_vec();
     flows.push(flow(BOOKINGS, ServiceKey::from_index(BOOKINGS), 1.0));
     if has_surge {
+        // Hardly any requests outside the surge: the surge's factor cancels the 1e-3.
         let mut surge_flow = flow(SURGING, ServiceKey::from_index(NOTES), 1e-3);
         surge_flow.surge = Some((SURGE_S.0, SURGE_S.1, 1e3));
         surge_flow.customer = Some(CustomerKey::from_index(0));
@@ -118,7 +121,7 @@
     }
 }
 
-/// What happens to the others during the surge, and to the workers' capacity.
+/// Metrics of the other flows during the surge, and of the use of the workers' capacity.
 fn surge_metrics(quiet: &Sim, surge: &Sim) -> Vec<(&'static str, f64)> {
     let ratio = |flow| p99_first_byte(surge, flow) / p99_first_byte(quiet, flow);
     let mut values = vec![
@@ -152,11 +155,13 @@
     ]
 }
 
+/// Requests that arrived during the surge, or in the same span of a run without one.
 fn surge_arrivals(sim: &Sim, flow: usize) -> impl Iterator<Item = &Job> {
     sim.arrivals(flow, SURGE_S.0 + SETTLE_S, SURGE_S.1)
 }
 
-/// The 99th hundredth of the time to the first byte; one that never came counts as the deadline.
+/// Returns the 99th percentile of the time to the first byte. A request without a response counts
+/// with its deadline.
 fn p99_first_byte(sim: &Sim, flow: usize) -> f64 {
     let mut times: Vec<f64> = surge_arrivals(sim, flow)
         .map(|j| j.time_to_first_byte().unwrap_or(DEADLINES_S[flow]))
@@ -164,6 +169,7 @@
     quantile(&mut times, 0.99)
 }
 
+/// Share of the requests of these flows whose response was complete by the deadline.
 fn in_time_share(sim: &Sim, flows: &[usize]) -> f64 {
     let jobs: Vec<&Job> = flows
         .iter()
@@ -173,7 +179,8 @@
     in_time as f64 / jobs.len().max(1) as f64
 }
 
-/// Work of answers that ended in time within the surge, over what full workers can do.
+/// Engine time of the responses that were completed during the surge and by their deadline, as a
+/// share of the capacity of workers with full batches.
 fn goodput(sim: &Sim) -> f64 {
     let site = site();
     let from = SURGE_S.0 + SETTLE_S;
--- a/crates/oatdale-policy/examples/measure/progress.rs
+++ b/crates/oatdale-policy/examples/measure/progress.rs
@@ -1,8 +1,9 @@
-//! The related paper's idea: requests of sessions that have come far go first, against arrival
-//! order, while many callers open sessions at once.
+//! Session progress as priority, an idea of a related paper: requests of sessions with more
+//! completed steps run first, compared with arrival order, while many callers open sessions at
+//! once.
 //!
-//! A session is four requests. A caller whose request is refused or late begins its session
-//! again, as in the paper: after the time it was told, or after one second whatever it was told.
+//! A session has four requests. As in the paper, a caller whose request is refused or late restarts
+//! its session: after the advised retry delay, or after one second regardless of the advice.
 
 use crate::Seeds;
 use crate::report::Report;
@@ -11,14 +12,13 @@
 use oatdale_config::{Key, ServiceKey};
 use oatdale_policy::{Order, Tuning};
 
-/// Seconds in which sessions are opened, and in which all must end.
+/// Time in which sessions are opened, and time by which all must be completed.
 const SESSION_ARRIVALS_S: f64 = 30.0;
 const RUN_LENGTH_S: f64 = 400.0;
 
-/// Requests of one session.
 const STEPS_PER_SESSION: u32 = 4;
 
-/// Sessions a second that the workers can serve: 144 places, four requests of about 3.2 s.
+/// Sessions that the workers can serve per second: 144 slots, four requests of about 3.2 s each.
 const CAPACITY_SESSIONS_PER_S: f64 = 11.0;
 
 pub(crate) fn run(seeds: Seeds) -> Report {
--- a/crates/oatdale-policy/examples/measure/report.rs
+++ b/crates/oatdale-policy/examples/measure/report.rs
@@ -1,11 +1,11 @@
-//! Figures by condition, policy, metric and seed; printed as a table, written as CSV and SVG.
+//! Measurements by condition, policy, metric and seed; printed as a table, written as CSV and SVG.
 
 use plotters::prelude::*;
 use std::error::Error;
 use std::fmt::Write as _;
 use std::path::Path;
 
-/// One seed's figure.
+/// Value of a metric in the run with one seed.
 struct Measurement {
     condition: String,
     policy: String,
@@ -14,15 +14,15 @@
     value: f64,
 }
 
-/// All figures of one round.
+/// All measurements of one experiment.
 pub(crate) struct Report {
     title: String,
-    /// The metric that is plotted.
+    /// Metric of the plot.
     plotted_metric: &'static str,
     measurements: Vec<Measurement>,
 }
 
-/// A figure over all seeds.
+/// Mean and range of a metric over all seeds.
 #[derive(Clone, Copy)]
 struct Spread {
     mean: f64,
@@ -39,6 +39,7 @@
         }
     }
 
+    /// Adds the metrics of the run with one seed.
     pub(crate) fn add(
         &mut self,
         condition: impl Into<String>,
@@ -57,7 +58,7 @@
             }));
     }
 
-    /// A table in Markdown: mean over the seeds, and the least and greatest.
+    /// Returns a Markdown table of the mean over the seeds, with the smallest and largest value.
     pub(crate) fn table(&self) -> String {
         let metrics = distinct(self.measurements.iter().map(|m| m.metric));
         let mut text = format!("## {}\n\n| condition | policy |", self.title);
@@ -76,7 +77,7 @@
         text
     }
 
-    /// Writes `<name>.csv` and `<name>.svg` into a folder.
+    /// Writes `<name>.csv` and `<name>.svg` to the directory `out`.
     pub(crate) fn write(&self, out: &Path, name: &str) -> Result<(), Box<dyn Error>> {
         std::fs::create_dir_all(out)?;
         let mut csv = csv::Writer::from_path(out.join(format!("{name}.csv")))?;
@@ -89,6 +90,7 @@
         self.plot(&out.join(format!("{name}.svg")))
     }
 
+    /// Draws the mean and range of the plotted metric by condition and policy.
     fn plot(&self, path: &Path) -> Result<(), Box<dyn Error>> {
         let conditions = distinct(self.measurements.iter().map(|m| m.condition.as_str()));
         let policies = distinct(self.measurements.iter().map(|m| m.policy.as_str()));
@@ -170,7 +172,8 @@
     }
 }
 
-/// The value below which a share of the sorted values lies; 0 of none.
+/// Returns the value below which this fraction of the values lies, or 0 for no values. Sorts the
+/// values.
 pub(crate) fn quantile(values: &mut [f64], fraction: f64) -> f64 {
     values.sort_unstable_by(f64::total_cmp);
     let rank = (values.len() as f64 * fraction) as usize;
@@ -180,6 +183,8 @@
         .unwrap_or(0.0)
 }
 
+/// Returns the label of a tick on the horizontal axis: the condition's name at the middle of its
+/// interval, and nothing at other ticks.
 fn condition_label(conditions: &[&str], x: f64) -> String {
     let is_middle = (x.fract() - 0.5).abs() < 1e-6;
     let condition = conditions.get(x as usize).filter(|_| is_middle);
@@ -203,6 +208,7 @@
     }
 }
 
+/// Returns the distinct items in the order of their first occurrence.
 fn distinct<T: PartialEq>(items: impl Iterator<Item = T>) -> Vec<T> {
     let mut seen = Vec::new();
     for item in items {
--- a/crates/oatdale-policy/examples/measure/retries.rs
+++ b/crates/oatdale-policy/examples/measure/retries.rs
@@ -1,4 +1,5 @@
-//! Retries: attempts for each request and success while endpoints fail, with a budget and without.
+//! Retries: attempts per request and success rate while endpoints fail, with and without a retry
+//! budget.
 
 use crate::Seeds;
 use crate::report::{Report, quantile};
@@ -7,11 +8,11 @@
 use oatdale_config::{Key, ServiceKey};
 use oatdale_policy::{Retries, Tuning};
 
-/// Seconds of a run; the first few are not counted.
+/// Length of a run; requests that arrive during the warm-up are not counted.
 const RUN_LENGTH_S: f64 = 60.0;
 const WARM_UP_S: f64 = 5.0;
 
-/// Requests a second, about 40% of what all workers can do.
+/// Request rate, about 40% of the capacity of all workers.
 const REQUESTS_PER_S: f64 = 20.0;
 
 pub(crate) fn run(seeds: Seeds) -> Report {
--- a/crates/oatdale-policy/examples/measure/sim.rs
+++ b/crates/oatdale-policy/examples/measure/sim.rs
@@ -1,4 +1,4 @@
-//! A small event queue between callers, nodes and endpoints.
+//! Discrete-event simulation of callers, nodes and endpoints.
 
 mod due;
 mod model;
@@ -17,55 +17,57 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Seconds between two reports of an engine's load.
+/// Interval between two load reports of an endpoint.
 const LOAD_REPORT_INTERVAL_S: f64 = 0.1;
 
-/// Seconds between a session's answer and its next request.
+/// Time between a response and the next request of the session.
 const THINK_TIME_S: f64 = 0.2;
 
-/// A caller's session.
+/// Session of a caller.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CallerSession {
     flow: usize,
     customer: CustomerKey,
+    /// Time at which the last request of the session was answered in time.
     pub(crate) completed_at: Option<f64>,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    Arrive {
-        flow: usize,
-    },
-    Step {
-        session: usize,
-        step: u32,
-    },
+    /// A caller sends a request or opens a session.
+    Arrive { flow: usize },
+    /// A caller sends the next request of its session.
+    Step { session: usize, step: u32 },
+    /// An attempt ends at its endpoint.
     End {
         endpoint: usize,
         started: Started,
         sent_at: f64,
     },
+    /// The load of all endpoints is measured.
     SampleLoad,
-    DeliverReport {
-        endpoint: usize,
-        report: LoadReport,
-    },
-    Wake {
-        node: usize,
-    },
+    /// A load report arrives at the nodes.
+    DeliverReport { endpoint: usize, report: LoadReport },
+    /// A node's router is called at the time that it asked for.
+    Wake { node: usize },
 }
 
-/// One run.
+/// State of one run.
 pub(crate) struct Sim {
     setup: Setup,
     cfg: Arc<Config>,
     now: f64,
+    /// Events scheduled so far.
     event_count: u64,
     events: BinaryHeap<Reverse<ScheduledEvent>>,
     pub(crate) engines: Vec<Engine>,
+    /// For each endpoint, the attempts that were sent but have not started: job, number of the
+    /// attempt and time of sending.
     pending_attempts: Vec<Vec<(usize, u16, f64)>>,
     routers: Vec<Router>,
+    /// Running and queued requests of each endpoint according to its last report.
     reported_loads: Vec<f64>,
+    /// Requests placed by [`Policy::RoundRobin`] so far.
     round_robin: usize,
     rng: SimRng,
     pub(crate) jobs: Vec<Job>,
@@ -118,7 +120,7 @@
         sim
     }
 
-    /// Jobs of a flow that arrived in a span of time.
+    /// Returns the jobs of a flow that arrived in `from..to`.
     pub(crate) fn arrivals(&self, flow: usize, from: f64, to: f64) -> impl Iterator<Item = &Job> {
         self.jobs
             .iter()
@@ -135,6 +137,7 @@
         }));
     }
 
+    /// Returns the simulated time since the start.
     fn elapsed(&self) -> Duration {
         Duration::from_secs_f64(self.now)
     }
@@ -157,9 +160,10 @@
         }
     }
 
+    /// Draws the time of the next arrival of a flow, a Poisson process, by thinning.
     fn schedule_arrival(&mut self, flow: usize) {
         let Flow { rate, surge, .. } = self.setup.flows[flow];
-        // Draws at the highest rate and keeps each with the present rate's share of it.
+        // Arrivals are drawn at the peak rate and kept with the probability `current / peak`.
         let peak_rate = surge.map_or(rate, |(_, _, factor)| rate * factor.max(1.0));
         let mut at = self.now;
         loop {
@@ -195,6 +199,7 @@
         self.request_step(self.sessions.len() - 1, 0);
     }
 
+    /// Sends a request of a session, unless the run's time for arrivals is over.
     fn request_step(&mut self, session: usize, step: u32) {
         let CallerSession { flow, customer, .. } = self.sessions[session];
         if self.now < self.setup.length {
@@ -202,7 +207,8 @@
         }
     }
 
-    /// A session's request was answered in time, or was not: then the session begins again.
+    /// Schedules the next step of a session if its request was answered in time, and the restart of
+    /// the session otherwise.
     fn advance_session(&mut self, job: usize, retry_after: Option<Duration>) {
         let Some((session, step)) = self.jobs[job].session else {
             return;
@@ -266,6 +272,7 @@
         }
     }
 
+    /// Returns the endpoint that a policy other than [`Policy::Oatdale`] chooses.
     fn baseline_endpoint(&mut self, job: usize) -> usize {
         let service = self.setup.flows[self.jobs[job].flow].service;
         let pool = self.cfg.services[service].pool;
@@ -322,6 +329,7 @@
         }
     }
 
+    /// Schedules the next call that the node's router asks for.
     fn schedule_wake(&mut self, node: usize) {
         if let Some(at) = self.routers[node].next_wake() {
             let at = at.as_secs_f64().max(self.now + 1e-6);
@@ -329,6 +337,7 @@
         }
     }
 
+    /// Sends or refuses the waiting requests whose turn has come.
     fn process_turns(&mut self, node: usize) {
         let now = self.elapsed();
         while let Some((ticket, turn)) = self.routers[node].next_turn(now) {
@@ -357,6 +366,7 @@
         self.schedule_end(endpoint, started);
     }
 
+    /// Schedules the end of an attempt that has started.
     fn schedule_end(&mut self, endpoint: usize, started: Option<Started>) {
         let Some(started) = started else { return };
         let (job, attempt) = (started.work.job, started.work.attempt);
@@ -414,7 +424,7 @@
         self.advance_session(job, refusal.retry_after);
     }
 
-    /// The end of an attempt under a simple policy, which tries again at once.
+    /// Retries a failed attempt at once under a policy other than [`Policy::Oatdale`].
     fn end_baseline_attempt(&mut self, job: usize, attempt: u16, is_complete: bool) {
         if !is_complete && u32::from(attempt) < self.setup.baseline_attempts {
             let endpoint = self.baseline_endpoint(job);
--- a/crates/oatdale-policy/examples/measure/sim/due.rs
+++ b/crates/oatdale-policy/examples/measure/sim/due.rs
@@ -1,9 +1,10 @@
-//! Events in the order of their times.
+//! Order of scheduled events.
 
 use super::Event;
 
-/// An event in the queue; earlier ones first, in the order of their making among equals.
+/// Event in the queue, ordered by time and, at equal times, in the order of scheduling.
 pub(super) struct ScheduledEvent {
+    /// Simulated time in seconds.
     pub(super) at: f64,
     pub(super) sequence: u64,
     pub(super) event: Event,
--- a/crates/oatdale-policy/examples/measure/world.rs
+++ b/crates/oatdale-policy/examples/measure/world.rs
@@ -1,4 +1,5 @@
-//! Configurations in the shapes of the two users, and seeded draws.
+//! Configurations modelled on those of the two users, Skyward and Tallyrow, and seeded random
+//! numbers.
 
 use oatdale_config::{
     Arena, Config, Customer, CustomerKey, Digest, Domain, DomainKey, Endpoint, EndpointKey, Key,
@@ -10,7 +11,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Seeded draws.
+/// Seeded random number generator.
 pub(crate) struct SimRng(Pcg64Mcg);
 
 impl SimRng {
@@ -22,21 +23,23 @@
         self.0.next_u64()
     }
 
-    /// Uniform from 0 to 1.
+    /// Returns a uniformly distributed number from 0 up to 1.
     pub(crate) fn uniform(&mut self) -> f64 {
         (self.random_bits() >> 11) as f64 / (1_u64 << 53) as f64
     }
 
+    /// Returns an integer below `n`, which must not be 0.
     pub(crate) fn below(&mut self, n: usize) -> usize {
         (self.random_bits() % n as u64) as usize
     }
 
-    /// Exponential with a mean.
+    /// Returns an exponentially distributed number with this mean.
     pub(crate) fn exponential(&mut self, mean: f64) -> f64 {
         -mean * (1.0 - self.uniform()).ln()
     }
 
-    /// Log-normal by its median and the standard deviation of its logarithm.
+    /// Returns a log-normally distributed number, given the median and the standard deviation of
+    /// the logarithm.
     pub(crate) fn log_normal(&mut self, median: f64, sigma: f64) -> f64 {
         let radius = (-2.0 * (1.0 - self.uniform()).ln()).sqrt();
         let normal = radius * (std::f64::consts::TAU * self.uniform()).cos();
@@ -44,19 +47,22 @@
     }
 }
 
-/// A model service of a configuration.
+/// Settings of a model service.
 #[derive(Clone, Debug)]
 pub(crate) struct ModelService {
     pub(crate) name: &'static str,
     pub(crate) quality: f64,
     pub(crate) latency_weight: f64,
+    /// Seconds.
     pub(crate) deadline: f64,
 }
 
-/// A configuration of model services on one pool of workers, and one plain service beside it.
+/// Parameters of a configuration with model services on one pool of workers, and one plain service
+/// on a pool of plain hosts.
 #[derive(Clone, Debug)]
 pub(crate) struct Site {
-    /// Prices of the versions for a million tokens of prompt and of answer; a model for each.
+    /// Price of each version for a million prompt tokens and for a million output tokens. Each
+    /// version belongs to a model of its own.
     pub(crate) prices: Vec<(f64, f64)>,
     pub(crate) services: Vec<ModelService>,
     pub(crate) workers: usize,
@@ -64,11 +70,13 @@
     pub(crate) hosts: usize,
     pub(crate) host_concurrency: u32,
     pub(crate) customers: usize,
+    /// Seconds.
     pub(crate) plain_deadline: f64,
 }
 
 impl Site {
-    /// Three models of unlike cost, 9 workers, 3 plain hosts, 10 customers.
+    /// Returns a site with three models of different cost, 9 workers, 3 plain hosts and 10
+    /// customers.
     pub(crate) fn standard(services: Vec<ModelService>) -> Self {
         Site {
             prices: vec![(0.15, 0.6), (0.8, 3.2), (2.5, 10.0)],
@@ -189,7 +197,7 @@
     }
 }
 
-/// The customer of a request: a few large ones and many small ones.
+/// Returns the customer of a request, among a few large customers and many small ones.
 pub(crate) fn random_customer(rng: &mut SimRng, customers: usize) -> CustomerKey {
     let skewed = rng.uniform().powi(2) * customers as f64;
     CustomerKey::from_index((skewed as usize).min(customers - 1))
