--- a/crates/oatdale-mesh/src/member.rs
+++ b/crates/oatdale-mesh/src/member.rs
@@ -20,10 +20,10 @@
 
 use self::counters::Counters;
 use self::dialer::Dialer;
-use self::holds::Holds;
+use self::holds::RecordStore;
 use self::roster::Roster;
 use self::shares::Shares;
-use self::spread::Spread;
+use self::spread::ConfigReplica;
 use self::summary::Summaries;
 use self::upkeep::RosterSync;
 use crate::cfg::Intervals;
@@ -145,36 +145,36 @@
 /// One member.
 #[derive(Debug)]
 pub struct Member {
-    me: Card,
+    local_card: Card,
     id: HostId,
     domain: u32,
     holders: u8,
     timers: Intervals,
     now: Duration,
-    next_beat: Duration,
+    next_heartbeat: Duration,
     next_report: Duration,
-    next_view: Duration,
+    next_maintenance: Duration,
     next_dial: Duration,
     links: BTreeMap<HostId, Link>,
     conns: BTreeMap<Conn, HostId>,
     roster: Roster,
     dialer: Dialer,
-    spread: Spread,
-    holds: Holds,
+    config_replica: ConfigReplica,
+    record_store: RecordStore,
     counters: Counters,
     shares: Shares,
     summaries: Summaries,
     local: LocalState,
     stops: BTreeMap<String, Stop>,
     watching: Option<bool>,
-    leaving: Option<Duration>,
+    leaving_since: Option<Duration>,
     ended: bool,
     sync: RosterSync,
     roster_hash: u32,
     /// Hosts to have a link to, and since when.
-    wanted: BTreeMap<HostId, Duration>,
+    wanted_links: BTreeMap<HostId, Duration>,
     outbox: BTreeMap<HostId, Vec<Message>>,
-    out: Vec<Output>,
+    outputs: Vec<Output>,
 }
 
 /// A connection that passed the handshake.
@@ -182,13 +182,13 @@
 struct Link {
     conn: Conn,
     /// Whether the other side wants to keep it.
-    wanted_there: bool,
+    wanted_by_peer: bool,
     /// Whether this side does.
-    wanted_here: bool,
+    wanted_locally: bool,
     /// Since when neither does.
     unwanted_since: Option<Duration>,
     /// Whether the smaller id of the two dialed it, which decides between two connections.
-    by_smaller: bool,
+    dialed_by_smaller_id: bool,
 }
 
 impl Member {
@@ -202,62 +202,62 @@
             holders: cfg.holders,
             timers: cfg.intervals,
             now,
-            next_beat: now,
+            next_heartbeat: now,
             next_report: now + cfg.intervals.report,
-            next_view: now,
+            next_maintenance: now,
             next_dial: now,
             links: BTreeMap::new(),
             conns: BTreeMap::new(),
             roster: Roster::new(id),
             dialer: Dialer::new(&cfg.seeds, cfg.card.address, now),
-            spread: Spread::new(now),
-            holds: Holds::default(),
+            config_replica: ConfigReplica::new(now),
+            record_store: RecordStore::default(),
             counters: Counters::default(),
             shares: Shares::new(now),
             summaries: Summaries::default(),
             local: LocalState::default(),
             stops: BTreeMap::new(),
             watching: None,
-            leaving: None,
+            leaving_since: None,
             ended: false,
             sync: RosterSync::new(now),
             roster_hash: 0,
-            wanted: BTreeMap::new(),
+            wanted_links: BTreeMap::new(),
             outbox: BTreeMap::new(),
-            out: Vec::new(),
-            me: cfg.card,
+            outputs: Vec::new(),
+            local_card: cfg.card,
         }
     }
 
     /// Takes one input at a time that never goes back, and returns what it leads to.
     pub fn handle(&mut self, input: Input, now: Duration) -> Vec<Output> {
-        self.wake(now);
+        self.compensate_pause(now);
         match input {
             _ if self.ended => {}
-            Input::Connected { conn, card, dialed } => self.connected(conn, card, dialed),
-            Input::Disconnected(conn) => self.disconnected(conn),
-            Input::DialFailed { address, myself } => self.dialer.failed(address, myself, now),
-            Input::Received { conn, frame } => self.received(conn, frame),
-            Input::Adopted { revision, document } => self.adopted(revision, document),
-            Input::Local(state) => self.set_local(state),
-            Input::Hosts(list) => self.hosts(&list),
-            Input::Hold { id, record } => self.hold(id, record),
-            Input::Release(ids) => self.release(&ids),
-            Input::Forward { to, payload } => self.forward(&to, payload),
-            Input::Leave => self.leave(),
-            Input::Tick => self.tick(),
+            Input::Connected { conn, card, dialed } => self.on_connected(conn, card, dialed),
+            Input::Disconnected(conn) => self.on_disconnected(conn),
+            Input::DialFailed { address, myself } => self.dialer.dial_failed(address, myself, now),
+            Input::Received { conn, frame } => self.on_frame(conn, frame),
+            Input::Adopted { revision, document } => self.on_adopted(revision, document),
+            Input::Local(state) => self.set_local_state(state),
+            Input::Hosts(list) => self.on_host_list(&list),
+            Input::Hold { id, record } => self.on_hold(id, record),
+            Input::Release(ids) => self.on_release(&ids),
+            Input::Forward { to, payload } => self.on_forward(&to, payload),
+            Input::Leave => self.on_leave(),
+            Input::Tick => self.on_tick(),
         }
         self.flush()
     }
 
     /// This node's incarnation, which a joiner raises when its wall clock has gone back.
     pub fn incarnation(&self) -> u64 {
-        self.me.incarnation
+        self.local_card.incarnation
     }
 
     /// The revision that this member holds, 0 for none.
     pub fn revision(&self) -> u64 {
-        self.spread.revision()
+        self.config_replica.revision()
     }
 
     /// Hosts that this member has a link to.
@@ -267,19 +267,19 @@
 
     /// Bytes of records that are kept for other nodes.
     pub fn held_bytes(&self) -> usize {
-        self.holds.held_bytes()
+        self.record_store.held_bytes()
     }
 
     /// A process that was paused notices it here: everyone it hears of gets as much more time as
     /// the pause took. Without this it would suspect the whole fleet at its return and journal
     /// the records of owners that are alive.
-    fn wake(&mut self, now: Duration) {
-        let gap = now.saturating_sub(self.now);
-        if gap > self.timers.suspect / 2 {
-            log::warn!("mesh: paused for {gap:?}; peers get as much more time");
-            self.roster.shift(gap);
-            self.summaries.shift(gap);
-            self.shares.shift(gap);
+    fn compensate_pause(&mut self, now: Duration) {
+        let pause = now.saturating_sub(self.now);
+        if pause > self.timers.suspect / 2 {
+            log::warn!("mesh: paused for {pause:?}; peers get as much more time");
+            self.roster.shift(pause);
+            self.summaries.shift(pause);
+            self.shares.shift(pause);
         }
         self.now = self.now.max(now);
     }
@@ -288,15 +288,15 @@
         self.outbox.entry(to).or_default().push(message);
     }
 
-    fn send_all(&mut self, but: Option<HostId>, message: &Message) {
-        let to: Vec<HostId> = self.links.keys().copied().collect();
-        for host in to.into_iter().filter(|h| Some(*h) != but) {
+    fn broadcast(&mut self, except: Option<HostId>, message: &Message) {
+        let recipients: Vec<HostId> = self.links.keys().copied().collect();
+        for host in recipients.into_iter().filter(|h| Some(*h) != except) {
             self.send(host, message.clone());
         }
     }
 
     fn emit(&mut self, event: Event) {
-        self.out.push(Output::Event(event));
+        self.outputs.push(Output::Event(event));
     }
 
     /// Links within this node's failure domain.
@@ -322,7 +322,7 @@
             );
         }
         // A close comes after what is still to be said on that connection.
-        out.append(&mut self.out);
+        out.append(&mut self.outputs);
         out
     }
 }
--- a/crates/oatdale-mesh/src/member/config.rs
+++ b/crates/oatdale-mesh/src/member/config.rs
@@ -1,6 +1,6 @@
 //! How a member tells and asks others about the configuration.
 
-use super::spread::{Answer, Progress};
+use super::spread::{FetchReply, Progress};
 use super::{Member, settled};
 use crate::rank;
 use crate::types::{Event, HostId};
@@ -8,98 +8,98 @@
 use bytes::Bytes;
 
 /// Nodes of a failure domain that watch the configuration's key.
-const WATCHERS: usize = 2;
+const WATCHERS_PER_DOMAIN: usize = 2;
 
 impl Member {
     /// The node has a configuration in force.
-    pub(super) fn adopted(&mut self, revision: u64, document: Bytes) {
-        let first = !self.spread.joined();
+    pub(super) fn on_adopted(&mut self, revision: u64, document: Bytes) {
+        let first_adoption = !self.config_replica.joined();
         self.set_joined();
-        if self.spread.adopt(revision, document) {
-            self.announce(None);
+        if self.config_replica.adopt(revision, document) {
+            self.announce_revision(None);
         }
-        self.spread
-            .set_in_force(revision.min(self.spread.revision()));
-        if first {
-            let asked = self.spread.answers();
+        self.config_replica
+            .set_in_force(revision.min(self.config_replica.revision()));
+        if first_adoption {
+            let asked = self.config_replica.offer_count();
             self.emit(Event::Joined { asked });
         }
-        self.fetch();
+        self.start_fetch();
     }
 
-    pub(super) fn newest(&mut self, from: HostId, offer: Newest) {
-        self.spread.offered(from, offer);
+    pub(super) fn on_newest(&mut self, from: HostId, offer: Newest) {
+        self.config_replica.record_offer(from, offer);
         self.check_joined();
-        self.fetch();
+        self.start_fetch();
     }
 
-    pub(super) fn asked(&mut self, from: HostId, fetch: Fetch) {
-        match self.spread.answer(&fetch, self.now) {
-            Answer::Steps(steps) => self.send(from, Message::Steps(steps)),
-            Answer::Chunk(chunk) => self.send(from, Message::Chunk(chunk)),
-            Answer::Nothing => {}
+    pub(super) fn on_fetch(&mut self, from: HostId, fetch: Fetch) {
+        match self.config_replica.reply_to(&fetch, self.now) {
+            FetchReply::Steps(steps) => self.send(from, Message::Steps(steps)),
+            FetchReply::Chunk(chunk) => self.send(from, Message::Chunk(chunk)),
+            FetchReply::NoReply => {}
         }
     }
 
-    pub(super) fn steps(&mut self, from: HostId, steps: &[Step]) {
-        let progress = self.spread.steps(steps);
-        self.progress(from, &progress);
+    pub(super) fn on_steps(&mut self, from: HostId, steps: &[Step]) {
+        let progress = self.config_replica.apply_steps(steps);
+        self.apply_progress(from, &progress);
     }
 
-    pub(super) fn chunk(&mut self, from: HostId, chunk: &Chunk) {
-        let progress = self.spread.chunk(from, chunk, self.now);
-        self.progress(from, &progress);
+    pub(super) fn on_chunk(&mut self, from: HostId, chunk: &Chunk) {
+        let progress = self.config_replica.apply_chunk(from, chunk, self.now);
+        self.apply_progress(from, &progress);
     }
 
-    fn progress(&mut self, from: HostId, progress: &Progress) {
+    fn apply_progress(&mut self, from: HostId, progress: &Progress) {
         match progress {
             Progress::Adopted => {
-                self.announce(Some(from));
-                self.tell_document();
-                self.fetch();
+                self.announce_revision(Some(from));
+                self.emit_document();
+                self.start_fetch();
             }
-            Progress::Ask(fetch) => self.send(from, Message::Fetch(*fetch)),
-            Progress::Nothing => {}
+            Progress::FetchMore(fetch) => self.send(from, Message::Fetch(*fetch)),
+            Progress::Unchanged => {}
         }
     }
 
-    fn tell_document(&mut self) {
-        if let Some((revision, document)) = self.spread.document() {
+    fn emit_document(&mut self) {
+        if let Some((revision, document)) = self.config_replica.document() {
             self.emit(Event::Document { revision, document });
         }
     }
 
-    fn announce(&mut self, but: Option<HostId>) {
-        let newest = self.spread.newest();
-        self.send_all(but, &Message::Newest(newest));
+    fn announce_revision(&mut self, except: Option<HostId>) {
+        let newest = self.config_replica.newest();
+        self.broadcast(except, &Message::Newest(newest));
     }
 
     /// Asks a peer if there is something newer to have.
-    pub(super) fn fetch(&mut self) {
-        if let Some((host, fetch)) = self.spread.next_fetch(self.now) {
+    pub(super) fn start_fetch(&mut self) {
+        if let Some((host, fetch)) = self.config_replica.next_fetch(self.now) {
             self.send(host, Message::Fetch(fetch));
         }
     }
 
     /// A joiner takes nothing before it has asked enough peers.
     pub(super) fn check_joined(&mut self) {
-        if self.spread.joined() {
+        if self.config_replica.joined() {
             return;
         }
-        let asked = self.spread.answers();
-        let known = self.roster.len().max(self.dialer.hints());
-        let waited = self.spread.waited(self.now) >= self.timers.join;
-        if settled(asked, known, waited) {
+        let asked = self.config_replica.offer_count();
+        let known = self.roster.len().max(self.dialer.candidate_count());
+        let waited_long_enough = self.config_replica.time_since_start(self.now) >= self.timers.join;
+        if settled(asked, known, waited_long_enough) {
             self.set_joined();
             self.emit(Event::Joined { asked });
-            self.fetch();
+            self.start_fetch();
         }
     }
 
     fn set_joined(&mut self) {
-        if !self.spread.joined() {
-            self.spread.set_joined();
-            self.shares.start(self.now);
+        if !self.config_replica.joined() {
+            self.config_replica.set_joined();
+            self.shares.set_start(self.now);
         }
     }
 
@@ -110,19 +110,19 @@
     /// found.
     pub(super) fn choose_watchers(&mut self) {
         let salt = rank::watch_salt(self.domain);
-        let mine = self.local.service_up == Some(false);
+        let own_service_down = self.local.service_up == Some(false);
         let domain = self.domain;
         let peers: Vec<(HostId, bool)> = self
             .roster
             .iter()
             .filter(|(_, p)| p.domain == domain && p.usable())
-            .map(|(host, p)| (host, p.service_down()))
-            .chain((self.leaving.is_none()).then_some((self.id, mine)))
+            .map(|(host, p)| (host, p.reports_service_down()))
+            .chain((self.leaving_since.is_none()).then_some((self.id, own_service_down)))
             .collect();
-        let by_order = rank::first(peers.iter().map(|(h, _)| *h), salt, WATCHERS);
-        let up = peers.iter().filter(|(_, down)| !down).map(|(h, _)| *h);
-        let by_answer = rank::first(up, salt, WATCHERS);
-        let watch = by_order.contains(&self.id) || by_answer.contains(&self.id);
+        let first_ranked = rank::first(peers.iter().map(|(h, _)| *h), salt, WATCHERS_PER_DOMAIN);
+        let answering = peers.iter().filter(|(_, down)| !down).map(|(h, _)| *h);
+        let first_answering = rank::first(answering, salt, WATCHERS_PER_DOMAIN);
+        let watch = first_ranked.contains(&self.id) || first_answering.contains(&self.id);
         if self.watching != Some(watch) {
             self.watching = Some(watch);
             self.emit(Event::WatchKey(watch));
--- a/crates/oatdale-mesh/src/member/counters.rs
+++ b/crates/oatdale-mesh/src/member/counters.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// Counters of one version at most.
-const MAX_COUNTS: usize = 16;
+const MAX_COUNTERS_PER_VERSION: usize = 16;
 /// Versions of one process at most.
 const MAX_VERSIONS: usize = 256;
 /// Processes of this failure domain that are remembered at most.
@@ -20,13 +20,18 @@
     processes: BTreeMap<(HostId, u64), (Duration, Counts)>,
     domains: BTreeMap<u32, Counts>,
     /// What peers in this failure domain were told of this process.
-    sent: Counts,
-    told: Counts,
+    sent_to_domain: Counts,
+    reported_totals: Counts,
 }
 
 impl Counters {
     /// Takes this process's own counters.
-    pub(crate) fn set_own(&mut self, id: (HostId, u64), list: &[VersionCounters], now: Duration) {
+    pub(crate) fn set_local_counters(
+        &mut self,
+        id: (HostId, u64),
+        list: &[VersionCounters],
+        now: Duration,
+    ) {
         let counts = list.iter().map(|v| (v.version, v.counts.clone())).collect();
         let own = HostCounters {
             host: id.0,
@@ -41,7 +46,7 @@
             let key = (process.host, process.incarnation);
             let entry = self.processes.entry(key).or_default();
             entry.0 = now;
-            raise(&mut entry.1, &process.counts);
+            merge_max(&mut entry.1, &process.counts);
         }
         while self.processes.len() > MAX_PROCESSES {
             let oldest = self
@@ -56,18 +61,18 @@
 
     /// Takes the sums of another failure domain; different reporters' sums merge by maximum.
     pub(crate) fn merge_domain(&mut self, domain: u32, counts: &[(u32, Vec<u64>)]) {
-        raise(self.domains.entry(domain).or_default(), counts);
+        merge_max(self.domains.entry(domain).or_default(), counts);
     }
 
-    pub(crate) fn of_domain(&self, domain: u32) -> Vec<(u32, Vec<u64>)> {
-        self.domains.get(&domain).map(list).unwrap_or_default()
+    pub(crate) fn domain_counts(&self, domain: u32) -> Vec<(u32, Vec<u64>)> {
+        self.domains.get(&domain).map(to_pairs).unwrap_or_default()
     }
 
     /// What this process counted since the last call.
-    pub(crate) fn own_news(&mut self, id: (HostId, u64)) -> Option<HostCounters> {
+    pub(crate) fn take_local_changes(&mut self, id: (HostId, u64)) -> Option<HostCounters> {
         let (_, own) = self.processes.get(&id)?;
-        let counts = changed(own, &self.sent);
-        raise(&mut self.sent, &counts);
+        let counts = changed_counts(own, &self.sent_to_domain);
+        merge_max(&mut self.sent_to_domain, &counts);
         (!counts.is_empty()).then_some(HostCounters {
             host: id.0,
             incarnation: id.1,
@@ -76,66 +81,69 @@
     }
 
     /// Everything about this failure domain, for a peer in it.
-    pub(crate) fn all(&self) -> Vec<HostCounters> {
+    pub(crate) fn process_counters(&self) -> Vec<HostCounters> {
         self.processes
             .iter()
             .map(|((host, incarnation), (_, counts))| HostCounters {
                 host: *host,
                 incarnation: *incarnation,
-                counts: list(counts),
+                counts: to_pairs(counts),
             })
             .collect()
     }
 
     /// Sums over this failure domain that changed against `sent`.
-    pub(crate) fn domain_news(&self, sent: &mut Counts) -> Vec<(u32, Vec<u64>)> {
-        let sums = sum(self.processes.values().map(|(_, counts)| counts));
-        let counts = changed(&sums, sent);
-        raise(sent, &counts);
+    pub(crate) fn take_domain_changes(&self, sent: &mut Counts) -> Vec<(u32, Vec<u64>)> {
+        let sums = sum_by_version(self.processes.values().map(|(_, counts)| counts));
+        let counts = changed_counts(&sums, sent);
+        merge_max(sent, &counts);
         counts
     }
 
     /// Sums over everyone but this process, if they changed since the last call.
-    pub(crate) fn totals(&mut self, me: (HostId, u64)) -> Option<Vec<VersionCounters>> {
+    pub(crate) fn take_totals(
+        &mut self,
+        local_process: (HostId, u64),
+    ) -> Option<Vec<VersionCounters>> {
         let others = self
             .processes
             .iter()
-            .filter(|(id, _)| **id != me)
+            .filter(|(id, _)| **id != local_process)
             .map(|(_, (_, c))| c);
-        let sums = sum(others.chain(self.domains.values()));
-        if changed(&sums, &self.told).is_empty() {
+        let sums = sum_by_version(others.chain(self.domains.values()));
+        if changed_counts(&sums, &self.reported_totals).is_empty() {
             return None;
         }
-        raise(&mut self.told, &list(&sums));
+        merge_max(&mut self.reported_totals, &to_pairs(&sums));
         let version = |(version, counts): (&u32, &Vec<u64>)| VersionCounters {
             version: *version,
             counts: counts.clone(),
         };
-        Some(self.told.iter().map(version).collect())
+        Some(self.reported_totals.iter().map(version).collect())
     }
 }
 
-fn list(counts: &Counts) -> Vec<(u32, Vec<u64>)> {
+fn to_pairs(counts: &Counts) -> Vec<(u32, Vec<u64>)> {
     counts
         .iter()
         .map(|(version, counts)| (*version, counts.clone()))
         .collect()
 }
 
-fn raise(into: &mut Counts, from: &[(u32, Vec<u64>)]) {
+fn merge_max(into: &mut Counts, from: &[(u32, Vec<u64>)]) {
     for (version, counts) in from {
         if into.len() >= MAX_VERSIONS && !into.contains_key(version) {
             continue;
         }
         let entry = into.entry(*version).or_default();
-        zip(entry, counts, u64::max);
+        combine(entry, counts, u64::max);
     }
 }
 
-fn sum<'a>(all: impl Iterator<Item = &'a Counts>) -> Counts {
+fn sum_by_version<'a>(all: impl Iterator<Item = &'a Counts>) -> Counts {
     let mut sums = Counts::new();
     for (version, counts) in all.flatten() {
-        zip(
+        combine(
             sums.entry(*version).or_default(),
             counts,
             u64::saturating_add,
@@ -144,8 +152,8 @@
     sums
 }
 
-fn zip(into: &mut Vec<u64>, from: &[u64], join: impl Fn(u64, u64) -> u64) {
-    let len = from.len().min(MAX_COUNTS);
+fn combine(into: &mut Vec<u64>, from: &[u64], join: impl Fn(u64, u64) -> u64) {
+    let len = from.len().min(MAX_COUNTERS_PER_VERSION);
     if into.len() < len {
         into.resize(len, 0);
     }
@@ -154,9 +162,10 @@
     }
 }
 
-fn changed(now: &Counts, before: &Counts) -> Vec<(u32, Vec<u64>)> {
-    now.iter()
-        .filter(|(version, counts)| before.get(version) != Some(counts))
+fn changed_counts(current: &Counts, previous: &Counts) -> Vec<(u32, Vec<u64>)> {
+    current
+        .iter()
+        .filter(|(version, counts)| previous.get(version) != Some(counts))
         .map(|(version, counts)| (*version, counts.clone()))
         .collect()
 }
--- a/crates/oatdale-mesh/src/member/dialer.rs
+++ b/crates/oatdale-mesh/src/member/dialer.rs
@@ -6,166 +6,176 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const FIRST_RETRY: Duration = Duration::from_millis(200);
-const LAST_RETRY: Duration = Duration::from_secs(5);
+const MIN_BACKOFF: Duration = Duration::from_millis(200);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 /// A dial that brought neither a connection nor a failure counts as failed after this.
 const DIAL_TIMEOUT: Duration = Duration::from_secs(4);
 /// Addresses of unknown hosts that are tried at once.
-const UNKNOWN_AT_ONCE: usize = 4;
+const MAX_UNKNOWN_DIALS: usize = 4;
 /// Links from which on unknown hosts are tried at leisure.
-const ENOUGH_LINKS: usize = 3;
+const SLOW_DISCOVERY_LINKS: usize = 3;
 /// How often one of them is tried then.
-const LEISURE: Duration = Duration::from_secs(2);
+const SLOW_DISCOVERY_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Addresses to try.
 #[derive(Debug)]
 pub(crate) struct Dialer {
-    mine: SocketAddr,
+    own_address: SocketAddr,
     /// Addresses of the settings, which no list replaces: the platform's lags, and one without a
     /// fleet that has just come up would leave each of its nodes alone.
     seeds: BTreeSet<SocketAddr>,
-    hints: BTreeSet<SocketAddr>,
-    tries: BTreeMap<SocketAddr, Try>,
-    next_unknown: Duration,
-    started: Duration,
+    candidates: BTreeSet<SocketAddr>,
+    attempts: BTreeMap<SocketAddr, DialState>,
+    next_unknown_dial: Duration,
+    started_at: Duration,
 }
 
 #[derive(Debug)]
-struct Try {
-    count: u32,
+struct DialState {
+    failures: u32,
     /// While dialing: when to give up; else: when to dial again.
-    next: Duration,
+    due_at: Duration,
     dialing: bool,
 }
 
 impl Dialer {
-    pub(crate) fn new(seeds: &[SocketAddr], mine: SocketAddr, now: Duration) -> Self {
-        let seeds: BTreeSet<SocketAddr> = seeds.iter().copied().filter(|a| *a != mine).collect();
+    pub(crate) fn new(seeds: &[SocketAddr], own_address: SocketAddr, now: Duration) -> Self {
+        let seeds: BTreeSet<SocketAddr> = seeds
+            .iter()
+            .copied()
+            .filter(|a| *a != own_address)
+            .collect();
         Dialer {
-            mine,
-            hints: seeds.clone(),
+            own_address,
+            candidates: seeds.clone(),
             seeds,
-            tries: BTreeMap::new(),
-            next_unknown: now,
-            started: now,
+            attempts: BTreeMap::new(),
+            next_unknown_dial: now,
+            started_at: now,
         }
     }
 
     /// Replaces what the last list added to the seeds.
-    pub(crate) fn hint(&mut self, hosts: impl Iterator<Item = SocketAddr>) {
-        self.hints = hosts.filter(|a| *a != self.mine).collect();
-        self.hints.extend(&self.seeds);
-        let hints = &self.hints;
-        self.tries.retain(|a, t| t.dialing || hints.contains(a));
+    pub(crate) fn set_candidates(&mut self, hosts: impl Iterator<Item = SocketAddr>) {
+        self.candidates = hosts.filter(|a| *a != self.own_address).collect();
+        self.candidates.extend(&self.seeds);
+        let candidates = &self.candidates;
+        self.attempts
+            .retain(|a, t| t.dialing || candidates.contains(a));
     }
 
     /// Seeds of which no card speaks; `None` once they are too old to count on.
-    pub(crate) fn unknown_seeds(
+    pub(crate) fn unknown_candidate_count(
         &self,
-        known: impl Fn(SocketAddr) -> bool,
-        trust: Duration,
+        is_known: impl Fn(SocketAddr) -> bool,
+        max_age: Duration,
         now: Duration,
     ) -> usize {
-        match now.saturating_sub(self.started) < trust {
-            true => self.hints.iter().filter(|a| !known(**a)).count(),
+        match now.saturating_sub(self.started_at) < max_age {
+            true => self.candidates.iter().filter(|a| !is_known(**a)).count(),
             false => 0,
         }
     }
 
     /// How many hosts there are to ask, as far as is known before any answered.
-    pub(crate) fn hints(&self) -> usize {
-        self.hints.len()
+    pub(crate) fn candidate_count(&self) -> usize {
+        self.candidates.len()
     }
 
-    pub(crate) fn connected(&mut self, address: SocketAddr) {
-        self.tries.remove(&address);
+    pub(crate) fn dial_succeeded(&mut self, address: SocketAddr) {
+        self.attempts.remove(&address);
     }
 
-    pub(crate) fn failed(&mut self, address: SocketAddr, myself: bool, now: Duration) {
-        if myself {
-            self.hints.remove(&address);
+    pub(crate) fn dial_failed(&mut self, address: SocketAddr, is_self: bool, now: Duration) {
+        if is_self {
+            self.candidates.remove(&address);
             self.seeds.remove(&address);
-            self.tries.remove(&address);
+            self.attempts.remove(&address);
             return;
         }
-        let entry = self.tries.entry(address).or_insert(Try {
-            count: 0,
-            next: now,
+        let entry = self.attempts.entry(address).or_insert(DialState {
+            failures: 0,
+            due_at: now,
             dialing: false,
         });
-        let wait = (FIRST_RETRY * 2u32.pow(entry.count.min(8))).min(LAST_RETRY);
-        let jitter = rank::mix(hash(address) ^ u64::from(entry.count)) % 256;
-        entry.next = now + wait / 2 + wait.mul_f64(jitter as f64 / 512.0);
-        entry.count += 1;
+        let backoff = (MIN_BACKOFF * 2u32.pow(entry.failures.min(8))).min(MAX_BACKOFF);
+        let jitter = rank::mix(hash(address) ^ u64::from(entry.failures)) % 256;
+        entry.due_at = now + backoff / 2 + backoff.mul_f64(jitter as f64 / 512.0);
+        entry.failures += 1;
         entry.dialing = false;
     }
 
     /// Which of the addresses of known hosts to dial now.
-    pub(crate) fn known(
+    pub(crate) fn known_hosts_to_dial(
         &mut self,
         wanted: impl Iterator<Item = SocketAddr>,
         now: Duration,
     ) -> Vec<SocketAddr> {
-        self.give_up(now);
+        self.expire_dials(now);
         wanted
-            .filter(|a| *a != self.mine && self.begin(*a, now))
+            .filter(|a| *a != self.own_address && self.begin_dial(*a, now))
             .collect()
     }
 
     /// Which hints that belong to no known host to dial now: all at once while there are few
     /// links, else one now and then, which is how two halves find each other after a long cut.
-    pub(crate) fn unknown(
+    pub(crate) fn unknown_hosts_to_dial(
         &mut self,
-        known: impl Fn(SocketAddr) -> bool,
-        links: usize,
+        is_known: impl Fn(SocketAddr) -> bool,
+        link_count: usize,
         now: Duration,
     ) -> Vec<SocketAddr> {
-        let mut open: Vec<SocketAddr> = self.hints.iter().copied().filter(|a| !known(*a)).collect();
-        open.sort_by_key(|a| rank::mix(hash(*a) ^ hash(self.mine)));
-        let busy = open
+        let mut unknown_addresses: Vec<SocketAddr> = self
+            .candidates
+            .iter()
+            .copied()
+            .filter(|a| !is_known(*a))
+            .collect();
+        unknown_addresses.sort_by_key(|a| rank::mix(hash(*a) ^ hash(self.own_address)));
+        let in_progress = unknown_addresses
             .iter()
-            .filter(|a| self.tries.get(a).is_some_and(|t| t.dialing))
+            .filter(|a| self.attempts.get(a).is_some_and(|t| t.dialing))
             .count();
-        let room = match links < ENOUGH_LINKS {
-            true => UNKNOWN_AT_ONCE.saturating_sub(busy),
-            false if now >= self.next_unknown => 1,
+        let budget = match link_count < SLOW_DISCOVERY_LINKS {
+            true => MAX_UNKNOWN_DIALS.saturating_sub(in_progress),
+            false if now >= self.next_unknown_dial => 1,
             false => 0,
         };
-        if links >= ENOUGH_LINKS && room > 0 {
-            self.next_unknown = now + LEISURE;
+        if link_count >= SLOW_DISCOVERY_LINKS && budget > 0 {
+            self.next_unknown_dial = now + SLOW_DISCOVERY_INTERVAL;
         }
         let mut chosen = Vec::new();
-        for address in open {
-            if chosen.len() < room && self.begin(address, now) {
+        for address in unknown_addresses {
+            if chosen.len() < budget && self.begin_dial(address, now) {
                 chosen.push(address);
             }
         }
         chosen
     }
 
-    fn begin(&mut self, address: SocketAddr, now: Duration) -> bool {
-        let entry = self.tries.entry(address).or_insert(Try {
-            count: 0,
-            next: now,
+    fn begin_dial(&mut self, address: SocketAddr, now: Duration) -> bool {
+        let entry = self.attempts.entry(address).or_insert(DialState {
+            failures: 0,
+            due_at: now,
             dialing: false,
         });
-        if entry.dialing || entry.next > now {
+        if entry.dialing || entry.due_at > now {
             return false;
         }
         entry.dialing = true;
-        entry.next = now + DIAL_TIMEOUT;
+        entry.due_at = now + DIAL_TIMEOUT;
         true
     }
 
-    fn give_up(&mut self, now: Duration) {
-        let late: Vec<SocketAddr> = self
-            .tries
+    fn expire_dials(&mut self, now: Duration) {
+        let timed_out: Vec<SocketAddr> = self
+            .attempts
             .iter()
-            .filter(|(_, t)| t.dialing && t.next <= now)
+            .filter(|(_, t)| t.dialing && t.due_at <= now)
             .map(|(a, _)| *a)
             .collect();
-        for address in late {
-            self.failed(address, false, now);
+        for address in timed_out {
+            self.dial_failed(address, false, now);
         }
     }
 }
--- a/crates/oatdale-mesh/src/member/holds.rs
+++ b/crates/oatdale-mesh/src/member/holds.rs
@@ -11,47 +11,47 @@
 /// Bytes kept for other nodes at most; beyond it a record is not confirmed.
 const MAX_HELD_BYTES: usize = 16 * 1024 * 1024;
 /// Own records that wait for the journal at most; beyond it a hold ends at once without copies.
-const MAX_OWN: usize = 65_536;
+const MAX_OWNED_RECORDS: usize = 65_536;
 /// Memory of a kept record besides its bytes.
-const RECORD_OVERHEAD: usize = 128;
+const RECORD_OVERHEAD_BYTES: usize = 128;
 /// What is kept here and what others keep for this node.
 #[derive(Debug, Default)]
-pub(crate) struct Holds {
-    pub(super) own: BTreeMap<u128, Own>,
-    seq: u64,
+pub(crate) struct RecordStore {
+    pub(super) owned: BTreeMap<u128, OwnedRecord>,
+    last_seq: u64,
     /// Nodes that keep this node's records.
     holders: Vec<HostId>,
-    waiting: VecDeque<(Duration, u128)>,
-    pub(super) kept: BTreeMap<u128, Kept>,
-    bytes: usize,
+    hold_deadlines: VecDeque<(Duration, u128)>,
+    pub(super) replicas: BTreeMap<u128, Replica>,
+    replica_bytes: usize,
     /// Records that a leaving node still wants to be confirmed by others.
-    pub(super) handing: BTreeSet<u128>,
+    pub(super) pending_handover: BTreeSet<u128>,
 }
 
 /// A record of this node's.
 #[derive(Debug)]
-pub(super) struct Own {
+pub(super) struct OwnedRecord {
     record: Bytes,
     seq: u64,
     /// Who has confirmed this record.
     pub(super) acks: BTreeSet<HostId>,
     /// Who may have this or an earlier record of the id.
-    sent: BTreeSet<HostId>,
-    answered: bool,
+    sent_to: BTreeSet<HostId>,
+    reply_sent: bool,
 }
 
 /// A record kept for another node.
 #[derive(Debug)]
-pub(super) struct Kept {
+pub(super) struct Replica {
     pub(super) record: Record,
-    pub(super) since: Duration,
+    pub(super) stored_at: Duration,
     pub(super) orphaned_at: Option<Duration>,
-    pub(super) told_at: Option<Duration>,
+    pub(super) reported_at: Option<Duration>,
 }
 
-impl Holds {
+impl RecordStore {
     pub(crate) fn held_bytes(&self) -> usize {
-        self.bytes
+        self.replica_bytes
     }
 
     pub(crate) fn holders(&self) -> &[HostId] {
@@ -61,115 +61,117 @@
     /// Whose records are kept here. A release may have been lost with a link that the owner no
     /// longer needs, so the holder sees to it that there is one.
     pub(crate) fn owners(&self) -> impl Iterator<Item = HostId> {
-        self.kept.values().map(|k| k.record.owner)
+        self.replicas.values().map(|k| k.record.owner)
     }
 
     /// A host has lost what it kept.
-    pub(crate) fn restarted(&mut self, host: HostId) {
-        for own in self.own.values_mut() {
-            own.acks.remove(&host);
-            own.sent.remove(&host);
+    pub(crate) fn clear_acks(&mut self, host: HostId) {
+        for owned in self.owned.values_mut() {
+            owned.acks.remove(&host);
+            owned.sent_to.remove(&host);
         }
     }
 
     /// Keeps a record unless a later one of its id is kept; `false` if there is no room.
-    fn put(&mut self, record: Record, now: Duration) -> bool {
-        let rank = |r: &Record| (r.incarnation, r.seq);
+    fn insert_replica(&mut self, record: Record, now: Duration) -> bool {
+        let version = |r: &Record| (r.incarnation, r.seq);
         let old = self
-            .kept
+            .replicas
             .get(&record.id)
-            .map(|k| (rank(&k.record), size(&k.record)));
-        if old.is_some_and(|(old, _)| old >= rank(&record)) {
+            .map(|k| (version(&k.record), memory_size(&k.record)));
+        if old.is_some_and(|(old, _)| old >= version(&record)) {
             return true;
         }
-        let bytes = self.bytes - old.map_or(0, |(_, size)| size) + size(&record);
-        if bytes > MAX_HELD_BYTES || record.record.len() > MAX_RECORD {
+        let total_bytes =
+            self.replica_bytes - old.map_or(0, |(_, size)| size) + memory_size(&record);
+        if total_bytes > MAX_HELD_BYTES || record.record.len() > MAX_RECORD {
             return false;
         }
-        self.bytes = bytes;
-        let kept = Kept {
-            since: now,
+        self.replica_bytes = total_bytes;
+        let replica = Replica {
+            stored_at: now,
             orphaned_at: None,
-            told_at: None,
+            reported_at: None,
             record,
         };
-        self.kept.insert(kept.record.id, kept);
+        self.replicas.insert(replica.record.id, replica);
         true
     }
 
-    fn drop_kept(&mut self, id: u128) -> Option<Record> {
-        let kept = self.kept.remove(&id)?;
-        self.bytes -= size(&kept.record);
-        self.handing.remove(&id);
-        Some(kept.record)
+    fn remove_replica(&mut self, id: u128) -> Option<Record> {
+        let replica = self.replicas.remove(&id)?;
+        self.replica_bytes -= memory_size(&replica.record);
+        self.pending_handover.remove(&id);
+        Some(replica.record)
     }
 }
 
-fn size(record: &Record) -> usize {
-    record.record.len() + RECORD_OVERHEAD
+fn memory_size(record: &Record) -> usize {
+    record.record.len() + RECORD_OVERHEAD_BYTES
 }
 
 impl Member {
-    pub(super) fn hold(&mut self, id: u128, record: Bytes) {
-        let full = self.holds.own.len() >= MAX_OWN && !self.holds.own.contains_key(&id);
+    pub(super) fn on_hold(&mut self, id: u128, record: Bytes) {
+        let full = self.record_store.owned.len() >= MAX_OWNED_RECORDS
+            && !self.record_store.owned.contains_key(&id);
         if full || record.len() > MAX_RECORD {
             log::warn!(
                 "mesh: record {id:032x} of {} bytes can't be held",
                 record.len()
             );
-            return self.hold_done(id, 0);
+            return self.emit_hold_done(id, 0);
         }
-        self.holds.seq += 1;
-        let seq = self.holds.seq;
-        let sent = self
-            .holds
-            .own
+        self.record_store.last_seq += 1;
+        let seq = self.record_store.last_seq;
+        let sent_to = self
+            .record_store
+            .owned
             .remove(&id)
-            .map(|o| o.sent)
+            .map(|o| o.sent_to)
             .unwrap_or_default();
-        let own = Own {
+        let owned = OwnedRecord {
             record,
             seq,
             acks: BTreeSet::new(),
-            sent,
-            answered: false,
+            sent_to,
+            reply_sent: false,
         };
-        self.holds.own.insert(id, own);
-        for host in self.holds.holders.clone() {
-            self.send_own(host, &[id]);
+        self.record_store.owned.insert(id, owned);
+        for host in self.record_store.holders.clone() {
+            self.send_owned(host, &[id]);
         }
-        match self.holds.holders.is_empty() {
-            true => self.answer_hold(id),
+        match self.record_store.holders.is_empty() {
+            true => self.reply_to_hold(id),
             false => self
-                .holds
-                .waiting
+                .record_store
+                .hold_deadlines
                 .push_back((self.now + self.timers.hold, id)),
         }
     }
 
-    fn send_own(&mut self, host: HostId, ids: &[u128]) {
+    fn send_owned(&mut self, host: HostId, ids: &[u128]) {
         if !self.links.contains_key(&host) {
             return;
         }
         let other = self
-            .holds
+            .record_store
             .holders
             .iter()
             .find(|h| **h != host)
             .map_or(0, |h| h.0);
         let mut records = Vec::new();
         for id in ids {
-            let Some(own) = self.holds.own.get_mut(id) else {
+            let Some(owned) = self.record_store.owned.get_mut(id) else {
                 continue;
             };
-            own.sent.insert(host);
+            owned.sent_to.insert(host);
             records.push(Record {
                 id: *id,
                 owner: self.id,
-                incarnation: self.me.incarnation,
-                seq: own.seq,
+                incarnation: self.local_card.incarnation,
+                seq: owned.seq,
                 other,
-                record: own.record.clone(),
+                record: owned.record.clone(),
             });
         }
         for record in records {
@@ -177,144 +179,156 @@
         }
     }
 
-    fn hold_done(&mut self, id: u128, copies: usize) {
+    fn emit_hold_done(&mut self, id: u128, copies: usize) {
         let ack = HoldAck {
             copies: copies as u8,
             wanted: self.holders,
         };
-        self.out.push(Output::HoldDone { id, ack });
+        self.outputs.push(Output::HoldDone { id, ack });
     }
 
-    fn answer_hold(&mut self, id: u128) {
-        let Some(own) = self.holds.own.get_mut(&id).filter(|o| !o.answered) else {
+    fn reply_to_hold(&mut self, id: u128) {
+        let Some(owned) = self
+            .record_store
+            .owned
+            .get_mut(&id)
+            .filter(|o| !o.reply_sent)
+        else {
             return;
         };
-        own.answered = true;
-        let copies = own.acks.len();
-        self.hold_done(id, copies);
+        owned.reply_sent = true;
+        let copies = owned.acks.len();
+        self.emit_hold_done(id, copies);
     }
 
     /// Others confirm records: this node's own, or those that it hands over while leaving.
-    pub(super) fn held(&mut self, from: HostId, ids: &[HeldId]) {
-        let wanted = self.holds.holders.len().min(usize::from(self.holders));
-        let mut release = Vec::new();
-        let mut again = Vec::new();
-        for held in ids {
-            if held.owner != self.id {
-                self.holds.handing.remove(&held.id);
+    pub(super) fn on_held(&mut self, from: HostId, ids: &[HeldId]) {
+        let required = self
+            .record_store
+            .holders
+            .len()
+            .min(usize::from(self.holders));
+        let mut to_release = Vec::new();
+        let mut outdated = Vec::new();
+        for held_id in ids {
+            if held_id.owner != self.id {
+                self.record_store.pending_handover.remove(&held_id.id);
                 continue;
             }
             // A record of a former incarnation is not this process's to judge: releasing it would
             // lose a bill that only its holders have.
-            if held.incarnation != self.me.incarnation {
+            if held_id.incarnation != self.local_card.incarnation {
                 continue;
             }
-            match self.holds.own.get_mut(&held.id) {
-                None => release.push(held.id),
-                Some(own) if own.seq > held.seq => again.push(held.id),
-                Some(own) => {
-                    own.acks.insert(from);
-                    own.sent.insert(from);
-                    if own.acks.len() >= wanted {
-                        self.answer_hold(held.id);
+            match self.record_store.owned.get_mut(&held_id.id) {
+                None => to_release.push(held_id.id),
+                Some(owned) if owned.seq > held_id.seq => outdated.push(held_id.id),
+                Some(owned) => {
+                    owned.acks.insert(from);
+                    owned.sent_to.insert(from);
+                    if owned.acks.len() >= required {
+                        self.reply_to_hold(held_id.id);
                     }
                 }
             }
         }
-        if !release.is_empty() {
-            self.send(from, Message::Release(release));
+        if !to_release.is_empty() {
+            self.send(from, Message::Release(to_release));
         }
-        self.send_own(from, &again);
+        self.send_owned(from, &outdated);
     }
 
     /// Keeps what others ask to keep.
-    pub(super) fn keep(&mut self, from: HostId, records: Vec<Record>) {
-        let mut held = Vec::new();
+    pub(super) fn store_replicas(&mut self, from: HostId, records: Vec<Record>) {
+        let mut stored = Vec::new();
         for record in records {
             let id = HeldId::of(&record);
             match record.owner == self.id {
                 true => {}
-                false if self.holds.put(record, self.now) => held.push(id),
+                false if self.record_store.insert_replica(record, self.now) => stored.push(id),
                 false => log::warn!("mesh: no room to hold {:032x}", id.id),
             }
         }
-        if !held.is_empty() {
-            self.send(from, Message::Held(held));
+        if !stored.is_empty() {
+            self.send(from, Message::Held(stored));
         }
     }
 
     /// The journal has these, says this node.
-    pub(super) fn release(&mut self, ids: &[u128]) {
-        let mut to: BTreeMap<HostId, Vec<u128>> = BTreeMap::new();
+    pub(super) fn on_release(&mut self, ids: &[u128]) {
+        let mut release_to: BTreeMap<HostId, Vec<u128>> = BTreeMap::new();
         for id in ids {
             // A request may wait for copies that a slow holder has not confirmed; once the record
             // is gone nothing else would ever answer it.
-            self.answer_hold(*id);
-            let own = self
-                .holds
-                .own
+            self.reply_to_hold(*id);
+            let recipients = self
+                .record_store
+                .owned
                 .remove(id)
-                .map(|o| o.sent)
+                .map(|o| o.sent_to)
                 .unwrap_or_default();
-            let other = self.holds.drop_kept(*id).map(|r| HostId(r.other));
-            for host in own.into_iter().chain(other) {
-                to.entry(host).or_default().push(*id);
+            let other = self
+                .record_store
+                .remove_replica(*id)
+                .map(|r| HostId(r.other));
+            for host in recipients.into_iter().chain(other) {
+                release_to.entry(host).or_default().push(*id);
             }
         }
-        for (host, ids) in to {
+        for (host, ids) in release_to {
             self.send(host, Message::Release(ids));
         }
     }
 
     /// The journal has these, says another node.
-    pub(super) fn released(&mut self, ids: &[u128]) {
+    pub(super) fn on_peer_release(&mut self, ids: &[u128]) {
         for id in ids {
-            self.holds.drop_kept(*id);
+            self.record_store.remove_replica(*id);
         }
     }
 
     /// What a new link begins with: this node's records for a holder, and the list of what is kept
     /// for the other side, which releases what the journal has got in the meantime.
-    pub(super) fn holds_greet(&mut self, host: HostId) {
-        self.fill(host);
+    pub(super) fn sync_records(&mut self, host: HostId) {
+        self.send_unacked(host);
         let Some(peer) = self.roster.get(host) else {
             return;
         };
         let incarnation = peer.card.incarnation;
-        let mine: Vec<HeldId> = self
-            .holds
-            .kept
+        let peer_replicas: Vec<HeldId> = self
+            .record_store
+            .replicas
             .values()
             .map(|k| HeldId::of(&k.record))
             .filter(|h| h.owner == host && h.incarnation == incarnation)
             .collect();
-        for part in mine.chunks(1024) {
-            self.send(host, Message::Held(part.to_vec()));
+        for batch in peer_replicas.chunks(1024) {
+            self.send(host, Message::Held(batch.to_vec()));
         }
     }
 
     /// Sends a holder every record that it has not confirmed.
-    fn fill(&mut self, host: HostId) {
-        if !self.holds.holders.contains(&host) {
+    fn send_unacked(&mut self, host: HostId) {
+        if !self.record_store.holders.contains(&host) {
             return;
         }
-        let missing: Vec<u128> = self
-            .holds
-            .own
+        let unacked: Vec<u128> = self
+            .record_store
+            .owned
             .iter()
-            .filter(|(_, own)| !own.acks.contains(&host))
+            .filter(|(_, owned)| !owned.acks.contains(&host))
             .map(|(id, _)| *id)
             .collect();
-        self.send_own(host, &missing);
+        self.send_owned(host, &unacked);
     }
 
     /// Sends everything again, under a new incarnation.
-    pub(super) fn hold_again(&mut self) {
-        for own in self.holds.own.values_mut() {
-            own.acks.clear();
+    pub(super) fn resend_owned(&mut self) {
+        for owned in self.record_store.owned.values_mut() {
+            owned.acks.clear();
         }
-        for host in self.holds.holders.clone() {
-            self.fill(host);
+        for host in self.record_store.holders.clone() {
+            self.send_unacked(host);
         }
     }
 
@@ -330,14 +344,14 @@
                 .iter()
                 .filter(|(host, p)| p.usable() && !chosen.contains(host))
                 .min_by_key(|(host, p)| {
-                    let shared = chosen
+                    let domain_taken = chosen
                         .iter()
                         .any(|c| self.roster.domain_of(*c) == Some(p.domain));
-                    let class = match p.domain == self.domain {
+                    let preference = match p.domain == self.domain {
                         true => 2,
-                        false => u8::from(shared),
+                        false => u8::from(domain_taken),
                     };
-                    (class, rank::score(*host, self.id.0))
+                    (preference, rank::score(*host, self.id.0))
                 });
             let Some((host, _)) = best else { break };
             chosen.push(host);
@@ -345,21 +359,21 @@
         let added: Vec<HostId> = chosen
             .iter()
             .copied()
-            .filter(|h| !self.holds.holders.contains(h))
+            .filter(|h| !self.record_store.holders.contains(h))
             .collect();
-        self.holds.holders = chosen;
+        self.record_store.holders = chosen;
         for host in added {
-            self.fill(host);
+            self.send_unacked(host);
         }
     }
 
     /// Answers holds that waited long enough.
-    pub(super) fn time_out_holds(&mut self) {
-        while let Some((at, id)) = self.holds.waiting.front().copied()
+    pub(super) fn expire_holds(&mut self) {
+        while let Some((at, id)) = self.record_store.hold_deadlines.front().copied()
             && at <= self.now
         {
-            self.holds.waiting.pop_front();
-            self.answer_hold(id);
+            self.record_store.hold_deadlines.pop_front();
+            self.reply_to_hold(id);
         }
     }
 }
--- a/crates/oatdale-mesh/src/member/roster.rs
+++ b/crates/oatdale-mesh/src/member/roster.rs
@@ -10,17 +10,17 @@
 /// Hosts that are remembered at most, ten times the fleet in two years.
 const MAX_PEERS: usize = 4096;
 /// How long a host that left stays visible to operators.
-const SHOW_LEFT: Duration = Duration::from_secs(30);
+const LEFT_RETENTION: Duration = Duration::from_secs(30);
 /// How long the incarnation of a host that is gone is remembered. A late card of a dead process
 /// must not bring it back to life; operators would see a ghost among the nodes.
-const REMEMBER_GONE: Duration = Duration::from_secs(1200);
+const DEPARTED_RETENTION: Duration = Duration::from_secs(1200);
 
 /// The hosts that this member knows, without itself.
 #[derive(Debug)]
 pub(crate) struct Roster {
-    me: HostId,
+    own_id: HostId,
     peers: BTreeMap<HostId, Peer>,
-    gone: BTreeMap<HostId, (u64, Duration)>,
+    departed: BTreeMap<HostId, (u64, Duration)>,
     listed: Option<BTreeMap<SocketAddr, bool>>,
     /// Whether the set of hosts or a state changed since it was last asked.
     changed: bool,
@@ -36,32 +36,32 @@
     pub(crate) revision: u64,
     revision_at: Duration,
     /// The host counts as alive until then unless it is heard of again.
-    fresh_until: Duration,
+    alive_until: Duration,
     pub(crate) suspect_since: Option<Duration>,
     left_at: Option<Duration>,
     listed_leaving: bool,
     /// Whether this process was ever heard itself.
-    pub(crate) met: bool,
+    pub(crate) contacted: bool,
     /// Whether the platform listed the address since this process was first heard of.
     was_listed: bool,
 }
 
 /// What a card changed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(crate) enum Learned {
+pub(crate) enum CardUpdate {
     /// The host was not known.
     New,
     /// The host has restarted.
     Restarted,
     /// Nothing new.
-    Known,
+    Unchanged,
     /// The card is of a process that is known to be gone.
     Stale,
 }
 
 /// Why a host was forgotten.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(crate) struct Forgotten {
+pub(crate) struct RemovedPeer {
     pub(crate) host: HostId,
 }
 
@@ -76,24 +76,24 @@
 
     /// Whether new duties may be given to the host.
     pub(crate) fn usable(&self) -> bool {
-        self.state() == PeerState::Alive && !self.leaving()
+        self.state() == PeerState::Alive && !self.is_leaving()
     }
 
-    pub(crate) fn leaving(&self) -> bool {
+    pub(crate) fn is_leaving(&self) -> bool {
         self.listed_leaving || self.flags & FLAG_LEAVING != 0
     }
 
-    pub(crate) fn service_down(&self) -> bool {
+    pub(crate) fn reports_service_down(&self) -> bool {
         self.flags & FLAG_SERVICE_DOWN != 0
     }
 }
 
 impl Roster {
-    pub(crate) fn new(me: HostId) -> Self {
+    pub(crate) fn new(own_id: HostId) -> Self {
         Roster {
-            me,
+            own_id,
             peers: BTreeMap::new(),
-            gone: BTreeMap::new(),
+            departed: BTreeMap::new(),
             listed: None,
             changed: true,
         }
@@ -124,91 +124,99 @@
         self.peers.len()
     }
 
-    /// Takes in a card; `first_hand` if the process itself showed it just now.
-    pub(crate) fn learn(
+    /// Takes in a card; `from_process` if the process itself showed it just now.
+    pub(crate) fn apply_card(
         &mut self,
         card: &Card,
-        first_hand: bool,
-        fresh: Duration,
+        from_process: bool,
+        alive_for: Duration,
         now: Duration,
-    ) -> Learned {
+    ) -> CardUpdate {
         let id = card.id();
-        let buried = self
-            .gone
+        let last_departed = self
+            .departed
             .get(&id)
             .map_or(0, |(incarnation, _)| *incarnation);
-        let known = self.peers.get(&id).map_or(0, |p| p.card.incarnation);
-        let dead = card.incarnation < buried || (card.incarnation == buried && !first_hand);
+        let current = self.peers.get(&id).map_or(0, |p| p.card.incarnation);
+        let is_old = card.incarnation < last_departed
+            || (card.incarnation == last_departed && !from_process);
         match () {
-            () if id == self.me || dead || card.incarnation < known => Learned::Stale,
-            () if card.incarnation == known => Learned::Known,
-            () if known == 0 && self.peers.len() >= MAX_PEERS => Learned::Stale,
+            () if id == self.own_id || is_old || card.incarnation < current => CardUpdate::Stale,
+            () if card.incarnation == current => CardUpdate::Unchanged,
+            () if current == 0 && self.peers.len() >= MAX_PEERS => CardUpdate::Stale,
             () => {
-                self.gone.remove(&id);
-                self.peers.insert(id, self.enter(card, now + fresh, now));
+                self.departed.remove(&id);
+                self.peers
+                    .insert(id, self.new_peer(card, now + alive_for, now));
                 self.changed = true;
-                match known {
-                    0 => Learned::New,
-                    _ => Learned::Restarted,
+                match current {
+                    0 => CardUpdate::New,
+                    _ => CardUpdate::Restarted,
                 }
             }
         }
     }
 
-    fn enter(&self, card: &Card, fresh_until: Duration, now: Duration) -> Peer {
+    fn new_peer(&self, card: &Card, alive_until: Duration, now: Duration) -> Peer {
         Peer {
             domain: name_hash(&card.domain),
             flags: 0,
             load: 0,
             revision: 0,
             revision_at: now,
-            fresh_until,
+            alive_until,
             suspect_since: None,
             left_at: None,
-            listed_leaving: self.says_leaving(card.address),
+            listed_leaving: self.is_listed_leaving(card.address),
             was_listed: false,
-            met: false,
+            contacted: false,
             card: card.clone(),
         }
     }
 
     /// A message came from the host itself.
-    pub(crate) fn heard(&mut self, host: HostId, until: Duration) {
+    pub(crate) fn record_contact(&mut self, host: HostId, until: Duration) {
         if let Some(peer) = self.peers.get_mut(&host) {
-            peer.met = true;
+            peer.contacted = true;
         }
-        self.refresh(host, until);
+        self.extend_alive(host, until);
     }
 
-    fn refresh(&mut self, host: HostId, until: Duration) {
+    fn extend_alive(&mut self, host: HostId, until: Duration) {
         let Some(peer) = self.peers.get_mut(&host) else {
             return;
         };
-        peer.fresh_until = peer.fresh_until.max(until);
+        peer.alive_until = peer.alive_until.max(until);
         self.changed |= peer.suspect_since.take().is_some();
     }
 
-    pub(crate) fn beat(&mut self, host: HostId, beat: &Beat, now: Duration) {
+    pub(crate) fn apply_heartbeat(&mut self, host: HostId, heartbeat: &Beat, now: Duration) {
         let Some(peer) = self.peers.get_mut(&host) else {
             return;
         };
-        self.changed |= (peer.flags ^ beat.flags) & FLAG_ACCEPTING != 0;
-        peer.flags = beat.flags;
-        peer.load = beat.load;
-        peer.revision = peer.revision.max(beat.in_force);
+        self.changed |= (peer.flags ^ heartbeat.flags) & FLAG_ACCEPTING != 0;
+        peer.flags = heartbeat.flags;
+        peer.load = heartbeat.load;
+        peer.revision = peer.revision.max(heartbeat.in_force);
         peer.revision_at = now;
     }
 
     /// A summary speaks of a host that this member has no link to.
-    pub(crate) fn reported(&mut self, host: HostId, beat: &Beat, until: Duration, now: Duration) {
-        self.beat(host, beat, now);
-        match beat.flags & FLAG_SUSPECT {
-            0 => self.refresh(host, until),
-            _ => self.suspect(host, now),
+    pub(crate) fn apply_reported_state(
+        &mut self,
+        host: HostId,
+        heartbeat: &Beat,
+        until: Duration,
+        now: Duration,
+    ) {
+        self.apply_heartbeat(host, heartbeat, now);
+        match heartbeat.flags & FLAG_SUSPECT {
+            0 => self.extend_alive(host, until),
+            _ => self.mark_suspect(host, now),
         }
     }
 
-    fn suspect(&mut self, host: HostId, now: Duration) {
+    fn mark_suspect(&mut self, host: HostId, now: Duration) {
         let Some(peer) = self.peers.get_mut(&host) else {
             return;
         };
@@ -218,7 +226,7 @@
         }
     }
 
-    pub(crate) fn left(&mut self, host: HostId, now: Duration) {
+    pub(crate) fn mark_left(&mut self, host: HostId, now: Duration) {
         let Some(peer) = self.peers.get_mut(&host) else {
             return;
         };
@@ -229,7 +237,7 @@
     }
 
     /// The platform's list, late as it is: a hint for leaving and for who is gone.
-    pub(crate) fn list(&mut self, hosts: impl Iterator<Item = (SocketAddr, bool)>) {
+    pub(crate) fn set_listed_hosts(&mut self, hosts: impl Iterator<Item = (SocketAddr, bool)>) {
         self.listed = Some(hosts.collect());
         let listed = self.listed.as_ref();
         for peer in self.peers.values_mut() {
@@ -241,19 +249,19 @@
         }
     }
 
-    fn says_leaving(&self, address: SocketAddr) -> bool {
+    fn is_listed_leaving(&self, address: SocketAddr) -> bool {
         self.listed.as_ref().and_then(|l| l.get(&address)) == Some(&true)
     }
 
     /// Listed hosts that are not leaving and that no card speaks of.
-    pub(crate) fn listed_unknown(&self, mine: SocketAddr) -> Option<usize> {
+    pub(crate) fn unknown_listed_count(&self, own_address: SocketAddr) -> Option<usize> {
         let listed = self.listed.as_ref()?;
-        let known =
-            |a: &SocketAddr| *a == mine || self.peers.values().any(|p| p.card.address == *a);
+        let is_known =
+            |a: &SocketAddr| *a == own_address || self.peers.values().any(|p| p.card.address == *a);
         Some(
             listed
                 .iter()
-                .filter(|(a, leaving)| !**leaving && !known(a))
+                .filter(|(a, leaving)| !**leaving && !is_known(a))
                 .count(),
         )
     }
@@ -261,101 +269,111 @@
     /// Suspects who was not heard of and forgets who is gone for good.
     pub(crate) fn expire(
         &mut self,
-        unlisted: Duration,
-        forget: Duration,
+        unlisted_timeout: Duration,
+        forget_timeout: Duration,
         now: Duration,
-    ) -> Vec<Forgotten> {
-        let late: Vec<HostId> = self.late(now);
-        for host in late {
-            self.suspect(host, now);
+    ) -> Vec<RemovedPeer> {
+        let overdue: Vec<HostId> = self.overdue(now);
+        for host in overdue {
+            self.mark_suspect(host, now);
         }
-        let over: Vec<HostId> = self
+        let expired: Vec<HostId> = self
             .iter()
-            .filter(|(_, p)| self.is_over(p, unlisted, forget, now))
+            .filter(|(_, p)| self.is_expired(p, unlisted_timeout, forget_timeout, now))
             .map(|(host, _)| host)
             .collect();
-        for host in &over {
-            self.bury(*host, now);
+        for host in &expired {
+            self.retire_peer(*host, now);
         }
-        self.gone
-            .retain(|_, (_, at)| now.saturating_sub(*at) < REMEMBER_GONE);
-        over.into_iter().map(|host| Forgotten { host }).collect()
+        self.departed
+            .retain(|_, (_, at)| now.saturating_sub(*at) < DEPARTED_RETENTION);
+        expired
+            .into_iter()
+            .map(|host| RemovedPeer { host })
+            .collect()
     }
 
-    fn late(&self, now: Duration) -> Vec<HostId> {
+    fn overdue(&self, now: Duration) -> Vec<HostId> {
         self.iter()
-            .filter(|(_, p)| p.suspect_since.is_none() && p.fresh_until <= now)
+            .filter(|(_, p)| p.suspect_since.is_none() && p.alive_until <= now)
             .map(|(host, _)| host)
             .collect()
     }
 
     /// A host that the platform still lists may be cut off rather than dead: its share of the
-    /// limits stays reserved until the list drops it or `forget` is over. A list that is older
+    /// limits stays reserved until the list drops it or `forget_timeout` is over. A list that is older
     /// than the process says nothing of it; were it believed, a host that was restarted and then
     /// cut off would be forgotten within seconds and its share used twice.
-    fn is_over(&self, peer: &Peer, unlisted: Duration, forget: Duration, now: Duration) -> bool {
+    fn is_expired(
+        &self,
+        peer: &Peer,
+        unlisted_timeout: Duration,
+        forget_timeout: Duration,
+        now: Duration,
+    ) -> bool {
         let listed = self.listed.as_ref();
-        let gone = peer.was_listed && listed.is_some_and(|l| !l.contains_key(&peer.card.address));
+        let dropped_from_list =
+            peer.was_listed && listed.is_some_and(|l| !l.contains_key(&peer.card.address));
         match (peer.left_at, peer.suspect_since) {
-            (Some(at), _) => now.saturating_sub(at) >= SHOW_LEFT,
-            (None, Some(at)) if gone => now.saturating_sub(at) >= unlisted,
-            (None, Some(at)) => now.saturating_sub(at) >= forget,
+            (Some(at), _) => now.saturating_sub(at) >= LEFT_RETENTION,
+            (None, Some(at)) if dropped_from_list => now.saturating_sub(at) >= unlisted_timeout,
+            (None, Some(at)) => now.saturating_sub(at) >= forget_timeout,
             (None, None) => false,
         }
     }
 
-    fn bury(&mut self, host: HostId, now: Duration) {
+    fn retire_peer(&mut self, host: HostId, now: Duration) {
         if let Some(peer) = self.peers.remove(&host) {
-            self.gone.insert(host, (peer.card.incarnation, now));
+            self.departed.insert(host, (peer.card.incarnation, now));
             self.changed = true;
         }
     }
 
     /// How long a process has been gone; `None` while it may be alive.
-    pub(crate) fn gone_for(
+    pub(crate) fn gone_duration(
         &self,
         host: HostId,
         incarnation: u64,
         now: Duration,
     ) -> Option<Duration> {
-        let long = Duration::MAX;
-        match (self.peers.get(&host), self.gone.get(&host)) {
-            (Some(p), _) if p.card.incarnation > incarnation => Some(long),
-            (Some(p), _) if p.left_at.is_some() => Some(long),
+        let forever = Duration::MAX;
+        match (self.peers.get(&host), self.departed.get(&host)) {
+            (Some(p), _) if p.card.incarnation > incarnation => Some(forever),
+            (Some(p), _) if p.left_at.is_some() => Some(forever),
             (Some(p), _) => p.suspect_since.map(|at| now.saturating_sub(at)),
-            (None, Some((buried, _))) if *buried >= incarnation => Some(long),
+            (None, Some((last_departed, _))) if *last_departed >= incarnation => Some(forever),
             (None, _) => None,
         }
     }
 
     /// The latest incarnation of a host that was heard of, 0 for none.
     pub(crate) fn last_incarnation(&self, host: HostId) -> u64 {
-        let buried = self
-            .gone
+        let last_departed = self
+            .departed
             .get(&host)
             .map_or(0, |(incarnation, _)| *incarnation);
         self.peers
             .get(&host)
             .map_or(0, |p| p.card.incarnation)
-            .max(buried)
+            .max(last_departed)
     }
 
     /// Gives everyone more time after this process was paused.
-    pub(crate) fn shift(&mut self, gap: Duration) {
+    pub(crate) fn shift(&mut self, pause: Duration) {
         for peer in self.peers.values_mut() {
-            peer.fresh_until += gap;
-            peer.suspect_since = peer.suspect_since.map(|at| at + gap);
+            peer.alive_until += pause;
+            peer.suspect_since = peer.suspect_since.map(|at| at + pause);
         }
     }
 
     /// A hash over the hosts that are known, itself included.
-    pub(crate) fn hash(&self, me: &Card) -> u32 {
-        let one = |id: HostId, incarnation: u64| rank::mix(id.0 ^ rank::mix(incarnation));
-        let mine = one(self.me, me.incarnation);
-        let all = self
+    pub(crate) fn view_hash(&self, local_card: &Card) -> u32 {
+        let host_hash = |id: HostId, incarnation: u64| rank::mix(id.0 ^ rank::mix(incarnation));
+        let init = host_hash(self.own_id, local_card.incarnation);
+        let combined = self
             .present()
-            .fold(mine, |sum, (id, p)| sum ^ one(id, p.card.incarnation));
-        (all >> 32) as u32
+            .fold(init, |sum, (id, p)| sum ^ host_hash(id, p.card.incarnation));
+        (combined >> 32) as u32
     }
 
     /// Whether anything changed since the last call.
@@ -363,12 +381,15 @@
         std::mem::take(&mut self.changed)
     }
 
-    pub(crate) fn views(&self, now: Duration) -> Vec<PeerView> {
-        self.peers.values().map(|peer| view(peer, now)).collect()
+    pub(crate) fn peer_views(&self, now: Duration) -> Vec<PeerView> {
+        self.peers
+            .values()
+            .map(|peer| peer_view(peer, now))
+            .collect()
     }
 }
 
-fn view(peer: &Peer, now: Duration) -> PeerView {
+fn peer_view(peer: &Peer, now: Duration) -> PeerView {
     PeerView {
         host: peer.card.host.clone(),
         domain: peer.card.domain.clone(),
@@ -380,7 +401,7 @@
         revision: peer.revision,
         revision_age: now.saturating_sub(peer.revision_at),
         state: match peer.state() {
-            PeerState::Alive if peer.leaving() => PeerState::Left,
+            PeerState::Alive if peer.is_leaving() => PeerState::Left,
             state => state,
         },
     }
--- a/crates/oatdale-mesh/src/member/spread.rs
+++ b/crates/oatdale-mesh/src/member/spread.rs
@@ -16,7 +16,7 @@
 /// Peers that a joiner asks, unless there are fewer.
 const JOIN_PEERS: usize = 3;
 /// Pieces of snapshots that a node serves in a second; joiners that come together share them.
-const CHUNKS_PER_SECOND: u32 = 64;
+const MAX_CHUNKS_PER_SECOND: u32 = 64;
 
 /// Whether a revision that is offered replaces the one that is held (0 for none).
 ///
@@ -36,47 +36,47 @@
 
 /// The configuration that is held and how the next one comes.
 #[derive(Debug)]
-pub(crate) struct Spread {
-    started: Duration,
+pub(crate) struct ConfigReplica {
+    started_at: Duration,
     joined: bool,
-    held: Option<Held>,
+    held: Option<HeldConfig>,
     in_force: u64,
     steps: VecDeque<Step>,
     /// What each linked peer holds, as last heard.
     offers: BTreeMap<HostId, Newest>,
-    fetching: Option<Fetching>,
-    served_in: u64,
-    served: u32,
+    pending_fetch: Option<PendingFetch>,
+    serving_second: u64,
+    chunks_served: u32,
 }
 
 #[derive(Debug)]
-struct Held {
+struct HeldConfig {
     revision: u64,
     digest: u64,
     document: Bytes,
 }
 
 #[derive(Debug)]
-struct Fetching {
+struct PendingFetch {
     from: HostId,
-    since: Duration,
+    last_activity: Duration,
     /// What arrived of a snapshot.
-    partial: Option<Partial>,
+    partial: Option<PartialDocument>,
 }
 
 #[derive(Debug)]
-struct Partial {
+struct PartialDocument {
     digest: u64,
     bytes: Vec<u8>,
 }
 
 /// What a peer gets for its [`Fetch`].
 #[derive(Debug)]
-pub(crate) enum Answer {
+pub(crate) enum FetchReply {
     Steps(Vec<Step>),
     Chunk(Chunk),
     /// It has the newest already, or the bound for snapshots is reached.
-    Nothing,
+    NoReply,
 }
 
 /// What came of a message with a part of a configuration.
@@ -85,23 +85,23 @@
     /// A newer one is held now.
     Adopted,
     /// Ask the same peer again.
-    Ask(Fetch),
+    FetchMore(Fetch),
     /// Nothing to do.
-    Nothing,
+    Unchanged,
 }
 
-impl Spread {
+impl ConfigReplica {
     pub(crate) fn new(now: Duration) -> Self {
-        Spread {
-            started: now,
+        ConfigReplica {
+            started_at: now,
             joined: false,
             held: None,
             in_force: 0,
             steps: VecDeque::new(),
             offers: BTreeMap::new(),
-            fetching: None,
-            served_in: 0,
-            served: 0,
+            pending_fetch: None,
+            serving_second: 0,
+            chunks_served: 0,
         }
     }
 
@@ -113,12 +113,12 @@
         self.joined = true;
     }
 
-    pub(crate) fn answers(&self) -> usize {
+    pub(crate) fn offer_count(&self) -> usize {
         self.offers.len()
     }
 
-    pub(crate) fn waited(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.started)
+    pub(crate) fn time_since_start(&self, now: Duration) -> Duration {
+        now.saturating_sub(self.started_at)
     }
 
     pub(crate) fn revision(&self) -> u64 {
@@ -160,7 +160,7 @@
             Some(h) => {
                 let from = h.digest;
                 match delta::between(&h.document, &document) {
-                    Some(delta) => self.remember(Step {
+                    Some(delta) => self.push_step(Step {
                         from,
                         revision,
                         digest,
@@ -172,49 +172,49 @@
             }
             None => {}
         }
-        self.held = Some(Held {
+        self.held = Some(HeldConfig {
             revision,
             digest,
             document,
         });
-        self.fetching = None;
+        self.pending_fetch = None;
         true
     }
 
-    fn remember(&mut self, step: Step) {
+    fn push_step(&mut self, step: Step) {
         self.steps.push_back(step);
-        let size =
+        let total_size =
             |steps: &VecDeque<Step>| -> usize { steps.iter().map(|s| delta::size(&s.delta)).sum() };
-        while self.steps.len() > MAX_STEPS || size(&self.steps) > MAX_STEP_BYTES {
+        while self.steps.len() > MAX_STEPS || total_size(&self.steps) > MAX_STEP_BYTES {
             self.steps.pop_front();
         }
     }
 
-    pub(crate) fn offered(&mut self, from: HostId, offer: Newest) {
+    pub(crate) fn record_offer(&mut self, from: HostId, offer: Newest) {
         self.offers.insert(from, offer);
     }
 
-    pub(crate) fn lost(&mut self, peer: HostId) {
+    pub(crate) fn remove_peer(&mut self, peer: HostId) {
         self.offers.remove(&peer);
-        if self.fetching.as_ref().is_some_and(|f| f.from == peer) {
+        if self.pending_fetch.as_ref().is_some_and(|f| f.from == peer) {
             // What arrived stays useful: the next peer goes on where this one stopped.
             self.expire_fetch();
         }
     }
 
     fn expire_fetch(&mut self) {
-        if let Some(fetch) = &mut self.fetching {
-            fetch.since = Duration::ZERO;
+        if let Some(fetch) = &mut self.pending_fetch {
+            fetch.last_activity = Duration::ZERO;
         }
     }
 
     /// The peer to ask now, if there is a newer configuration and nobody is asked yet.
     pub(crate) fn next_fetch(&mut self, now: Duration) -> Option<(HostId, Fetch)> {
-        let busy = |f: &Fetching| now.saturating_sub(f.since) < FETCH_TIMEOUT;
-        if !self.joined || self.fetching.as_ref().is_some_and(busy) {
+        let in_flight = |f: &PendingFetch| now.saturating_sub(f.last_activity) < FETCH_TIMEOUT;
+        if !self.joined || self.pending_fetch.as_ref().is_some_and(in_flight) {
             return None;
         }
-        let tried = self.fetching.as_ref().map(|f| f.from);
+        let tried = self.pending_fetch.as_ref().map(|f| f.from);
         let held = self.revision();
         let best = self
             .offers
@@ -222,17 +222,17 @@
             .filter(|(_, o)| newer(held, o.revision))
             .max_by_key(|(host, o)| (Some(**host) != tried, o.revision, std::cmp::Reverse(**host)))
             .map(|(host, _)| *host)?;
-        let partial = self.fetching.take().and_then(|f| f.partial);
-        let fetch = self.request(partial.as_ref());
-        self.fetching = Some(Fetching {
+        let partial = self.pending_fetch.take().and_then(|f| f.partial);
+        let fetch = self.fetch_request(partial.as_ref());
+        self.pending_fetch = Some(PendingFetch {
             from: best,
-            since: now,
+            last_activity: now,
             partial,
         });
         Some((best, fetch))
     }
 
-    fn request(&self, partial: Option<&Partial>) -> Fetch {
+    fn fetch_request(&self, partial: Option<&PartialDocument>) -> Fetch {
         Fetch {
             have: self.newest().digest,
             partial: partial.map_or(0, |p| p.digest),
@@ -241,15 +241,15 @@
     }
 
     /// Answers a peer.
-    pub(crate) fn answer(&mut self, fetch: &Fetch, now: Duration) -> Answer {
+    pub(crate) fn reply_to(&mut self, fetch: &Fetch, now: Duration) -> FetchReply {
         let Some(held) = &self.held else {
-            return Answer::Nothing;
+            return FetchReply::NoReply;
         };
         if held.digest == fetch.have {
-            return Answer::Nothing;
+            return FetchReply::NoReply;
         }
         if let Some(at) = self.steps.iter().position(|s| s.from == fetch.have) {
-            return Answer::Steps(self.steps.range(at..).cloned().collect());
+            return FetchReply::Steps(self.steps.range(at..).cloned().collect());
         }
         let offset = match fetch.partial == held.digest {
             true => (fetch.offset as usize).min(held.document.len()),
@@ -263,34 +263,34 @@
             offset: offset as u32,
             bytes: held.document.slice(offset..end),
         };
-        match self.may_serve(now) {
-            true => Answer::Chunk(chunk),
-            false => Answer::Nothing,
+        match self.admit_chunk(now) {
+            true => FetchReply::Chunk(chunk),
+            false => FetchReply::NoReply,
         }
     }
 
-    fn may_serve(&mut self, now: Duration) -> bool {
-        if self.served_in != now.as_secs() {
-            self.served_in = now.as_secs();
-            self.served = 0;
+    fn admit_chunk(&mut self, now: Duration) -> bool {
+        if self.serving_second != now.as_secs() {
+            self.serving_second = now.as_secs();
+            self.chunks_served = 0;
         }
-        self.served += 1;
-        self.served <= CHUNKS_PER_SECOND
+        self.chunks_served += 1;
+        self.chunks_served <= MAX_CHUNKS_PER_SECOND
     }
 
     /// Applies deltas; asks for the whole text where they do not fit.
-    pub(crate) fn steps(&mut self, steps: &[Step]) -> Progress {
-        let before = self.revision();
+    pub(crate) fn apply_steps(&mut self, steps: &[Step]) -> Progress {
+        let previous_revision = self.revision();
         for step in steps {
             let Some(held) = &self.held else { break };
             if held.digest != step.from || !newer(held.revision, step.revision) {
                 continue;
             }
-            match patched(&held.document, &step.delta, step.digest) {
+            match apply_delta(&held.document, &step.delta, step.digest) {
                 Some(document) => self.adopt(step.revision, document),
                 None => {
                     log::warn!("mesh: delta to revision {} does not fit", step.revision);
-                    return Progress::Ask(Fetch {
+                    return Progress::FetchMore(Fetch {
                         have: 0,
                         partial: 0,
                         offset: 0,
@@ -298,22 +298,26 @@
                 }
             };
         }
-        match newer(before, self.revision()) {
+        match newer(previous_revision, self.revision()) {
             true => Progress::Adopted,
-            false => Progress::Nothing,
+            false => Progress::Unchanged,
         }
     }
 
     /// Takes a piece of a whole text.
-    pub(crate) fn chunk(&mut self, from: HostId, chunk: &Chunk, now: Duration) -> Progress {
+    pub(crate) fn apply_chunk(&mut self, from: HostId, chunk: &Chunk, now: Duration) -> Progress {
         let held = self.revision();
-        let fits = newer(held, chunk.revision) && chunk.total as usize <= MAX_DOCUMENT;
-        let Some(fetch) = self.fetching.as_mut().filter(|f| f.from == from && fits) else {
-            return Progress::Nothing;
+        let acceptable = newer(held, chunk.revision) && chunk.total as usize <= MAX_DOCUMENT;
+        let Some(fetch) = self
+            .pending_fetch
+            .as_mut()
+            .filter(|f| f.from == from && acceptable)
+        else {
+            return Progress::Unchanged;
         };
-        fetch.since = now;
-        let same = fetch.partial.take().filter(|p| p.digest == chunk.digest);
-        let mut partial = same.unwrap_or(Partial {
+        fetch.last_activity = now;
+        let resumed = fetch.partial.take().filter(|p| p.digest == chunk.digest);
+        let mut partial = resumed.unwrap_or(PartialDocument {
             digest: chunk.digest,
             bytes: Vec::new(),
         });
@@ -321,24 +325,24 @@
             partial.bytes.extend_from_slice(&chunk.bytes);
         }
         if partial.bytes.len() < chunk.total as usize {
-            let ask = Fetch {
+            let next_part = Fetch {
                 have: 0,
                 partial: partial.digest,
                 offset: partial.bytes.len() as u32,
             };
             fetch.partial = Some(partial);
-            return Progress::Ask(ask);
+            return Progress::FetchMore(next_part);
         }
-        self.fetching = None;
-        let whole = digest64(&partial.bytes) == chunk.digest;
-        match whole && self.adopt(chunk.revision, partial.bytes.into()) {
+        self.pending_fetch = None;
+        let complete = digest64(&partial.bytes) == chunk.digest;
+        match complete && self.adopt(chunk.revision, partial.bytes.into()) {
             true => Progress::Adopted,
-            false => Progress::Nothing,
+            false => Progress::Unchanged,
         }
     }
 }
 
-fn patched(from: &[u8], delta: &Delta, digest: u64) -> Option<Bytes> {
+fn apply_delta(from: &[u8], delta: &Delta, digest: u64) -> Option<Bytes> {
     let document = delta::apply(from, delta).ok()?;
     (document.len() <= MAX_DOCUMENT && digest64(&document) == digest).then_some(document)
 }
--- a/crates/oatdale-mesh/src/member/summary.rs
+++ b/crates/oatdale-mesh/src/member/summary.rs
@@ -9,26 +9,26 @@
 
 /// Nodes of a failure domain that talk to another one. Several, so that the loss of one harms
 /// speed only.
-pub(super) const REPORTERS: usize = 2;
+pub(super) const REPORTERS_PER_DOMAIN: usize = 2;
 /// With many failure domains each reports more rarely, so that a node hears at most this many
 /// summaries in a second.
-const REPORTS_PER_SECOND: u32 = 4;
+const MAX_REPORTS_PER_SECOND: u32 = 4;
 /// A summary is stale after so many intervals without a new one.
-pub(super) const STALE: u32 = 3;
+pub(super) const STALE_INTERVALS: u32 = 3;
 /// While a failure domain is silent, other hosts of it are tried this often.
-const RETRY_OTHERS: Duration = Duration::from_secs(5);
+const SILENT_DOMAIN_RETRY_INTERVAL: Duration = Duration::from_secs(5);
 
 /// What is known of other failure domains.
 #[derive(Debug, Default)]
 pub(crate) struct Summaries {
-    heard: BTreeMap<u32, Heard>,
+    latest_reports: BTreeMap<u32, ReceivedReport>,
     /// Sums that each reporter at the other end was sent.
-    sent: BTreeMap<HostId, BTreeMap<u32, Vec<u64>>>,
+    sent_counts: BTreeMap<HostId, BTreeMap<u32, Vec<u64>>>,
 }
 
 #[derive(Debug)]
-struct Heard {
-    at: Duration,
+struct ReceivedReport {
+    received_at: Duration,
     /// When another node of this failure domain passed a summary on.
     relayed_at: Option<Duration>,
     report: Report,
@@ -36,8 +36,8 @@
 
 impl Summaries {
     /// Hosts of a failure domain that its last summary calls alive; `None` if there was none.
-    pub(crate) fn alive(&self, domain: u32) -> Option<usize> {
-        let members = &self.heard.get(&domain)?.report.members;
+    pub(crate) fn alive_count(&self, domain: u32) -> Option<usize> {
+        let members = &self.latest_reports.get(&domain)?.report.members;
         Some(
             members
                 .iter()
@@ -46,13 +46,13 @@
         )
     }
 
-    pub(crate) fn lost(&mut self, host: HostId) {
-        self.sent.remove(&host);
+    pub(crate) fn remove_peer(&mut self, host: HostId) {
+        self.sent_counts.remove(&host);
     }
 
-    pub(crate) fn shift(&mut self, gap: Duration) {
-        for heard in self.heard.values_mut() {
-            heard.at += gap;
+    pub(crate) fn shift(&mut self, pause: Duration) {
+        for received in self.latest_reports.values_mut() {
+            received.received_at += pause;
         }
     }
 }
@@ -60,11 +60,11 @@
 impl Member {
     /// Other failure domains that have hosts.
     pub(super) fn other_domains(&self) -> BTreeSet<u32> {
-        let mine = self.domain;
+        let own_domain = self.domain;
         self.roster
             .present()
             .map(|(_, p)| p.domain)
-            .filter(|d| *d != mine)
+            .filter(|d| *d != own_domain)
             .collect()
     }
 
@@ -73,7 +73,7 @@
         let domains = self.other_domains().len() as u32 + 1;
         self.timers
             .report
-            .max(Duration::from_secs(1) / REPORTS_PER_SECOND * domains)
+            .max(Duration::from_secs(1) / MAX_REPORTS_PER_SECOND * domains)
     }
 
     /// The nodes of the failure domain `of` that talk to `to`.
@@ -82,23 +82,29 @@
     /// chosen, nobody would ever talk to the other side again and each would go without the
     /// other's nodes until restarted. So suspected ones are tried then, others each time.
     pub(super) fn reporters(&self, of: u32, to: u32) -> Vec<HostId> {
-        let here = (of == self.domain && self.leaving.is_none()).then_some(self.id);
-        let there = || self.roster.present().filter(|(_, p)| p.domain == of);
-        let usable = there().filter(|(_, p)| p.usable()).map(|(host, _)| host);
-        let usable: Vec<HostId> = usable.chain(here).collect();
+        let local_host = (of == self.domain && self.leaving_since.is_none()).then_some(self.id);
+        let domain_peers = || self.roster.present().filter(|(_, p)| p.domain == of);
+        let usable = domain_peers()
+            .filter(|(_, p)| p.usable())
+            .map(|(host, _)| host);
+        let usable: Vec<HostId> = usable.chain(local_host).collect();
         if !usable.is_empty() {
             let mut others = self.other_domains();
             others.insert(self.domain);
             others.remove(&of);
             return rank::reporters(&usable, &others, of, to);
         }
-        let turn = self.now.as_secs() / RETRY_OTHERS.as_secs();
-        let salt = rank::report_salt(of, to) ^ rank::mix(turn);
-        rank::first(there().map(|(host, _)| host), salt, REPORTERS)
+        let rotation = self.now.as_secs() / SILENT_DOMAIN_RETRY_INTERVAL.as_secs();
+        let salt = rank::report_salt(of, to) ^ rank::mix(rotation);
+        rank::first(
+            domain_peers().map(|(host, _)| host),
+            salt,
+            REPORTERS_PER_DOMAIN,
+        )
     }
 
     /// Hosts of another failure domain that get this one's summary from this node.
-    fn report_to(&self, domain: u32) -> Vec<HostId> {
+    fn report_recipients(&self, domain: u32) -> Vec<HostId> {
         match self.is_stale(domain) {
             // Whoever has a link tells, until proper reporters have found each other.
             true => {
@@ -107,46 +113,48 @@
                     .filter(|h| self.roster.domain_of(*h) == Some(domain))
                     .collect()
             }
-            false => self.opposite(domain).into_iter().collect(),
+            false => self.counterpart(domain).into_iter().collect(),
         }
     }
 
     /// The reporter of another failure domain that this node talks to, if it is one itself: the
     /// first to the first and the second to the second, or to another while that one has no link.
-    fn opposite(&self, domain: u32) -> Option<HostId> {
-        let mine = self.reporters(self.domain, domain);
-        let place = mine.iter().position(|h| *h == self.id)?;
-        let mut theirs = self.reporters(domain, self.domain);
-        let count = theirs.len().max(1);
-        theirs.rotate_left(place % count);
-        theirs.into_iter().find(|h| self.links.contains_key(h))
+    fn counterpart(&self, domain: u32) -> Option<HostId> {
+        let local_reporters = self.reporters(self.domain, domain);
+        let own_index = local_reporters.iter().position(|h| *h == self.id)?;
+        let mut remote_reporters = self.reporters(domain, self.domain);
+        let count = remote_reporters.len().max(1);
+        remote_reporters.rotate_left(own_index % count);
+        remote_reporters
+            .into_iter()
+            .find(|h| self.links.contains_key(h))
     }
 
     pub(super) fn is_stale(&self, domain: u32) -> bool {
-        let stale = self.report_interval() * STALE;
+        let stale_after = self.report_interval() * STALE_INTERVALS;
         self.summaries
-            .heard
+            .latest_reports
             .get(&domain)
-            .is_none_or(|h| h.at + stale <= self.now)
+            .is_none_or(|h| h.received_at + stale_after <= self.now)
     }
 
     /// Sends this failure domain's summary to those others that this node reports to.
     pub(super) fn send_reports(&mut self) {
         let mut report = None;
         for domain in self.other_domains() {
-            for host in self.report_to(domain) {
-                let base = report.get_or_insert_with(|| self.own_report()).clone();
-                let sent = self.summaries.sent.entry(host).or_default();
-                let counts = self.counters.domain_news(sent);
+            for host in self.report_recipients(domain) {
+                let base = report.get_or_insert_with(|| self.build_report()).clone();
+                let sent_counts = self.summaries.sent_counts.entry(host).or_default();
+                let counts = self.counters.take_domain_changes(sent_counts);
                 self.send(host, Message::Report(Report { counts, ..base }));
             }
         }
     }
 
-    fn own_report(&self) -> Report {
-        let mine = self.own_beat();
-        let mut beats = vec![(self.id, mine)];
-        let (mut live, mut frozen, mut unmet) = (Vec::new(), Vec::new(), 0);
+    fn build_report(&self) -> Report {
+        let own_heartbeat = self.local_heartbeat();
+        let mut heartbeats = vec![(self.id, own_heartbeat)];
+        let (mut live, mut frozen, mut uncontacted) = (Vec::new(), Vec::new(), 0);
         for (host, peer) in self
             .roster
             .present()
@@ -157,62 +165,69 @@
                 _ => 0,
             };
             match suspect {
-                _ if !peer.met => unmet += 1,
+                _ if !peer.contacted => uncontacted += 1,
                 0 => live.push(host),
                 _ => frozen.push(host),
             }
             let flags = (peer.flags & !FLAG_WANTED) | suspect;
-            let beat = Beat {
+            let heartbeat = Beat {
                 flags,
                 load: peer.load,
                 in_force: peer.revision,
                 roster: 0,
             };
-            beats.push((host, beat));
+            heartbeats.push((host, heartbeat));
         }
-        let revision = beats.iter().map(|(_, b)| b.in_force).max().unwrap_or(0);
-        let member = |(host, beat): &(HostId, Beat)| ReportMember {
+        let revision = heartbeats
+            .iter()
+            .map(|(_, b)| b.in_force)
+            .max()
+            .unwrap_or(0);
+        let member = |(host, heartbeat): &(HostId, Beat)| ReportMember {
             short: host.short(),
-            flags: beat.flags & !FLAG_WANTED,
-            load: beat.load,
-            behind: revision - beat.in_force,
+            flags: heartbeat.flags & !FLAG_WANTED,
+            load: heartbeat.load,
+            behind: revision - heartbeat.in_force,
         };
         Report {
             domain: self.domain,
             revision,
-            members: beats.iter().map(member).collect(),
+            members: heartbeats.iter().map(member).collect(),
             demand: self
                 .shares
-                .summary(&live, &frozen, unmet, self.roster.len() + 1),
+                .domain_summary(&live, &frozen, uncontacted, self.roster.len() + 1),
             counts: Vec::new(),
         }
     }
 
     /// Takes a summary and passes it on if this is the node that does.
-    pub(super) fn report(&mut self, from: HostId, report: Report) {
+    pub(super) fn on_report(&mut self, from: HostId, report: Report) {
         if report.domain == self.domain {
             return;
         }
-        let inside = self.roster.domain_of(from) == Some(self.domain);
+        let from_own_domain = self.roster.domain_of(from) == Some(self.domain);
         self.counters.merge_domain(report.domain, &report.counts);
-        self.shares.heard_domain(report.domain, &report.demand);
-        self.take_states(&report);
-        let relay = !inside && self.passes_on(report.domain);
-        let relayed_at = match inside {
+        self.shares
+            .apply_domain_demand(report.domain, &report.demand);
+        self.apply_reported_states(&report);
+        let relay = !from_own_domain && self.is_relay(report.domain);
+        let relayed_at = match from_own_domain {
             true => Some(self.now),
             false => self
                 .summaries
-                .heard
+                .latest_reports
                 .get(&report.domain)
                 .and_then(|h| h.relayed_at),
         };
         let message = relay.then(|| Message::Report(report.clone()));
-        let heard = Heard {
-            at: self.now,
+        let received = ReceivedReport {
+            received_at: self.now,
             relayed_at,
             report,
         };
-        self.summaries.heard.insert(heard.report.domain, heard);
+        self.summaries
+            .latest_reports
+            .insert(received.report.domain, received);
         if let Some(message) = message {
             for host in self.domain_links() {
                 self.send(host, message.clone());
@@ -221,15 +236,19 @@
     }
 
     /// The first reporter passes summaries on; another one does when the first falls silent.
-    fn passes_on(&self, domain: u32) -> bool {
+    fn is_relay(&self, domain: u32) -> bool {
         let first = self.reporters(self.domain, domain).first() == Some(&self.id);
-        let heard = self.summaries.heard.get(&domain).and_then(|h| h.relayed_at);
-        first || heard.is_none_or(|at| at + self.report_interval() * 2 < self.now)
+        let last_relay = self
+            .summaries
+            .latest_reports
+            .get(&domain)
+            .and_then(|h| h.relayed_at);
+        first || last_relay.is_none_or(|at| at + self.report_interval() * 2 < self.now)
     }
 
     /// States of hosts that this node has no link to.
-    fn take_states(&mut self, report: &Report) {
-        let until = self.now + self.report_interval() * STALE;
+    fn apply_reported_states(&mut self, report: &Report) {
+        let until = self.now + self.report_interval() * STALE_INTERVALS;
         let known: BTreeMap<u32, HostId> = self
             .roster
             .iter()
@@ -242,37 +261,38 @@
             };
             let in_force = report.revision.saturating_sub(member.behind);
             let (flags, load) = (member.flags, member.load);
-            let beat = Beat {
+            let heartbeat = Beat {
                 flags,
                 load,
                 in_force,
                 roster: 0,
             };
-            self.roster.reported(*host, &beat, until, self.now);
+            self.roster
+                .apply_reported_state(*host, &heartbeat, until, self.now);
         }
     }
 
     /// What a new link within the failure domain begins with.
-    pub(super) fn domain_greet(&mut self, host: HostId) {
+    pub(super) fn sync_domain_state(&mut self, host: HostId) {
         if self.roster.domain_of(host) != Some(self.domain) {
             return;
         }
-        let told = self.shares.told();
-        if !told.is_empty() {
-            self.send(host, Message::Demand(told));
+        let announced = self.shares.announced_demand();
+        if !announced.is_empty() {
+            self.send(host, Message::Demand(announced));
         }
-        let all = self.counters.all();
-        if !all.is_empty() {
-            self.send(host, Message::Evidence(all));
+        let all_counters = self.counters.process_counters();
+        if !all_counters.is_empty() {
+            self.send(host, Message::Evidence(all_counters));
         }
-        let fresh = self.report_interval();
+        let max_age = self.report_interval();
         let reports: Vec<Report> = self
             .summaries
-            .heard
+            .latest_reports
             .values()
-            .filter(|h| h.at + fresh >= self.now)
+            .filter(|h| h.received_at + max_age >= self.now)
             .map(|h| Report {
-                counts: self.counters.of_domain(h.report.domain),
+                counts: self.counters.domain_counts(h.report.domain),
                 ..h.report.clone()
             })
             .collect();
@@ -283,25 +303,31 @@
 
     /// Tells peers in this failure domain what changed here.
     pub(super) fn send_demand(&mut self) {
-        let news = self.shares.own_news(self.roster.len() + 1);
-        if !news.is_empty() {
+        let changes = self.shares.take_own_changes(self.roster.len() + 1);
+        if !changes.is_empty() {
             for host in self.domain_links() {
-                self.send(host, Message::Demand(news.clone()));
+                self.send(host, Message::Demand(changes.clone()));
             }
         }
     }
 
     pub(super) fn send_evidence(&mut self) {
-        if let Some(news) = self.counters.own_news((self.id, self.me.incarnation)) {
+        if let Some(changes) = self
+            .counters
+            .take_local_changes((self.id, self.local_card.incarnation))
+        {
             for host in self.domain_links() {
-                self.send(host, Message::Evidence(vec![news.clone()]));
+                self.send(host, Message::Evidence(vec![changes.clone()]));
             }
         }
     }
 
     /// Tells the node what all others counted, if that changed.
-    pub(super) fn tell_evidence(&mut self) {
-        if let Some(totals) = self.counters.totals((self.id, self.me.incarnation)) {
+    pub(super) fn emit_evidence(&mut self) {
+        if let Some(totals) = self
+            .counters
+            .take_totals((self.id, self.local_card.incarnation))
+        {
             self.emit(Event::Evidence(totals));
         }
     }
--- a/crates/oatdale-mesh/src/member/upkeep.rs
+++ b/crates/oatdale-mesh/src/member/upkeep.rs
@@ -12,67 +12,67 @@
 use std::time::Duration;
 
 /// Nodes are looked over this often.
-const VIEW: Duration = Duration::from_secs(1);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
 /// Addresses to dial are looked for this often.
-const DIAL: Duration = Duration::from_millis(200);
+const DIAL_INTERVAL: Duration = Duration::from_millis(200);
 /// A link that neither side wants is closed after this.
-const UNWANTED: Duration = Duration::from_secs(5);
+const UNWANTED_LINK_TIMEOUT: Duration = Duration::from_secs(5);
 /// The larger id of two waits this long for the smaller one to dial.
-const DIAL_PATIENCE: Duration = Duration::from_secs(1);
+const LARGER_ID_DIAL_DELAY: Duration = Duration::from_secs(1);
 
 /// When to ask for the cards of hosts that this node may lack. Views that keep differing, as
 /// between two halves of the fleet, must not cost a whole list at every heartbeat.
 #[derive(Debug)]
 pub(crate) struct RosterSync {
-    next: Duration,
-    wait: Duration,
+    next_request: Duration,
+    interval: Duration,
 }
 
 impl RosterSync {
-    const FIRST: Duration = Duration::from_secs(1);
-    const LAST: Duration = Duration::from_secs(60);
+    const MIN_INTERVAL: Duration = Duration::from_secs(1);
+    const MAX_INTERVAL: Duration = Duration::from_secs(60);
 
     pub(crate) fn new(now: Duration) -> Self {
         RosterSync {
-            next: now,
-            wait: Self::FIRST,
+            next_request: now,
+            interval: Self::MIN_INTERVAL,
         }
     }
 
-    fn due(&mut self, now: Duration) -> bool {
-        if now < self.next {
+    fn poll_due(&mut self, now: Duration) -> bool {
+        if now < self.next_request {
             return false;
         }
-        self.next = now + self.wait;
-        self.wait = (self.wait * 2).min(Self::LAST);
+        self.next_request = now + self.interval;
+        self.interval = (self.interval * 2).min(Self::MAX_INTERVAL);
         true
     }
 
-    pub(crate) fn helped(&mut self) {
-        self.wait = Self::FIRST;
+    pub(crate) fn reset_backoff(&mut self) {
+        self.interval = Self::MIN_INTERVAL;
     }
 }
 
 impl Member {
-    pub(super) fn tick(&mut self) {
+    pub(super) fn on_tick(&mut self) {
         let now = self.now;
         self.check_joined();
-        self.fetch();
-        self.time_out_holds();
-        self.end_leave();
-        self.close_silent();
-        let forgotten = self
+        self.start_fetch();
+        self.expire_holds();
+        self.finish_leave();
+        self.close_silent_links();
+        let removed = self
             .roster
             .expire(self.timers.unlisted, self.timers.forget, now);
-        for gone in &forgotten {
-            self.shares.forget(gone.host);
+        for peer in &removed {
+            self.shares.forget_host(peer.host);
         }
         if self.roster.take_changed() {
-            self.changed();
+            self.on_membership_change();
         }
-        if now >= self.next_beat {
-            self.next_beat = now + self.beat_interval();
-            self.beat_all();
+        if now >= self.next_heartbeat {
+            self.next_heartbeat = now + self.heartbeat_interval();
+            self.send_heartbeats();
         }
         if now >= self.next_report {
             self.next_report = now + self.report_interval();
@@ -80,206 +80,210 @@
             self.send_evidence();
             self.send_reports();
         }
-        if now >= self.next_view {
-            self.next_view = now + VIEW;
-            self.look_over();
+        if now >= self.next_maintenance {
+            self.next_maintenance = now + MAINTENANCE_INTERVAL;
+            self.run_maintenance();
         }
         if now >= self.next_dial {
-            self.next_dial = now + DIAL;
+            self.next_dial = now + DIAL_INTERVAL;
             self.dial();
         }
     }
 
-    fn beat_all(&mut self) {
+    fn send_heartbeats(&mut self) {
         let hosts: Vec<HostId> = self.links.keys().copied().collect();
         for host in hosts {
-            self.send_beat(host);
+            self.send_heartbeat(host);
         }
         self.split_limits();
     }
 
-    fn is_small(&self) -> bool {
+    fn is_small_fleet(&self) -> bool {
         self.roster.present().count() < FULL_MESH
     }
 
     /// In a larger fleet heartbeats are half as frequent, and silence is borne for longer.
-    pub(super) fn beat_interval(&self) -> Duration {
-        match self.is_small() {
+    pub(super) fn heartbeat_interval(&self) -> Duration {
+        match self.is_small_fleet() {
             true => self.timers.beat,
             false => self.timers.beat * 2,
         }
     }
 
-    pub(super) fn suspect_after(&self) -> Duration {
-        match self.is_small() {
+    pub(super) fn suspect_timeout(&self) -> Duration {
+        match self.is_small_fleet() {
             true => self.timers.suspect,
             false => self.timers.suspect * 3 / 2,
         }
     }
 
-    fn look_over(&mut self) {
-        self.tell_evidence();
+    fn run_maintenance(&mut self) {
+        self.emit_evidence();
         self.find_orphans();
-        self.update_wanted();
+        self.update_wanted_links();
         self.prune_links();
         self.choose_watchers();
-        let views = self.roster.views(self.now);
+        let views = self.roster.peer_views(self.now);
         self.emit(Event::Peers(views));
     }
 
     /// What follows from a change of who is there.
-    pub(super) fn changed(&mut self) {
+    pub(super) fn on_membership_change(&mut self) {
         self.choose_holders();
         self.choose_watchers();
-        self.update_wanted();
-        let views = self.roster.views(self.now);
+        self.update_wanted_links();
+        let views = self.roster.peer_views(self.now);
         self.emit(Event::Peers(views));
     }
 
-    pub(super) fn own_beat(&self) -> Beat {
+    pub(super) fn local_heartbeat(&self) -> Beat {
         let flag = |on: bool, flag: u8| if on { flag } else { 0 };
-        let down = self.watching == Some(true) && self.local.service_up == Some(false);
+        let service_down = self.watching == Some(true) && self.local.service_up == Some(false);
         Beat {
             flags: flag(
-                self.local.accepting && self.leaving.is_none(),
+                self.local.accepting && self.leaving_since.is_none(),
                 FLAG_ACCEPTING,
-            ) | flag(self.leaving.is_some(), FLAG_LEAVING)
-                | flag(down, FLAG_SERVICE_DOWN),
+            ) | flag(self.leaving_since.is_some(), FLAG_LEAVING)
+                | flag(service_down, FLAG_SERVICE_DOWN),
             load: (self.local.load.clamp(0.0, 1.0) * 255.0) as u8,
-            in_force: self.spread.in_force(),
+            in_force: self.config_replica.in_force(),
             roster: self.roster_hash,
         }
     }
 
-    pub(super) fn send_beat(&mut self, host: HostId) {
-        self.roster_hash = self.roster.hash(&self.me);
-        let mut beat = self.own_beat();
-        if self.links.get(&host).is_some_and(|l| l.wanted_here) {
-            beat.flags |= FLAG_WANTED;
+    pub(super) fn send_heartbeat(&mut self, host: HostId) {
+        self.roster_hash = self.roster.view_hash(&self.local_card);
+        let mut heartbeat = self.local_heartbeat();
+        if self.links.get(&host).is_some_and(|l| l.wanted_locally) {
+            heartbeat.flags |= FLAG_WANTED;
         }
-        self.send(host, Message::Beat(beat));
+        self.send(host, Message::Beat(heartbeat));
     }
 
-    pub(super) fn set_local(&mut self, state: LocalState) {
-        let before = self.own_beat().flags;
+    pub(super) fn set_local_state(&mut self, state: LocalState) {
+        let flags_before = self.local_heartbeat().flags;
         let stops = state.stops.clone();
-        self.shares.set_own(&state.demand);
-        let me = (self.id, self.me.incarnation);
-        self.counters.set_own(me, &state.evidence, self.now);
+        self.shares.set_own_demand(&state.demand);
+        let process = (self.id, self.local_card.incarnation);
+        self.counters
+            .set_local_counters(process, &state.evidence, self.now);
         self.local = state;
-        self.stops(None, stops);
+        self.merge_stops(None, stops);
         // Callers must not be sent to a node that has stopped accepting: tell at once.
-        if self.own_beat().flags != before {
+        if self.local_heartbeat().flags != flags_before {
             let hosts: Vec<HostId> = self.links.keys().copied().collect();
             for host in hosts {
-                self.send_beat(host);
+                self.send_heartbeat(host);
             }
             self.choose_watchers();
         }
     }
 
-    pub(super) fn hosts(&mut self, list: &[ListedHost]) {
+    pub(super) fn on_host_list(&mut self, list: &[ListedHost]) {
         // A list without hosts is a fault of the platform; believing it would leave nobody to ask.
         if list.is_empty() {
             return;
         }
         self.dialer
-            .hint(list.iter().filter(|h| !h.leaving).map(|h| h.address));
+            .set_candidates(list.iter().filter(|h| !h.leaving).map(|h| h.address));
         self.roster
-            .list(list.iter().map(|h| (h.address, h.leaving)));
+            .set_listed_hosts(list.iter().map(|h| (h.address, h.leaving)));
         if self.roster.take_changed() {
-            self.changed();
+            self.on_membership_change();
         }
     }
 
-    pub(super) fn forward(&mut self, to: &str, payload: Bytes) {
+    pub(super) fn on_forward(&mut self, to: &str, payload: Bytes) {
         let host = HostId::of(to);
         let linked = self.links.contains_key(&host) && payload.len() <= MAX_RECORD;
         if linked {
             self.send(host, Message::Forward(payload));
         }
-        self.out.push(Output::Forwarded(linked));
+        self.outputs.push(Output::Forwarded(linked));
     }
 
-    pub(super) fn leave(&mut self) {
-        if self.leaving.is_some() {
+    pub(super) fn on_leave(&mut self) {
+        if self.leaving_since.is_some() {
             return;
         }
-        self.leaving = Some(self.now);
-        self.hand_over();
-        self.send_all(None, &Message::Leave);
+        self.leaving_since = Some(self.now);
+        self.hand_over_orphans();
+        self.broadcast(None, &Message::Leave);
     }
 
-    fn end_leave(&mut self) {
-        let Some(since) = self.leaving else { return };
-        if !self.ended && self.handed_over(since) {
+    fn finish_leave(&mut self) {
+        let Some(at) = self.leaving_since else { return };
+        if !self.ended && self.is_handover_complete(at) {
             self.ended = true;
             self.emit(Event::LeaveDone);
         }
     }
 
-    pub(super) fn roster_differs(&mut self, from: HostId) {
-        if self.sync.due(self.now) {
+    pub(super) fn request_cards(&mut self, from: HostId) {
+        if self.sync.poll_due(self.now) {
             self.send(from, Message::AskCards);
         }
     }
 
     /// Which links this node wants: the whole fleet while it is small; else its failure domain,
     /// its opposite reporters, the nodes that keep its records and those whose records it keeps.
-    pub(super) fn update_wanted(&mut self) {
-        let small = self.is_small();
-        let mine = self.domain;
-        let near = |domain: u32| small || domain == mine;
+    pub(super) fn update_wanted_links(&mut self) {
+        let small = self.is_small_fleet();
+        let own_domain = self.domain;
+        let linked_by_default = |domain: u32| small || domain == own_domain;
         let mut wanted: BTreeSet<HostId> = self
             .roster
             .present()
-            .filter(|(_, p)| near(p.domain))
+            .filter(|(_, p)| linked_by_default(p.domain))
             .map(|(h, _)| h)
             .collect();
-        wanted.extend(self.holds.holders());
-        let owners = self.holds.owners();
+        wanted.extend(self.record_store.holders());
+        let owners = self.record_store.owners();
         wanted.extend(owners.filter(|h| self.roster.get(*h).is_some()));
         if !small {
             let domains: BTreeSet<u32> = self.roster.present().map(|(_, p)| p.domain).collect();
-            for domain in domains.into_iter().filter(|d| *d != mine) {
-                let here = self.reporters(mine, domain).contains(&self.id);
+            for domain in domains.into_iter().filter(|d| *d != own_domain) {
+                let is_reporter = self.reporters(own_domain, domain).contains(&self.id);
                 wanted.extend(
-                    here.then(|| self.reporters(domain, mine))
+                    is_reporter
+                        .then(|| self.reporters(domain, own_domain))
                         .into_iter()
                         .flatten(),
                 );
             }
         }
         for (host, link) in &mut self.links {
-            link.wanted_here = wanted.contains(host);
+            link.wanted_locally = wanted.contains(host);
         }
         let now = self.now;
-        self.wanted.retain(|host, _| wanted.contains(host));
+        self.wanted_links.retain(|host, _| wanted.contains(host));
         for host in wanted {
-            self.wanted.entry(host).or_insert(now);
+            self.wanted_links.entry(host).or_insert(now);
         }
     }
 
     fn prune_links(&mut self) {
         let now = self.now;
-        let mut over = Vec::new();
+        let mut expired_conns = Vec::new();
         for link in self.links.values_mut() {
-            match link.wanted_here || link.wanted_there {
+            match link.wanted_locally || link.wanted_by_peer {
                 true => link.unwanted_since = None,
                 false => {
                     let since = *link.unwanted_since.get_or_insert(now);
-                    over.extend((now.saturating_sub(since) >= UNWANTED).then_some(link.conn));
+                    expired_conns.extend(
+                        (now.saturating_sub(since) >= UNWANTED_LINK_TIMEOUT).then_some(link.conn),
+                    );
                 }
             }
         }
-        for conn in over {
-            self.drop_conn(conn);
+        for conn in expired_conns {
+            self.close_conn(conn);
         }
     }
 
     /// A link whose other end has fallen silent may be half open: the host is gone but no packet
     /// says so. It is closed, and dialed again.
-    fn close_silent(&mut self) {
+    fn close_silent_links(&mut self) {
         let silent: Vec<super::Conn> = self
             .links
             .iter()
@@ -291,26 +295,31 @@
             .map(|(_, link)| link.conn)
             .collect();
         for conn in silent {
-            self.drop_conn(conn);
+            self.close_conn(conn);
         }
     }
 
     fn dial(&mut self) {
         let now = self.now;
-        let patient =
-            |host: HostId, since: Duration| self.id < host || now >= since + DIAL_PATIENCE;
+        let may_dial =
+            |host: HostId, since: Duration| self.id < host || now >= since + LARGER_ID_DIAL_DELAY;
         let wanted: Vec<SocketAddr> = self
-            .wanted
+            .wanted_links
             .iter()
-            .filter(|(host, since)| !self.links.contains_key(host) && patient(**host, **since))
+            .filter(|(host, since)| !self.links.contains_key(host) && may_dial(**host, **since))
             .filter_map(|(host, _)| self.roster.get(*host).map(|p| p.card.address))
             .collect();
-        let known: BTreeSet<SocketAddr> = self.roster.iter().map(|(_, p)| p.card.address).collect();
-        let mut dials = self.dialer.known(wanted.into_iter(), now);
+        let known_addresses: BTreeSet<SocketAddr> =
+            self.roster.iter().map(|(_, p)| p.card.address).collect();
+        let mut dials = self.dialer.known_hosts_to_dial(wanted.into_iter(), now);
         let links = self.links.len();
-        dials.extend(self.dialer.unknown(|a| known.contains(&a), links, now));
-        if self.leaving.is_none() {
-            self.out.extend(dials.into_iter().map(Output::Dial));
+        dials.extend(self.dialer.unknown_hosts_to_dial(
+            |a| known_addresses.contains(&a),
+            links,
+            now,
+        ));
+        if self.leaving_since.is_none() {
+            self.outputs.extend(dials.into_iter().map(Output::Dial));
         }
     }
 }
