--- a/crates/oatdale-mesh/src/member.rs
+++ b/crates/oatdale-mesh/src/member.rs
@@ -1,7 +1,7 @@
-//! One member of the mesh as a state machine without I/O and without a clock.
+//! A mesh member as a state machine without I/O and without a clock.
 //!
-//! Whatever happens is an [`Input`] at a time counted from the member's start; what it leads to is
-//! a list of [`Output`]s. The same code runs over sockets and over a test's in-memory links.
+//! Every occurrence is an [`Input`] at a time counted from the member's start and yields a list of
+//! [`Output`]s. The same code runs over sockets and over a test's in-memory links.
 
 mod config;
 mod counters;
@@ -34,34 +34,34 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Names one connection; the transport counts them.
+/// Identifies one connection; the transport numbers them.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct Conn(pub u64);
 
-/// Stops that are kept; the operators' text has far fewer versions.
+/// Maximum number of stopped versions kept; the operators' configuration names far fewer.
 const MAX_STOPS: usize = 1024;
 
-/// What a member is made of.
+/// The settings of a member.
 #[derive(Clone, Debug)]
 pub struct MemberConfig {
-    /// This node's card.
+    /// The card of this node, which describes it to peers.
     pub card: Card,
-    /// Nodes to ask first.
+    /// Nodes to contact first.
     pub seeds: Vec<SocketAddr>,
-    /// Nodes that keep each record.
+    /// Number of other nodes that hold a replica of each record.
     pub holders: u8,
     /// Timers.
     pub intervals: Intervals,
 }
 
-/// Something that happened.
+/// An occurrence that the member reacts to.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Input {
     /// A connection passed the handshake.
     Connected {
-        /// Its name.
+        /// The connection.
         conn: Conn,
-        /// Who is at the other end.
+        /// The card of the peer.
         card: Card,
         /// The address that was dialed, if this node dialed.
         dialed: Option<SocketAddr>,
@@ -72,21 +72,21 @@
     DialFailed {
         /// The address.
         address: SocketAddr,
-        /// Whether this node itself answered.
+        /// Whether the address turned out to be this node's own.
         myself: bool,
     },
     /// A frame arrived.
     Received {
-        /// On this connection.
+        /// The connection.
         conn: Conn,
-        /// What it says.
+        /// The messages received.
         frame: Frame,
     },
     /// See [`Command::Adopted`](crate::Command::Adopted).
     Adopted {
-        /// Its revision.
+        /// Revision of the configuration.
         revision: u64,
-        /// The whole text.
+        /// The complete document.
         document: Bytes,
     },
     /// See [`Command::Local`](crate::Command::Local).
@@ -95,54 +95,54 @@
     Hosts(Vec<ListedHost>),
     /// See [`Command::Hold`](crate::Command::Hold).
     Hold {
-        /// The request.
+        /// Id of the request.
         id: u128,
-        /// What to keep.
+        /// The record to replicate.
         record: Bytes,
     },
     /// See [`Command::Release`](crate::Command::Release).
     Release(Vec<u128>),
     /// See [`Command::Forward`](crate::Command::Forward).
     Forward {
-        /// The host's name.
+        /// Name of the destination host.
         to: String,
         /// The payload.
         payload: Bytes,
     },
     /// See [`Command::Leave`](crate::Command::Leave).
     Leave,
-    /// Time passed.
+    /// Time has passed; timers that are due fire.
     Tick,
 }
 
-/// Something to do.
+/// An action for the caller to take.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Output {
     /// Send a frame.
     Send {
-        /// On this connection.
+        /// The connection.
         conn: Conn,
-        /// What to send.
+        /// The messages to send.
         frame: Frame,
     },
     /// Connect to an address.
     Dial(SocketAddr),
-    /// Close a connection once what was sent before is written.
+    /// Close a connection once all earlier frames on it are written.
     Close(Conn),
-    /// Tell the node.
+    /// Pass an event to the node.
     Event(Event),
-    /// Answer a `Hold`.
+    /// Reply to a `Hold`.
     HoldDone {
-        /// The request.
+        /// Id of the request.
         id: u128,
-        /// How it ended.
+        /// The outcome.
         ack: HoldAck,
     },
-    /// Answer a `Forward`.
+    /// Reply to a `Forward`: whether the payload was handed to a link.
     Forwarded(bool),
 }
 
-/// One member.
+/// A mesh member.
 #[derive(Debug)]
 pub struct Member {
     local_card: Card,
@@ -171,28 +171,29 @@
     ended: bool,
     sync: RosterSync,
     roster_hash: u32,
-    /// Hosts to have a link to, and since when.
+    /// Hosts that this node needs a link to, and since when.
     wanted_links: BTreeMap<HostId, Duration>,
     outbox: BTreeMap<HostId, Vec<Message>>,
     outputs: Vec<Output>,
 }
 
-/// A connection that passed the handshake.
+/// An authenticated connection to a peer.
 #[derive(Debug)]
 struct Link {
     conn: Conn,
-    /// Whether the other side wants to keep it.
+    /// Whether the peer wants to keep it.
     wanted_by_peer: bool,
-    /// Whether this side does.
+    /// Whether this node wants to keep it.
     wanted_locally: bool,
-    /// Since when neither does.
+    /// Since when neither side has wanted it.
     unwanted_since: Option<Duration>,
-    /// Whether the smaller id of the two dialed it, which decides between two connections.
+    /// Whether the node with the smaller id dialed it, which decides which of two connections is
+    /// kept.
     dialed_by_smaller_id: bool,
 }
 
 impl Member {
-    /// A member that starts at `now`.
+    /// Creates a member that starts at `now`.
     pub fn new(cfg: MemberConfig, now: Duration) -> Self {
         let id = cfg.card.id();
         let domain = crate::types::name_hash(&cfg.card.domain);
@@ -229,7 +230,7 @@
         }
     }
 
-    /// Takes one input at a time that never goes back, and returns what it leads to.
+    /// Applies one input and returns the resulting actions; `now` must not decrease.
     pub fn handle(&mut self, input: Input, now: Duration) -> Vec<Output> {
         self.compensate_pause(now);
         match input {
@@ -250,33 +251,35 @@
         self.flush()
     }
 
-    /// This node's incarnation, which a joiner raises when its wall clock has gone back.
+    /// Incarnation of this process. A joining node raises it if its wall clock has gone back.
     pub fn incarnation(&self) -> u64 {
         self.local_card.incarnation
     }
 
-    /// The revision that this member holds, 0 for none.
+    /// Revision of the configuration held, 0 for none.
     pub fn revision(&self) -> u64 {
         self.config_replica.revision()
     }
 
-    /// Hosts that this member has a link to.
+    /// Hosts that this node has a link to.
     pub fn linked(&self) -> impl Iterator<Item = HostId> {
         self.links.keys().copied()
     }
 
-    /// Bytes of records that are kept for other nodes.
+    /// Memory taken by records held for other nodes, in bytes.
     pub fn held_bytes(&self) -> usize {
         self.record_store.held_bytes()
     }
 
-    /// A process that was paused notices it here: everyone it hears of gets as much more time as
-    /// the pause took. Without this it would suspect the whole fleet at its return and journal
-    /// the records of owners that are alive.
+    /// Extends the deadlines of all peers by the time that this process was paused. Otherwise it
+    /// would suspect the whole fleet when it resumes and journal the records of owners that are
+    /// alive.
     fn compensate_pause(&mut self, now: Duration) {
         let pause = now.saturating_sub(self.now);
         if pause > self.timers.suspect / 2 {
-            log::warn!("mesh: paused for {pause:?}; peers get as much more time");
+            log::warn!(
+                "mesh: process was paused for {pause:?}; peer deadlines are extended by this time"
+            );
             self.roster.shift(pause);
             self.summaries.shift(pause);
             self.shares.shift(pause);
@@ -299,7 +302,7 @@
         self.outputs.push(Output::Event(event));
     }
 
-    /// Links within this node's failure domain.
+    /// Hosts of this node's failure domain that it has a link to.
     fn domain_links(&self) -> Vec<HostId> {
         self.links
             .keys()
@@ -321,7 +324,7 @@
                     .map(|frame| Output::Send { conn, frame }),
             );
         }
-        // A close comes after what is still to be said on that connection.
+        // Frames queued for a connection go out before its close.
         out.append(&mut self.outputs);
         out
     }
--- a/crates/oatdale-mesh/src/member/config.rs
+++ b/crates/oatdale-mesh/src/member/config.rs
@@ -1,4 +1,4 @@
-//! How a member tells and asks others about the configuration.
+//! Exchanges the configuration with peers.
 
 use super::spread::{FetchReply, Progress};
 use super::{Member, settled};
@@ -7,11 +7,11 @@
 use crate::wire::{Chunk, Fetch, Message, Newest, Step};
 use bytes::Bytes;
 
-/// Nodes of a failure domain that watch the configuration's key.
+/// Number of nodes per failure domain that watch the configuration's key.
 const WATCHERS_PER_DOMAIN: usize = 2;
 
 impl Member {
-    /// The node has a configuration in force.
+    /// Records the configuration that the node has put into force.
     pub(super) fn on_adopted(&mut self, revision: u64, document: Bytes) {
         let first_adoption = !self.config_replica.joined();
         self.set_joined();
@@ -74,14 +74,15 @@
         self.broadcast(except, &Message::Newest(newest));
     }
 
-    /// Asks a peer if there is something newer to have.
+    /// Requests a newer configuration from a peer if one offers it.
     pub(super) fn start_fetch(&mut self) {
         if let Some((host, fetch)) = self.config_replica.next_fetch(self.now) {
             self.send(host, Message::Fetch(fetch));
         }
     }
 
-    /// A joiner takes nothing before it has asked enough peers.
+    /// Completes the join once enough peers have answered or the join timeout has passed; until
+    /// then no configuration is fetched.
     pub(super) fn check_joined(&mut self) {
         if self.config_replica.joined() {
             return;
@@ -105,9 +106,9 @@
 
     /// Decides whether this node watches the configuration's key.
     ///
-    /// The first few in the domain's order always do. Those that get no answer from the service
-    /// stay on and more are added behind them, so that a node which alone reaches the service is
-    /// found.
+    /// The first few nodes in the failure domain's order always watch it. Those that get no answer
+    /// from the key-value service keep watching and further nodes are added after them, so that a
+    /// node which alone reaches the service is found.
     pub(super) fn choose_watchers(&mut self) {
         let salt = rank::watch_salt(self.domain);
         let own_service_down = self.local.service_up == Some(false);
--- a/crates/oatdale-mesh/src/member/counters.rs
+++ b/crates/oatdale-mesh/src/member/counters.rs
@@ -1,31 +1,31 @@
-//! Evidence: counters that only rise, merged by maximum for each process.
+//! Evidence about versions: monotonic counters, merged by maximum for each process.
 
 use crate::types::{HostId, VersionCounters};
 use crate::wire::HostCounters;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Counters of one version at most.
+/// Maximum number of counters per version.
 const MAX_COUNTERS_PER_VERSION: usize = 16;
-/// Versions of one process at most.
+/// Maximum number of versions per process.
 const MAX_VERSIONS: usize = 256;
-/// Processes of this failure domain that are remembered at most.
+/// Maximum number of processes of this failure domain that are kept.
 const MAX_PROCESSES: usize = 512;
 
 type Counts = BTreeMap<u32, Vec<u64>>;
 
-/// Counters of the processes of this failure domain, and sums of the others.
+/// Counters of each process in this failure domain, and sums over each other domain.
 #[derive(Debug, Default)]
 pub(crate) struct Counters {
     processes: BTreeMap<(HostId, u64), (Duration, Counts)>,
     domains: BTreeMap<u32, Counts>,
-    /// What peers in this failure domain were told of this process.
+    /// Counters of this process that were sent to peers in this failure domain.
     sent_to_domain: Counts,
     reported_totals: Counts,
 }
 
 impl Counters {
-    /// Takes this process's own counters.
+    /// Sets the counters of this process.
     pub(crate) fn set_local_counters(
         &mut self,
         id: (HostId, u64),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Takes the sums of another failure domain; different reporters' sums merge by maximum.
+    /// Merges the sums of another failure domain; sums from different reporters merge by maximum.
     pub(crate) fn merge_domain(&mut self, domain: u32, counts: &[(u32, Vec<u64>)]) {
         merge_max(self.domains.entry(domain).or_default(), counts);
     }
@@ -68,7 +68,7 @@
         self.domains.get(&domain).map(to_pairs).unwrap_or_default()
     }
 
-    /// What this process counted since the last call.
+    /// Returns the counters of this process that changed since the last call.
     pub(crate) fn take_local_changes(&mut self, id: (HostId, u64)) -> Option<HostCounters> {
         let (_, own) = self.processes.get(&id)?;
         let counts = changed_counts(own, &self.sent_to_domain);
@@ -80,7 +80,7 @@
         })
     }
 
-    /// Everything about this failure domain, for a peer in it.
+    /// Counters of all processes in this failure domain, for a peer in it.
     pub(crate) fn process_counters(&self) -> Vec<HostCounters> {
         self.processes
             .iter()
@@ -92,7 +92,7 @@
             .collect()
     }
 
-    /// Sums over this failure domain that changed against `sent`.
+    /// Returns sums over this failure domain that differ from `sent`, and adds them to `sent`.
     pub(crate) fn take_domain_changes(&self, sent: &mut Counts) -> Vec<(u32, Vec<u64>)> {
         let sums = sum_by_version(self.processes.values().map(|(_, counts)| counts));
         let counts = changed_counts(&sums, sent);
@@ -100,7 +100,7 @@
         counts
     }
 
-    /// Sums over everyone but this process, if they changed since the last call.
+    /// Returns sums over all other processes if they changed since the last call.
     pub(crate) fn take_totals(
         &mut self,
         local_process: (HostId, u64),
--- a/crates/oatdale-mesh/src/member/dialer.rs
+++ b/crates/oatdale-mesh/src/member/dialer.rs
@@ -1,4 +1,4 @@
-//! Which addresses to connect to, and when to try again.
+//! Chooses addresses to dial, with back-off after failures.
 
 use crate::rank;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,21 +8,21 @@
 
 const MIN_BACKOFF: Duration = Duration::from_millis(200);
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
-/// A dial that brought neither a connection nor a failure counts as failed after this.
+/// Time after which a dial with neither a connection nor a failure counts as failed.
 const DIAL_TIMEOUT: Duration = Duration::from_secs(4);
-/// Addresses of unknown hosts that are tried at once.
+/// Maximum number of concurrent dials to addresses of unknown hosts.
 const MAX_UNKNOWN_DIALS: usize = 4;
-/// Links from which on unknown hosts are tried at leisure.
+/// Number of links at which dials to unknown hosts slow down to [`SLOW_DISCOVERY_INTERVAL`].
 const SLOW_DISCOVERY_LINKS: usize = 3;
-/// How often one of them is tried then.
+/// Interval between dials to unknown hosts once there are enough links.
 const SLOW_DISCOVERY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Addresses to try.
+/// Addresses to dial and the state of each attempt.
 #[derive(Debug)]
 pub(crate) struct Dialer {
     own_address: SocketAddr,
-    /// Addresses of the settings, which no list replaces: the platform's lags, and one without a
-    /// fleet that has just come up would leave each of its nodes alone.
+    /// Addresses from the settings. The platform's host list never replaces them: it lags, and a
+    /// list without a fleet that has just started would leave each of its nodes isolated.
     seeds: BTreeSet<SocketAddr>,
     candidates: BTreeSet<SocketAddr>,
     attempts: BTreeMap<SocketAddr, DialState>,
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 struct DialState {
     failures: u32,
-    /// While dialing: when to give up; else: when to dial again.
+    /// While dialing: when the dial times out. Otherwise: when to dial again.
     due_at: Duration,
     dialing: bool,
 }
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Replaces what the last list added to the seeds.
+    /// Replaces the addresses from the previous host list; the seeds stay.
     pub(crate) fn set_candidates(&mut self, hosts: impl Iterator<Item = SocketAddr>) {
         self.candidates = hosts.filter(|a| *a != self.own_address).collect();
         self.candidates.extend(&self.seeds);
@@ -64,7 +64,8 @@
             .retain(|a, t| t.dialing || candidates.contains(a));
     }
 
-    /// Seeds of which no card speaks; `None` once they are too old to count on.
+    /// Number of candidate addresses that belong to no known host; 0 once `max_age` has passed
+    /// since the start, when they are too old to rely on.
     pub(crate) fn unknown_candidate_count(
         &self,
         is_known: impl Fn(SocketAddr) -> bool,
@@ -77,7 +78,7 @@
         }
     }
 
-    /// How many hosts there are to ask, as far as is known before any answered.
+    /// Number of hosts to ask, as far as is known before any has answered.
     pub(crate) fn candidate_count(&self) -> usize {
         self.candidates.len()
     }
@@ -105,7 +106,7 @@
         entry.dialing = false;
     }
 
-    /// Which of the addresses of known hosts to dial now.
+    /// Selects the addresses of known hosts to dial now.
     pub(crate) fn known_hosts_to_dial(
         &mut self,
         wanted: impl Iterator<Item = SocketAddr>,
@@ -117,8 +118,9 @@
             .collect()
     }
 
-    /// Which hints that belong to no known host to dial now: all at once while there are few
-    /// links, else one now and then, which is how two halves find each other after a long cut.
+    /// Selects candidate addresses of unknown hosts to dial now: several at once while there are
+    /// few links, otherwise one per [`SLOW_DISCOVERY_INTERVAL`], by which the two sides of a fleet
+    /// find each other after a long network partition.
     pub(crate) fn unknown_hosts_to_dial(
         &mut self,
         is_known: impl Fn(SocketAddr) -> bool,
--- a/crates/oatdale-mesh/src/member/holds.rs
+++ b/crates/oatdale-mesh/src/member/holds.rs
@@ -1,4 +1,7 @@
-//! Bill records that nodes keep for one another until the journal has them.
+//! Replicates bill records to other nodes until the journal has them.
+//!
+//! The owner of a record is the node that serves its request; a holder keeps a replica of it in
+//! memory.
 
 use super::{Member, Output};
 use crate::rank;
@@ -8,39 +11,42 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Bytes kept for other nodes at most; beyond it a record is not confirmed.
+/// Limit on the memory for replicas of other nodes' records; beyond it a record is not
+/// acknowledged.
 const MAX_HELD_BYTES: usize = 16 * 1024 * 1024;
-/// Own records that wait for the journal at most; beyond it a hold ends at once without copies.
+/// Maximum number of this node's records awaiting the journal; beyond it a hold ends at once
+/// without copies.
 const MAX_OWNED_RECORDS: usize = 65_536;
-/// Memory of a kept record besides its bytes.
+/// Memory per replica besides the record's bytes.
 const RECORD_OVERHEAD_BYTES: usize = 128;
-/// What is kept here and what others keep for this node.
+
+/// This node's records and the replicas that it holds for other nodes.
 #[derive(Debug, Default)]
 pub(crate) struct RecordStore {
     pub(super) owned: BTreeMap<u128, OwnedRecord>,
     last_seq: u64,
-    /// Nodes that keep this node's records.
+    /// Nodes that hold this node's records.
     holders: Vec<HostId>,
     hold_deadlines: VecDeque<(Duration, u128)>,
     pub(super) replicas: BTreeMap<u128, Replica>,
     replica_bytes: usize,
-    /// Records that a leaving node still wants to be confirmed by others.
+    /// Records that this node, while leaving, has handed over and that are not yet acknowledged.
     pub(super) pending_handover: BTreeSet<u128>,
 }
 
-/// A record of this node's.
+/// A record of a request that this node serves.
 #[derive(Debug)]
 pub(super) struct OwnedRecord {
     record: Bytes,
     seq: u64,
-    /// Who has confirmed this record.
+    /// Holders that have acknowledged this `seq` of the record.
     pub(super) acks: BTreeSet<HostId>,
-    /// Who may have this or an earlier record of the id.
+    /// Nodes that may hold this or an earlier record of the same id.
     sent_to: BTreeSet<HostId>,
     reply_sent: bool,
 }
 
-/// A record kept for another node.
+/// A replica of another node's record.
 #[derive(Debug)]
 pub(super) struct Replica {
     pub(super) record: Record,
@@ -58,13 +64,13 @@
         &self.holders
     }
 
-    /// Whose records are kept here. A release may have been lost with a link that the owner no
-    /// longer needs, so the holder sees to it that there is one.
+    /// Owners of the replicas held here. A release may have been lost with a link that the owner no
+    /// longer needs, so the holder makes sure that there is a link to the owner.
     pub(crate) fn owners(&self) -> impl Iterator<Item = HostId> {
         self.replicas.values().map(|k| k.record.owner)
     }
 
-    /// A host has lost what it kept.
+    /// Discards the acknowledgements of a restarted host, which has lost its replicas.
     pub(crate) fn clear_acks(&mut self, host: HostId) {
         for owned in self.owned.values_mut() {
             owned.acks.remove(&host);
@@ -72,7 +78,7 @@
         }
     }
 
-    /// Keeps a record unless a later one of its id is kept; `false` if there is no room.
+    /// Stores a replica unless a later one of the same id is held; `false` if there is no room.
     fn insert_replica(&mut self, record: Record, now: Duration) -> bool {
         let version = |r: &Record| (r.incarnation, r.seq);
         let old = self
@@ -116,7 +122,9 @@
             && !self.record_store.owned.contains_key(&id);
         if full || record.len() > MAX_RECORD {
             log::warn!(
-                "mesh: record {id:032x} of {} bytes can't be held",
+                "mesh: cannot replicate record {id:032x} of {} bytes: the limits are \
+                 {MAX_RECORD} bytes per record and {MAX_OWNED_RECORDS} records awaiting \
+                 the journal",
                 record.len()
             );
             return self.emit_hold_done(id, 0);
@@ -201,7 +209,7 @@
         self.emit_hold_done(id, copies);
     }
 
-    /// Others confirm records: this node's own, or those that it hands over while leaving.
+    /// Handles acknowledgements of this node's records, or of those it hands over while leaving.
     pub(super) fn on_held(&mut self, from: HostId, ids: &[HeldId]) {
         let required = self
             .record_store
@@ -215,8 +223,8 @@
                 self.record_store.pending_handover.remove(&held_id.id);
                 continue;
             }
-            // A record of a former incarnation is not this process's to judge: releasing it would
-            // lose a bill that only its holders have.
+            // A record of an earlier incarnation is not this process's to release: its holders may
+            // have the only copies of a bill.
             if held_id.incarnation != self.local_card.incarnation {
                 continue;
             }
@@ -238,7 +246,7 @@
         self.send_owned(from, &outdated);
     }
 
-    /// Keeps what others ask to keep.
+    /// Stores replicas for a peer and acknowledges them.
     pub(super) fn store_replicas(&mut self, from: HostId, records: Vec<Record>) {
         let mut stored = Vec::new();
         for record in records {
@@ -246,7 +254,11 @@
             match record.owner == self.id {
                 true => {}
                 false if self.record_store.insert_replica(record, self.now) => stored.push(id),
-                false => log::warn!("mesh: no room to hold {:032x}", id.id),
+                false => log::warn!(
+                    "mesh: no room for a replica of record {:032x}: the limits are {MAX_RECORD} \
+                     bytes per record and {MAX_HELD_BYTES} bytes in total",
+                    id.id
+                ),
             }
         }
         if !stored.is_empty() {
@@ -254,12 +266,12 @@
         }
     }
 
-    /// The journal has these, says this node.
+    /// Handles this node's notice that the journal has these records.
     pub(super) fn on_release(&mut self, ids: &[u128]) {
         let mut release_to: BTreeMap<HostId, Vec<u128>> = BTreeMap::new();
         for id in ids {
-            // A request may wait for copies that a slow holder has not confirmed; once the record
-            // is gone nothing else would ever answer it.
+            // The request may still wait for a slow holder; once the record is removed, nothing
+            // else would answer its hold.
             self.reply_to_hold(*id);
             let recipients = self
                 .record_store
@@ -280,15 +292,16 @@
         }
     }
 
-    /// The journal has these, says another node.
+    /// Handles a peer's notice that the journal has these records.
     pub(super) fn on_peer_release(&mut self, ids: &[u128]) {
         for id in ids {
             self.record_store.remove_replica(*id);
         }
     }
 
-    /// What a new link begins with: this node's records for a holder, and the list of what is kept
-    /// for the other side, which releases what the journal has got in the meantime.
+    /// Sends the initial messages about records on a new link: this node's records if the peer is a
+    /// holder, and the ids of the replicas held for the peer, which releases those that have reached
+    /// the journal in the meantime.
     pub(super) fn sync_records(&mut self, host: HostId) {
         self.send_unacked(host);
         let Some(peer) = self.roster.get(host) else {
@@ -307,7 +320,7 @@
         }
     }
 
-    /// Sends a holder every record that it has not confirmed.
+    /// Sends a holder every record that it has not acknowledged.
     fn send_unacked(&mut self, host: HostId) {
         if !self.record_store.holders.contains(&host) {
             return;
@@ -322,7 +335,7 @@
         self.send_owned(host, &unacked);
     }
 
-    /// Sends everything again, under a new incarnation.
+    /// Sends all records again under a new incarnation.
     pub(super) fn resend_owned(&mut self) {
         for owned in self.record_store.owned.values_mut() {
             owned.acks.clear();
@@ -332,10 +345,10 @@
         }
     }
 
-    /// Picks the nodes that keep this node's records: in failure domains other than its own and
-    /// each other's as far as there are any, the first in this node's own order. The order alone
-    /// keeps them the same for long. Preferring those chosen before would leave the bills of a
-    /// whole fleet with the few nodes that were there first.
+    /// Chooses the holders of this node's records: in failure domains other than its own and each
+    /// other's as far as possible, first in this node's rendezvous order. That order alone keeps
+    /// the choice stable. Preferring earlier holders would concentrate the records of the whole
+    /// fleet on the few nodes that started first.
     pub(super) fn choose_holders(&mut self) {
         let mut chosen: Vec<HostId> = Vec::new();
         for _ in 0..self.holders {
@@ -367,7 +380,7 @@
         }
     }
 
-    /// Answers holds that waited long enough.
+    /// Replies to holds whose timeout has passed.
     pub(super) fn expire_holds(&mut self) {
         while let Some((at, id)) = self.record_store.hold_deadlines.front().copied()
             && at <= self.now
--- a/crates/oatdale-mesh/src/member/inbox.rs
+++ b/crates/oatdale-mesh/src/member/inbox.rs
@@ -1,4 +1,4 @@
-//! What a member does with connections and messages.
+//! Handles connections and incoming messages.
 
 use super::roster::CardUpdate;
 use super::{Conn, Link, MAX_STOPS, Member, Output};
@@ -19,7 +19,7 @@
         let dialed_by_smaller_id = dialed.is_some() == (self.id < host);
         match self.links.get(&host) {
             _ if update == CardUpdate::Stale => return self.refuse_stale(conn, card),
-            // Both dialed at once: both sides keep the connection of the smaller id.
+            // Both nodes dialed at once: both keep the connection dialed by the smaller id.
             Some(old)
                 if update == CardUpdate::Unchanged
                     && old.dialed_by_smaller_id
@@ -49,10 +49,11 @@
         self.sync_new_link(host, update);
     }
 
-    /// The process at the other end is an older one of its host, or runs under this host's name.
+    /// Refuses a connection from an earlier process of a host, or from one that uses this host's
+    /// name, and tells it the latest incarnation.
     fn refuse_stale(&mut self, conn: Conn, card: Card) {
         log::warn!(
-            "mesh: refused a process of {} that is known to be gone",
+            "mesh: refused a process of host {}: its card is stale or has this host's name",
             card.host
         );
         let incarnation = self
@@ -67,7 +68,7 @@
         self.outputs.push(Output::Close(conn));
     }
 
-    /// What a new link begins with.
+    /// Sends the initial messages on a new link.
     fn sync_new_link(&mut self, host: HostId, update: CardUpdate) {
         let newest = self.config_replica.newest();
         self.send(host, Message::Newest(newest));
@@ -155,7 +156,7 @@
     }
 
     fn on_heartbeat(&mut self, from: HostId, heartbeat: &Beat) {
-        // Only a summary's reporter suspects somebody in a beat.
+        // The suspect flag has a meaning only in a domain summary, where the reporter sets it.
         let flags = heartbeat.flags & !FLAG_SUSPECT;
         self.roster.apply_heartbeat(
             from,
@@ -173,8 +174,8 @@
         }
     }
 
-    /// Cards of third parties. Those that are new here go on to all other links, so that a joiner
-    /// is known everywhere after a few hops.
+    /// Handles cards of third parties. New ones are forwarded on all other links, so that a joining
+    /// node is known everywhere after a few hops.
     fn on_cards(&mut self, from: HostId, cards: &[Card]) {
         let mut new_cards = Vec::new();
         for card in cards {
@@ -201,7 +202,7 @@
             && let Some(peer) = self.roster.get(host)
         {
             log::info!(
-                "mesh: {update:?} {} in {}",
+                "mesh: {update:?} process of host {} in failure domain {}",
                 peer.card.host,
                 peer.card.domain
             );
@@ -209,16 +210,16 @@
         if update == CardUpdate::Restarted {
             self.shares.forget_host(host);
             self.record_store.clear_acks(host);
-            // A link to the former process is of no use; the transport notices late.
+            // A link to the previous process is useless, and the transport detects its loss late.
             if let Some(conn) = self.links.get(&host).map(|l| l.conn) {
                 self.close_conn(conn);
             }
         }
     }
 
-    /// Somebody knows a later process of this very host. A joiner whose wall clock went back takes
-    /// a higher incarnation; a process that was paused while its successor started must stop, or
-    /// two would serve under one name.
+    /// Handles the card of a later process of this same host. A joining node whose wall clock has
+    /// gone back takes a higher incarnation; a process that was paused while its successor started
+    /// must stop, or two processes would serve under one name.
     fn on_own_card(&mut self, card: &Card) {
         match card.incarnation {
             seen_incarnation if seen_incarnation <= self.local_card.incarnation => {}
@@ -231,7 +232,7 @@
             }
             seen_incarnation => {
                 log::error!(
-                    "mesh: a later process runs as {}; this one stops",
+                    "mesh: a later process runs under the host name {}; this process stops",
                     self.local_card.host
                 );
                 self.ended = true;
@@ -260,7 +261,8 @@
         self.on_membership_change();
     }
 
-    /// Stops spread to everyone at once; the one of the highest revision stays.
+    /// Merges stopped versions, keeping the highest revision of each, and forwards new ones to all
+    /// links at once.
     pub(super) fn merge_stops(&mut self, from: Option<HostId>, stops: Vec<Stop>) {
         let mut new_stops = Vec::new();
         for stop in stops {
--- a/crates/oatdale-mesh/src/member/limits.rs
+++ b/crates/oatdale-mesh/src/member/limits.rs
@@ -1,4 +1,4 @@
-//! From who is there to parts of the customers' limits.
+//! Splits customers' limits over the hosts in the roster.
 
 use super::Member;
 use super::shares::{Claimant, Liveness};
@@ -6,12 +6,12 @@
 use crate::types::{Event, PeerState};
 use std::time::Duration;
 
-/// How long a node that has just come uses little rather than guess what hosts use that it has
-/// not met.
+/// Time for which a newly started node uses little of the limits while there are hosts that it has
+/// not heard from, because it can't know what those use.
 const DISCOVERY_GRACE: Duration = Duration::from_secs(60);
 
 impl Member {
-    /// Computes this node's parts of the limits and tells them.
+    /// Computes this node's shares of the limits and passes them to the node.
     pub(super) fn split_limits(&mut self) {
         if !self.config_replica.joined() {
             return;
@@ -33,16 +33,16 @@
         }
     }
 
-    /// How long it takes until everyone has heard of a change, or has noticed that it can't hear.
+    /// Time until every node has received a change, or has detected that it can't receive it.
     fn propagation_delay(&self) -> Duration {
         let stale_after = self.report_interval() * STALE_INTERVALS;
         stale_after.max(self.suspect_timeout()) + self.heartbeat_interval() * 2
     }
 
-    /// Everyone who has a part, and how many hosts there are of which nothing was heard.
+    /// All claimants of shares, and the number of hosts that were never heard from.
     ///
-    /// A node may be cut off from a host before it ever heard it. What that host uses is not
-    /// known then; to count it as idle would hand its part to others.
+    /// A node may be partitioned from a host before it ever hears from it. What that host uses is
+    /// then unknown; counting it as idle would give its share to others.
     fn claimants(&self) -> (Vec<(Claimant, Liveness)>, usize) {
         let mut claims = Vec::new();
         let mut uncontacted = 0;
@@ -70,7 +70,7 @@
         (claims, uncontacted)
     }
 
-    /// How many hosts are listed but not known.
+    /// Number of hosts that are listed but not in the roster.
     fn unknown_host_count(&self) -> usize {
         let is_known = |a| self.roster.iter().any(|(_, p)| p.card.address == a);
         match self.roster.unknown_listed_count(self.local_card.address) {
--- a/crates/oatdale-mesh/src/member/orphans.rs
+++ b/crates/oatdale-mesh/src/member/orphans.rs
@@ -1,4 +1,4 @@
-//! Held records whose owner is gone, and what a leaving node does with what it holds.
+//! Handles replicas whose owner is gone, and hands over replicas when this node leaves.
 
 use super::Member;
 use crate::rank;
@@ -7,21 +7,21 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// After an owner is gone its holders first tell each other what they have: one may hold the
-/// closing record of a request where the other has only the opening one, and a caller would be
-/// billed as interrupted for a whole answer.
+/// Time for which the holders of a gone owner first exchange their records. One may have the
+/// closing record of a request where the other has only the opening one, and the caller would be
+/// billed as interrupted for a complete answer.
 const ORPHAN_EXCHANGE_DELAY: Duration = Duration::from_secs(1);
-/// The second holder waits longer, so that usually only one appends to the journal.
+/// Additional delay of the second holder, so that usually only one appends to the journal.
 const SECOND_HOLDER_DELAY: Duration = Duration::from_secs(5);
-/// Orphans that were not released are told again.
+/// Interval at which orphans that were not released are reported again.
 const ORPHAN_REPORT_INTERVAL: Duration = Duration::from_secs(30);
-/// Orphans in one event.
+/// Maximum number of orphans in one event.
 const MAX_ORPHANS_PER_EVENT: usize = 512;
-/// How long a leaving node waits for those who take over what it holds.
+/// Time that a leaving node waits for its replicas to be taken over.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Member {
-    /// Looks for records whose owner is gone.
+    /// Finds replicas whose owner is gone and reports them to the node.
     pub(super) fn find_orphans(&mut self) {
         let mut to_exchange: BTreeMap<HostId, Vec<Record>> = BTreeMap::new();
         let mut to_report = Vec::new();
@@ -64,7 +64,10 @@
             self.send_records(host, records);
         }
         if !to_report.is_empty() {
-            log::warn!("mesh: {} held records whose owner is gone", to_report.len());
+            log::warn!(
+                "mesh: reporting {} replicas of records whose owner is gone",
+                to_report.len()
+            );
             self.emit(Event::Orphans(to_report));
         }
     }
@@ -75,8 +78,8 @@
         }
     }
 
-    /// A leaving node gives records whose owner is gone to somebody else. Those whose owner is
-    /// there are sent by the owner itself, which hears that this node leaves.
+    /// Sends replicas whose owner is gone to another node. Owners that are alive learn that this
+    /// node leaves and send their records to a new holder themselves.
     pub(super) fn hand_over_orphans(&mut self) {
         let orphans: Vec<Record> = self
             .record_store
--- a/crates/oatdale-mesh/src/member/roster.rs
+++ b/crates/oatdale-mesh/src/member/roster.rs
@@ -1,4 +1,4 @@
-//! Who is there, as this member sees it.
+//! Membership as this member sees it.
 
 use crate::rank;
 use crate::types::{HostId, PeerState, PeerView, name_hash};
@@ -7,26 +7,27 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Hosts that are remembered at most, ten times the fleet in two years.
+/// Maximum number of hosts remembered: ten times the size of the fleet expected in two years.
 const MAX_PEERS: usize = 4096;
-/// How long a host that left stays visible to operators.
+/// Time for which a host that has left stays visible to operators.
 const LEFT_RETENTION: Duration = Duration::from_secs(30);
-/// How long the incarnation of a host that is gone is remembered. A late card of a dead process
-/// must not bring it back to life; operators would see a ghost among the nodes.
+/// Time for which the incarnation of a removed host is remembered. A late card of a dead process
+/// must not add it again; operators would see a node that does not exist.
 const DEPARTED_RETENTION: Duration = Duration::from_secs(1200);
 
-/// The hosts that this member knows, without itself.
+/// The hosts known to this member, without itself.
 #[derive(Debug)]
 pub(crate) struct Roster {
     own_id: HostId,
     peers: BTreeMap<HostId, Peer>,
     departed: BTreeMap<HostId, (u64, Duration)>,
     listed: Option<BTreeMap<SocketAddr, bool>>,
-    /// Whether the set of hosts or a state changed since it was last asked.
+    /// Whether the set of hosts or a state changed since the last
+    /// [`take_changed`](Self::take_changed).
     changed: bool,
 }
 
-/// One host.
+/// A known host.
 #[derive(Debug)]
 pub(crate) struct Peer {
     pub(crate) card: Card,
@@ -35,31 +36,32 @@
     pub(crate) load: u8,
     pub(crate) revision: u64,
     revision_at: Duration,
-    /// The host counts as alive until then unless it is heard of again.
+    /// Time until which the host counts as alive without further contact.
     alive_until: Duration,
     pub(crate) suspect_since: Option<Duration>,
     left_at: Option<Duration>,
     listed_leaving: bool,
-    /// Whether this process was ever heard itself.
+    /// Whether a message was ever received from this process itself.
     pub(crate) contacted: bool,
-    /// Whether the platform listed the address since this process was first heard of.
+    /// Whether the platform has listed the address since this process became known.
     was_listed: bool,
 }
 
-/// What a card changed.
+/// The effect of a card on the roster.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum CardUpdate {
     /// The host was not known.
     New,
-    /// The host has restarted.
+    /// The host has restarted with a higher incarnation.
     Restarted,
-    /// Nothing new.
+    /// The process was known already.
     Unchanged,
-    /// The card is of a process that is known to be gone.
+    /// The card is rejected: its process is known to be gone, it carries this host's own name, or
+    /// the roster is full.
     Stale,
 }
 
-/// Why a host was forgotten.
+/// A host that was removed from the roster.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) struct RemovedPeer {
     pub(crate) host: HostId,
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Whether new duties may be given to the host.
+    /// Whether the host may be given new work.
     pub(crate) fn usable(&self) -> bool {
         self.state() == PeerState::Alive && !self.is_leaving()
     }
@@ -124,7 +126,7 @@
         self.peers.len()
     }
 
-    /// Takes in a card; `from_process` if the process itself showed it just now.
+    /// Applies a card; `from_process` if the process itself has just sent it.
     pub(crate) fn apply_card(
         &mut self,
         card: &Card,
@@ -174,7 +176,7 @@
         }
     }
 
-    /// A message came from the host itself.
+    /// Records a message from the host itself.
     pub(crate) fn record_contact(&mut self, host: HostId, until: Duration) {
         if let Some(peer) = self.peers.get_mut(&host) {
             peer.contacted = true;
@@ -201,7 +203,7 @@
         peer.revision_at = now;
     }
 
-    /// A summary speaks of a host that this member has no link to.
+    /// Applies the state in a summary for a host that this member has no link to.
     pub(crate) fn apply_reported_state(
         &mut self,
         host: HostId,
@@ -236,7 +238,8 @@
         }
     }
 
-    /// The platform's list, late as it is: a hint for leaving and for who is gone.
+    /// Applies the platform's host list. As the list lags, it is only a hint on which hosts are
+    /// leaving or gone.
     pub(crate) fn set_listed_hosts(&mut self, hosts: impl Iterator<Item = (SocketAddr, bool)>) {
         self.listed = Some(hosts.collect());
         let listed = self.listed.as_ref();
@@ -253,7 +256,7 @@
         self.listed.as_ref().and_then(|l| l.get(&address)) == Some(&true)
     }
 
-    /// Listed hosts that are not leaving and that no card speaks of.
+    /// Number of listed hosts that are not leaving and have no card here.
     pub(crate) fn unknown_listed_count(&self, own_address: SocketAddr) -> Option<usize> {
         let listed = self.listed.as_ref()?;
         let is_known =
@@ -266,7 +269,7 @@
         )
     }
 
-    /// Suspects who was not heard of and forgets who is gone for good.
+    /// Suspects hosts that have fallen silent and removes those whose timeout has passed.
     pub(crate) fn expire(
         &mut self,
         unlisted_timeout: Duration,
@@ -300,10 +303,10 @@
             .collect()
     }
 
-    /// A host that the platform still lists may be cut off rather than dead: its share of the
-    /// limits stays reserved until the list drops it or `forget_timeout` is over. A list that is older
-    /// than the process says nothing of it; were it believed, a host that was restarted and then
-    /// cut off would be forgotten within seconds and its share used twice.
+    /// Whether to remove a host. One that the platform still lists may be partitioned rather than
+    /// dead: its share of the limits stays reserved until the list drops it or `forget_timeout` has
+    /// passed. A list older than the process says nothing about it; if it were trusted, a host that
+    /// restarts and is then cut off would be removed within seconds and its share used twice.
     fn is_expired(
         &self,
         peer: &Peer,
@@ -329,7 +332,7 @@
         }
     }
 
-    /// How long a process has been gone; `None` while it may be alive.
+    /// Returns how long a process has been gone; `None` while it may be alive.
     pub(crate) fn gone_duration(
         &self,
         host: HostId,
@@ -346,7 +349,7 @@
         }
     }
 
-    /// The latest incarnation of a host that was heard of, 0 for none.
+    /// Latest known incarnation of a host, 0 for none.
     pub(crate) fn last_incarnation(&self, host: HostId) -> u64 {
         let last_departed = self
             .departed
@@ -358,7 +361,7 @@
             .max(last_departed)
     }
 
-    /// Gives everyone more time after this process was paused.
+    /// Extends all deadlines after this process was paused.
     pub(crate) fn shift(&mut self, pause: Duration) {
         for peer in self.peers.values_mut() {
             peer.alive_until += pause;
@@ -366,7 +369,7 @@
         }
     }
 
-    /// A hash over the hosts that are known, itself included.
+    /// Hash over all known hosts, this one included.
     pub(crate) fn view_hash(&self, local_card: &Card) -> u32 {
         let host_hash = |id: HostId, incarnation: u64| rank::mix(id.0 ^ rank::mix(incarnation));
         let init = host_hash(self.own_id, local_card.incarnation);
--- a/crates/oatdale-mesh/src/member/shares.rs
+++ b/crates/oatdale-mesh/src/member/shares.rs
@@ -1,72 +1,75 @@
 //! Splits customers' limits over nodes by recent demand.
 //!
-//! Each node computes its part from its own view. Three rules keep the sum near the limit while
-//! views differ: a part falls at once but rises only after everyone has had time to hear why, or to
-//! notice that the others can't be heard; the part of a host that is not heard of stays reserved
-//! for it, since it may be cut off rather than dead; hosts that are listed but not known yet get
-//! an even part reserved.
+//! Each node computes its share from its own view. Three rules keep the sum of shares near the
+//! limit while views differ: a share falls at once but rises only after every node has had time to
+//! receive the reason, or to detect that other nodes are unreachable; the share of a silent host
+//! stays reserved for it, since it may be partitioned rather than dead; hosts that are listed but
+//! not yet known get an even share reserved.
 //!
-//! Reserved is the greatest part that the host had lately. Demand that changes here between a cut
-//! and its notice would otherwise shrink what the other side goes on using, and each side would
-//! end up with most of the limit.
+//! The reserved amount is the largest share that the host had recently. Otherwise a change of local
+//! demand between the start of a partition and its detection would shrink what the other side
+//! continues to use, and each side would end up with most of the limit.
 
 use crate::types::{HostId, Share};
 use crate::wire::Fraction;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// The part of a limit that is split evenly, so that a customer's first request at any node finds
+/// Fraction of a limit that is split evenly, so that a customer's first request at any node finds
 /// some room.
 const EVEN_FRACTION: f64 = 0.2;
-/// Customers that are followed at most.
+/// Maximum number of customers tracked.
 const MAX_CUSTOMERS: usize = 1024;
-/// A change of demand below this fraction of it is not told.
+/// Smallest relative change of demand that is announced.
 const MIN_RELATIVE_CHANGE: f32 = 0.1;
-/// Nor is one below this fraction of the limit, over all nodes together.
+/// Smallest change that is announced, as a fraction of the limit over all nodes together: for one
+/// node it is divided by the number of nodes.
 const MIN_ABSOLUTE_CHANGE: f32 = 0.05;
 
-/// Something that has a part of each limit.
+/// An entity that has a share of each limit.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(crate) enum Claimant {
     /// A host of this failure domain.
     Host(HostId),
-    /// Another failure domain, by hash of its name.
+    /// Another failure domain, by [`name_hash`](crate::name_hash).
     Domain(u32),
 }
 
-/// How a unit stands when parts are computed.
+/// State of a claimant when shares are computed.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(crate) enum Liveness {
-    /// Heard of lately, with so many live hosts.
+    /// Heard from recently, with this number of live hosts.
     Live(usize),
-    /// Not heard of any more, with so many hosts.
+    /// Silent, with this number of hosts; its share is reserved.
     Frozen(usize),
 }
 
 type Demand = BTreeMap<u32, f32>;
 
-/// Demand and parts of everyone.
+/// Demand and shares of all claimants.
 #[derive(Debug)]
 pub(crate) struct Shares {
     own_demand: Demand,
     announced: Demand,
     host_demand: BTreeMap<HostId, Demand>,
-    /// Live demand and frozen part of other failure domains.
+    /// Demand of live hosts and reserved share of frozen ones, by failure domain and customer.
     domain_demand: BTreeMap<u32, BTreeMap<u32, (f32, f32)>>,
-    /// The parts that each unit had when it was last live, negated: the least is the greatest.
+    /// Shares that each claimant had when it was last live, negated: the minimum is the largest
+    /// share.
     recent_shares: BTreeMap<(Claimant, u32), MinWindow>,
     own_windows: BTreeMap<u32, MinWindow>,
     started_at: Duration,
-    /// Whether this node has heard of everyone once, or has waited long enough.
+    /// Whether every host was heard from once, or this node has waited long enough.
     warmed_up: bool,
 }
 
-/// The least of the values of some time.
+/// Minimum over a sliding time window.
 #[derive(Debug, Default)]
 struct MinWindow(VecDeque<(Duration, f32)>);
 
 impl MinWindow {
-    /// A customer that nobody asked for anything so far has the same part everywhere.
+    /// A window with one value, as for a customer without demand so far, whose share is the same at
+    /// every host.
     fn starting_at(now: Duration, value: f32) -> Self {
         MinWindow(VecDeque::from([(now, value)]))
     }
@@ -107,13 +110,15 @@
         }
     }
 
-    /// Parts may not rise before everyone had time to hear of this node.
+    /// Restarts the warm-up: shares may not rise before other nodes have had time to learn of this
+    /// node.
     pub(crate) fn set_start(&mut self, now: Duration) {
         self.started_at = now;
     }
 
-    /// After a pause this node still reckons with what it heard before. What may not rise yet must
-    /// not rise for as long as before, or it would use parts that others took meanwhile.
+    /// Extends the windows after a pause, since this node still uses the demand received before it.
+    /// A share that may not rise yet must wait for as long as before, or it would include shares
+    /// that other nodes took during the pause.
     pub(crate) fn shift(&mut self, pause: Duration) {
         self.started_at += pause;
         for window in self
@@ -134,10 +139,11 @@
             .collect();
     }
 
-    /// Own demand that changed enough to be told to a fleet of so many nodes.
+    /// Returns changes of own demand that are large enough to announce in a fleet of `fleet_size`
+    /// nodes.
     ///
-    /// This node reckons with what it has told, and not with what it knows better: only then do
-    /// the parts that all nodes compute belong to one sum.
+    /// This node computes with the announced demand instead of the more recent local value: only
+    /// then do the shares that all nodes compute add up to one limit.
     pub(crate) fn take_own_changes(&mut self, fleet_size: usize) -> Vec<(u32, Fraction)> {
         let min_change = MIN_ABSOLUTE_CHANGE / fleet_size.max(1) as f32;
         let previous = |c: &u32| self.announced.get(c).copied().unwrap_or(0.0);
@@ -162,7 +168,7 @@
         changes
     }
 
-    /// Own demand as it was told, for a peer that is new.
+    /// Own demand as last announced, for a new peer.
     pub(crate) fn announced_demand(&self) -> Vec<(u32, Fraction)> {
         self.announced
             .iter()
@@ -191,15 +197,16 @@
         self.domain_demand.insert(domain, demand.collect());
     }
 
-    /// Forgets a host whose process is gone; its part is free.
+    /// Removes a host whose process is gone; its share becomes free.
     pub(crate) fn forget_host(&mut self, host: HostId) {
         self.host_demand.remove(&host);
         self.recent_shares
             .retain(|(claimant, _), _| *claimant != Claimant::Host(host));
     }
 
-    /// What this failure domain tells others: live demand, and parts kept for hosts of it that are
-    /// not heard of any more (`frozen`) or were never heard (`uncontacted`), out of a fleet's hosts.
+    /// Summary of this failure domain for others: demand of its live hosts, and shares reserved for
+    /// its hosts that are silent (`frozen`) or were never heard from (`uncontacted`), the latter
+    /// with an even share out of `fleet_size` hosts.
     pub(crate) fn domain_summary(
         &self,
         live: &[HostId],
@@ -239,9 +246,9 @@
             .collect()
     }
 
-    /// Computes this node's parts. Of so many hosts, the first number of `unknown_hosts` was not heard
-    /// of; `rise_delay` is the time after which a part may rise, `min_age` the time after the start until
-    /// which it stays small.
+    /// Computes this node's shares. `unknown_hosts` is the number of hosts never heard from, and
+    /// the number of all hosts. A share may rise after `rise_delay`, and stays small until
+    /// `min_age` after the start.
     pub(crate) fn compute_shares(
         &mut self,
         claimants: &[(Claimant, Liveness)],
@@ -257,8 +264,8 @@
         let warming_up = !self.warmed_up;
         let share_for = |shares: &mut Self, customer| {
             let split = shares.split(customer, claimants, unknown_hosts, rise_delay, now);
-            // A node that has just come starts with its even part: the others, who had not heard
-            // of it, use the rest until they have.
+            // A newly started node begins with its even share: the other nodes use the rest until
+            // they have learned of it.
             let raw_share = match warming_up {
                 true => split.own_share.min(split.warm_up_share),
                 false => split.own_share,
@@ -278,8 +285,8 @@
         customers.into_iter().map(|c| share_for(self, c)).collect()
     }
 
-    /// What is kept for a unit that is not heard of any more: the greatest part that it had
-    /// lately, or an even one if it fell silent before it had any.
+    /// Share reserved for a silent claimant: the largest that it had recently, or `even_share` if
+    /// it fell silent before it had any.
     fn reserved(&self, claimant: Claimant, customer: u32, even_share: f32) -> f32 {
         let window = self.recent_shares.get(&(claimant, customer));
         window
@@ -357,21 +364,21 @@
     }
 }
 
-/// A customer's limit that is to be split.
+/// A customer's limit to split.
 struct SplitBasis {
-    /// The part of it that nothing is reserved of.
+    /// Fraction of the limit that is not reserved.
     unreserved: f64,
     live_hosts: usize,
     total_demand: f32,
 }
 
 impl SplitBasis {
-    /// The part of `count` hosts that ask for `demand`.
+    /// Share of `count` hosts with the given `demand`.
     fn share_of(&self, count: usize, demand: f32) -> f32 {
         let even_share = count as f64 / self.live_hosts as f64;
         let (demand, total_demand) = (f64::from(demand), f64::from(self.total_demand));
-        // While there is enough for all, what nobody asks for is split evenly, so that a burst
-        // finds room at a node that was idle.
+        // While there is enough for all, the unused part is split evenly, so that a burst finds
+        // room at a node that was idle.
         let by_demand = match total_demand > 1.0 {
             true => demand / total_demand,
             false => demand + (1.0 - total_demand) * even_share,
@@ -380,12 +387,13 @@
     }
 }
 
-/// One customer's limit as this node would split it, all as parts of the limit but `total_demand`.
+/// One customer's limit as this node splits it. All values but `total_demand` are fractions of the
+/// limit.
 struct Split {
     own_share: f32,
-    /// What a node that has just come may use.
+    /// Share that a newly started node may use.
     warm_up_share: f32,
-    /// What every host has while nobody asks.
+    /// Share of each host while there is no demand.
     idle_share: f32,
     total_demand: f32,
 }
--- a/crates/oatdale-mesh/src/member/spread.rs
+++ b/crates/oatdale-mesh/src/member/spread.rs
@@ -1,4 +1,4 @@
-//! The configuration as one member holds it: strictly rising, served to others as deltas.
+//! The configuration held by one member: revisions strictly increase, and peers get deltas.
 
 use crate::delta::{self, Delta};
 use crate::types::{HostId, digest64};
@@ -7,34 +7,35 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Deltas that are kept for peers who are a little behind.
+/// Maximum number of deltas kept for peers that are slightly behind.
 const MAX_STEPS: usize = 16;
-/// Their size in bytes at most.
+/// Limit on their total size.
 const MAX_STEP_BYTES: usize = 64 * 1024;
-/// After this, another peer is asked.
+/// Time without progress after which another peer is asked.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(300);
-/// Peers that a joiner asks, unless there are fewer.
+/// Number of peers that a joining node asks, unless there are fewer.
 const JOIN_PEERS: usize = 3;
-/// Pieces of snapshots that a node serves in a second; joiners that come together share them.
+/// Rate limit on snapshot chunks served; nodes that join at the same time share it.
 const MAX_CHUNKS_PER_SECOND: u32 = 64;
 
-/// Whether a revision that is offered replaces the one that is held (0 for none).
+/// Whether an offered revision replaces the held one (0 for none).
 ///
-/// This is the only place that decides it; the specification in `tests/` explores this function.
+/// All decisions on this are made here; the specification in `tests/` explores this function.
 pub fn newer(held: u64, offered: u64) -> bool {
     offered > held
 }
 
-/// Whether a joiner has asked enough peers to take the highest revision among their answers.
+/// Whether enough peers have answered for a joining node to adopt the highest revision among their
+/// answers.
 ///
-/// One stale peer that answers first must not decide what a joiner starts with: callers would see
-/// a withdrawn version serve again. So it waits for several, or for all that it knows of, or until
-/// it has waited long enough.
+/// One stale peer that answers first must not decide which configuration a joining node starts
+/// with: callers would see a withdrawn version serve again. The node therefore waits for several
+/// answers, for those of all peers it knows, or until it has waited long enough.
 pub fn settled(answers: usize, known: usize, waited_enough: bool) -> bool {
     waited_enough || (known > 0 && answers >= known.min(JOIN_PEERS))
 }
 
-/// The configuration that is held and how the next one comes.
+/// The configuration held and the state of fetching the next one.
 #[derive(Debug)]
 pub(crate) struct ConfigReplica {
     started_at: Duration,
@@ -42,7 +43,7 @@
     held: Option<HeldConfig>,
     in_force: u64,
     steps: VecDeque<Step>,
-    /// What each linked peer holds, as last heard.
+    /// Last offer of each linked peer.
     offers: BTreeMap<HostId, Newest>,
     pending_fetch: Option<PendingFetch>,
     serving_second: u64,
@@ -60,7 +61,7 @@
 struct PendingFetch {
     from: HostId,
     last_activity: Duration,
-    /// What arrived of a snapshot.
+    /// The part of a snapshot received so far.
     partial: Option<PartialDocument>,
 }
 
@@ -70,23 +71,23 @@
     bytes: Vec<u8>,
 }
 
-/// What a peer gets for its [`Fetch`].
+/// The reply to a peer's [`Fetch`].
 #[derive(Debug)]
 pub(crate) enum FetchReply {
     Steps(Vec<Step>),
     Chunk(Chunk),
-    /// It has the newest already, or the bound for snapshots is reached.
+    /// The peer has the newest already, or the rate limit on snapshots is reached.
     NoReply,
 }
 
-/// What came of a message with a part of a configuration.
+/// The result of applying a message with a part of a configuration.
 #[derive(Debug)]
 pub(crate) enum Progress {
-    /// A newer one is held now.
+    /// A newer configuration is held now.
     Adopted,
-    /// Ask the same peer again.
+    /// The rest is to be requested from the same peer.
     FetchMore(Fetch),
-    /// Nothing to do.
+    /// The held configuration is the same as before.
     Unchanged,
 }
 
@@ -133,7 +134,7 @@
         self.in_force = self.in_force.max(revision);
     }
 
-    /// What is held, for peers.
+    /// The held revision, to be offered to peers.
     pub(crate) fn newest(&self) -> Newest {
         let (revision, digest) = self
             .held
@@ -146,12 +147,14 @@
         self.held.as_ref().map(|h| (h.revision, h.document.clone()))
     }
 
-    /// Takes a document if it is newer, and remembers how it differs from the one before.
+    /// Adopts a document if it is newer, and keeps the delta from the previous one for peers.
     pub(crate) fn adopt(&mut self, revision: u64, document: Bytes) -> bool {
         let digest = digest64(&document);
         match &self.held {
             Some(h) if h.revision == revision && h.digest != digest => {
-                log::error!("mesh: two texts under revision {revision}; keeping the first");
+                log::error!(
+                    "mesh: two different configurations have revision {revision}; keeping the first"
+                );
                 return false;
             }
             _ if !newer(self.revision(), revision) || document.len() > MAX_DOCUMENT => {
@@ -166,7 +169,7 @@
                         digest,
                         delta,
                     }),
-                    // Peers with the former document get the whole one.
+                    // No usable delta: peers with the previous document get the complete one.
                     None => self.steps.clear(),
                 }
             }
@@ -197,7 +200,7 @@
     pub(crate) fn remove_peer(&mut self, peer: HostId) {
         self.offers.remove(&peer);
         if self.pending_fetch.as_ref().is_some_and(|f| f.from == peer) {
-            // What arrived stays useful: the next peer goes on where this one stopped.
+            // The bytes received stay useful: the next peer resumes at their end.
             self.expire_fetch();
         }
     }
@@ -208,7 +211,7 @@
         }
     }
 
-    /// The peer to ask now, if there is a newer configuration and nobody is asked yet.
+    /// Selects the peer to ask now, if one offers a newer configuration and no fetch is in flight.
     pub(crate) fn next_fetch(&mut self, now: Duration) -> Option<(HostId, Fetch)> {
         let in_flight = |f: &PendingFetch| now.saturating_sub(f.last_activity) < FETCH_TIMEOUT;
         if !self.joined || self.pending_fetch.as_ref().is_some_and(in_flight) {
@@ -240,7 +243,7 @@
         }
     }
 
-    /// Answers a peer.
+    /// Builds the reply to a peer's fetch.
     pub(crate) fn reply_to(&mut self, fetch: &Fetch, now: Duration) -> FetchReply {
         let Some(held) = &self.held else {
             return FetchReply::NoReply;
@@ -278,7 +281,7 @@
         self.chunks_served <= MAX_CHUNKS_PER_SECOND
     }
 
-    /// Applies deltas; asks for the whole text where they do not fit.
+    /// Applies deltas; requests the complete document if one does not apply.
     pub(crate) fn apply_steps(&mut self, steps: &[Step]) -> Progress {
         let previous_revision = self.revision();
         for step in steps {
@@ -289,7 +292,11 @@
             match apply_delta(&held.document, &step.delta, step.digest) {
                 Some(document) => self.adopt(step.revision, document),
                 None => {
-                    log::warn!("mesh: delta to revision {} does not fit", step.revision);
+                    log::warn!(
+                        "mesh: delta to revision {} does not apply; requesting the \
+                         complete document",
+                        step.revision
+                    );
                     return Progress::FetchMore(Fetch {
                         have: 0,
                         partial: 0,
@@ -304,7 +311,7 @@
         }
     }
 
-    /// Takes a piece of a whole text.
+    /// Applies a chunk of a complete document.
     pub(crate) fn apply_chunk(&mut self, from: HostId, chunk: &Chunk, now: Duration) -> Progress {
         let held = self.revision();
         let acceptable = newer(held, chunk.revision) && chunk.total as usize <= MAX_DOCUMENT;
--- a/crates/oatdale-mesh/src/member/summary.rs
+++ b/crates/oatdale-mesh/src/member/summary.rs
@@ -1,4 +1,4 @@
-//! Summaries of failure domains: made by a few reporters, passed on within the others.
+//! Summaries of failure domains: sent by a few reporters and relayed within the receiving domain.
 
 use super::Member;
 use crate::rank;
@@ -7,35 +7,36 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Nodes of a failure domain that talk to another one. Several, so that the loss of one harms
-/// speed only.
+/// Number of nodes in a failure domain that report to another domain. With more than one, the loss
+/// of a reporter only delays reports.
 pub(super) const REPORTERS_PER_DOMAIN: usize = 2;
-/// With many failure domains each reports more rarely, so that a node hears at most this many
-/// summaries in a second.
+/// Upper bound on the summaries that a node receives per second. With many failure domains each one
+/// reports less often.
 const MAX_REPORTS_PER_SECOND: u32 = 4;
-/// A summary is stale after so many intervals without a new one.
+/// Number of report intervals without a new summary after which the last one is stale.
 pub(super) const STALE_INTERVALS: u32 = 3;
-/// While a failure domain is silent, other hosts of it are tried this often.
+/// Interval at which other hosts of a silent failure domain are tried.
 const SILENT_DOMAIN_RETRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What is known of other failure domains.
+/// The last summaries of other failure domains.
 #[derive(Debug, Default)]
 pub(crate) struct Summaries {
     latest_reports: BTreeMap<u32, ReceivedReport>,
-    /// Sums that each reporter at the other end was sent.
+    /// Counter sums already sent to each reporter of another failure domain.
     sent_counts: BTreeMap<HostId, BTreeMap<u32, Vec<u64>>>,
 }
 
 #[derive(Debug)]
 struct ReceivedReport {
     received_at: Duration,
-    /// When another node of this failure domain passed a summary on.
+    /// When another node of this failure domain last relayed a summary.
     relayed_at: Option<Duration>,
     report: Report,
 }
 
 impl Summaries {
-    /// Hosts of a failure domain that its last summary calls alive; `None` if there was none.
+    /// Number of hosts that a failure domain's last summary reports alive; `None` without a
+    /// summary.
     pub(crate) fn alive_count(&self, domain: u32) -> Option<usize> {
         let members = &self.latest_reports.get(&domain)?.report.members;
         Some(
@@ -68,7 +69,7 @@
             .collect()
     }
 
-    /// How often a failure domain reports.
+    /// Interval at which a failure domain reports.
     pub(super) fn report_interval(&self) -> Duration {
         let domains = self.other_domains().len() as u32 + 1;
         self.timers
@@ -76,11 +77,12 @@
             .max(Duration::from_secs(1) / MAX_REPORTS_PER_SECOND * domains)
     }
 
-    /// The nodes of the failure domain `of` that talk to `to`.
+    /// The reporters of the failure domain `of` to the domain `to`.
     ///
-    /// After a cut all hosts of the other side are suspected. Were only hosts in good standing
-    /// chosen, nobody would ever talk to the other side again and each would go without the
-    /// other's nodes until restarted. So suspected ones are tried then, others each time.
+    /// After a network partition all hosts of the other side are suspected. If only unsuspected
+    /// hosts were chosen, no node would contact the other side again, and each side would miss the
+    /// other's nodes until a restart. Therefore suspected hosts are chosen in that case, different
+    /// ones each time.
     pub(super) fn reporters(&self, of: u32, to: u32) -> Vec<HostId> {
         let local_host = (of == self.domain && self.leaving_since.is_none()).then_some(self.id);
         let domain_peers = || self.roster.present().filter(|(_, p)| p.domain == of);
@@ -103,10 +105,10 @@
         )
     }
 
-    /// Hosts of another failure domain that get this one's summary from this node.
+    /// Hosts of another failure domain that this node sends its domain's summary to.
     fn report_recipients(&self, domain: u32) -> Vec<HostId> {
         match self.is_stale(domain) {
-            // Whoever has a link tells, until proper reporters have found each other.
+            // Every node with a link reports until the chosen reporters are connected.
             true => {
                 let hosts = self.links.keys().copied();
                 hosts
@@ -117,8 +119,9 @@
         }
     }
 
-    /// The reporter of another failure domain that this node talks to, if it is one itself: the
-    /// first to the first and the second to the second, or to another while that one has no link.
+    /// Reporter of another failure domain that this node reports to, if it is a reporter itself:
+    /// the first reports to the first and the second to the second, or to another while that one
+    /// has no link.
     fn counterpart(&self, domain: u32) -> Option<HostId> {
         let local_reporters = self.reporters(self.domain, domain);
         let own_index = local_reporters.iter().position(|h| *h == self.id)?;
@@ -138,7 +141,7 @@
             .is_none_or(|h| h.received_at + stale_after <= self.now)
     }
 
-    /// Sends this failure domain's summary to those others that this node reports to.
+    /// Sends this failure domain's summary to the domains that this node reports to.
     pub(super) fn send_reports(&mut self) {
         let mut report = None;
         for domain in self.other_domains() {
@@ -200,7 +203,7 @@
         }
     }
 
-    /// Takes a summary and passes it on if this is the node that does.
+    /// Applies a summary and relays it within this failure domain if that is this node's task.
     pub(super) fn on_report(&mut self, from: HostId, report: Report) {
         if report.domain == self.domain {
             return;
@@ -235,7 +238,8 @@
         }
     }
 
-    /// The first reporter passes summaries on; another one does when the first falls silent.
+    /// Whether this node relays summaries: the first reporter does, and another one if the first
+    /// falls silent.
     fn is_relay(&self, domain: u32) -> bool {
         let first = self.reporters(self.domain, domain).first() == Some(&self.id);
         let last_relay = self
@@ -246,7 +250,7 @@
         first || last_relay.is_none_or(|at| at + self.report_interval() * 2 < self.now)
     }
 
-    /// States of hosts that this node has no link to.
+    /// Applies reported states of hosts that this node has no link to.
     fn apply_reported_states(&mut self, report: &Report) {
         let until = self.now + self.report_interval() * STALE_INTERVALS;
         let known: BTreeMap<u32, HostId> = self
@@ -272,7 +276,7 @@
         }
     }
 
-    /// What a new link within the failure domain begins with.
+    /// Sends the initial messages on a new link within the failure domain.
     pub(super) fn sync_domain_state(&mut self, host: HostId) {
         if self.roster.domain_of(host) != Some(self.domain) {
             return;
@@ -301,7 +305,7 @@
         }
     }
 
-    /// Tells peers in this failure domain what changed here.
+    /// Announces changes of own demand to peers in this failure domain.
     pub(super) fn send_demand(&mut self) {
         let changes = self.shares.take_own_changes(self.roster.len() + 1);
         if !changes.is_empty() {
@@ -322,7 +326,7 @@
         }
     }
 
-    /// Tells the node what all others counted, if that changed.
+    /// Passes the counters of all other processes to the node if they changed.
     pub(super) fn emit_evidence(&mut self) {
         if let Some(totals) = self
             .counters
--- a/crates/oatdale-mesh/src/member/upkeep.rs
+++ b/crates/oatdale-mesh/src/member/upkeep.rs
@@ -1,4 +1,4 @@
-//! What a member does as time passes: heartbeats, links, suspicion, views.
+//! Timer-driven work of a member: heartbeats, links, failure detection and peer views.
 
 use super::{Member, Output};
 use crate::reach::FULL_MESH;
@@ -11,17 +11,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Nodes are looked over this often.
+/// Interval of the periodic review of peers, links and orphans.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
-/// Addresses to dial are looked for this often.
+/// Interval at which addresses to dial are chosen.
 const DIAL_INTERVAL: Duration = Duration::from_millis(200);
-/// A link that neither side wants is closed after this.
+/// Time after which a link that neither side wants is closed.
 const UNWANTED_LINK_TIMEOUT: Duration = Duration::from_secs(5);
-/// The larger id of two waits this long for the smaller one to dial.
+/// Time that the larger of two ids waits for the smaller one to dial.
 const LARGER_ID_DIAL_DELAY: Duration = Duration::from_secs(1);
 
-/// When to ask for the cards of hosts that this node may lack. Views that keep differing, as
-/// between two halves of the fleet, must not cost a whole list at every heartbeat.
+/// Back-off for requests of the cards of hosts that this node may lack. Views that keep differing,
+/// as between two partitioned parts of the fleet, must not cost a complete list at every heartbeat.
 #[derive(Debug)]
 pub(crate) struct RosterSync {
     next_request: Duration,
@@ -102,7 +102,8 @@
         self.roster.present().count() < FULL_MESH
     }
 
-    /// In a larger fleet heartbeats are half as frequent, and silence is borne for longer.
+    /// Interval between heartbeats: doubled in a larger fleet, where the suspect timeout is longer
+    /// too.
     pub(super) fn heartbeat_interval(&self) -> Duration {
         match self.is_small_fleet() {
             true => self.timers.beat,
@@ -127,7 +128,7 @@
         self.emit(Event::Peers(views));
     }
 
-    /// What follows from a change of who is there.
+    /// Reacts to a change of the membership.
     pub(super) fn on_membership_change(&mut self) {
         self.choose_holders();
         self.choose_watchers();
@@ -169,7 +170,8 @@
             .set_local_counters(process, &state.evidence, self.now);
         self.local = state;
         self.merge_stops(None, stops);
-        // Callers must not be sent to a node that has stopped accepting: tell at once.
+        // Callers must not be sent to a node that has stopped accepting, so its peers are notified
+        // at once.
         if self.local_heartbeat().flags != flags_before {
             let hosts: Vec<HostId> = self.links.keys().copied().collect();
             for host in hosts {
@@ -180,7 +182,8 @@
     }
 
     pub(super) fn on_host_list(&mut self, list: &[ListedHost]) {
-        // A list without hosts is a fault of the platform; believing it would leave nobody to ask.
+        // A list without hosts is a fault of the platform; trusting it would leave no node to
+        // contact.
         if list.is_empty() {
             return;
         }
@@ -225,8 +228,9 @@
         }
     }
 
-    /// Which links this node wants: the whole fleet while it is small; else its failure domain,
-    /// its opposite reporters, the nodes that keep its records and those whose records it keeps.
+    /// Updates which links this node wants: to the whole fleet while it is small; otherwise to its
+    /// failure domain, its counterparts among other domains' reporters, the holders of its records
+    /// and the owners of its replicas.
     pub(super) fn update_wanted_links(&mut self) {
         let small = self.is_small_fleet();
         let own_domain = self.domain;
@@ -281,8 +285,8 @@
         }
     }
 
-    /// A link whose other end has fallen silent may be half open: the host is gone but no packet
-    /// says so. It is closed, and dialed again.
+    /// Closes links to silent hosts, which are then dialed again. Such a link may be half open: the
+    /// host is gone but no packet says so.
     fn close_silent_links(&mut self) {
         let silent: Vec<super::Conn> = self
             .links
