--- a/crates/oatdale-mesh/src/addresses.rs
+++ b/crates/oatdale-mesh/src/addresses.rs
@@ -5,9 +5,9 @@
 use std::net::SocketAddr;
 
 /// Load from which on a node counts as one tier farther away.
-const CROWDED: f32 = 0.9;
+const HIGH_LOAD: f32 = 0.9;
 /// The least spare capacity that a weight stands for, so that a full node still gets some.
-const LEAST_SPARE: f32 = 0.05;
+const MIN_SPARE: f32 = 0.05;
 
 /// One address for a caller.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -61,7 +61,7 @@
     let mut ranked: Vec<(u8, f64, Address)> = peers
         .iter()
         .filter(|p| p.accepting && p.state == PeerState::Alive)
-        .map(|p| (tier(p, domain, region), key(p, seed), entry(p)))
+        .map(|p| (tier(p, domain, region), sort_key(p, seed), to_address(p)))
         .collect();
     ranked.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
     ranked.truncate(count);
@@ -69,27 +69,27 @@
 }
 
 fn tier(peer: &PeerView, domain: &str, region: Option<&str>) -> u8 {
-    let near = match peer {
+    let distance = match peer {
         p if p.domain == domain => 0,
         p if Some(p.region.as_str()) == region => 1,
         _ => 2,
     };
-    near + u8::from(peer.load >= CROWDED)
+    distance + u8::from(peer.load >= HIGH_LOAD)
 }
 
-fn spare(peer: &PeerView) -> f32 {
-    (1.0 - peer.load).clamp(LEAST_SPARE, 1.0)
+fn spare_capacity(peer: &PeerView) -> f32 {
+    (1.0 - peer.load).clamp(MIN_SPARE, 1.0)
 }
 
 /// A draw for weighted sampling without replacement: the least `-ln(u) / weight` comes first.
-fn key(peer: &PeerView, seed: u64) -> f64 {
+fn sort_key(peer: &PeerView, seed: u64) -> f64 {
     let host = crate::types::HostId::of(&peer.host);
-    let draw = (rank::score(host, seed) >> 11) as f64 / (1u64 << 53) as f64;
-    -draw.max(f64::MIN_POSITIVE).ln() / f64::from(spare(peer))
+    let uniform = (rank::score(host, seed) >> 11) as f64 / (1u64 << 53) as f64;
+    -uniform.max(f64::MIN_POSITIVE).ln() / f64::from(spare_capacity(peer))
 }
 
-fn entry(peer: &PeerView) -> Address {
-    let weight = (spare(peer) * 100.0).round() as u32;
+fn to_address(peer: &PeerView) -> Address {
+    let weight = (spare_capacity(peer) * 100.0).round() as u32;
     Address {
         address: peer.caller,
         weight,
--- a/crates/oatdale-mesh/src/auth.rs
+++ b/crates/oatdale-mesh/src/auth.rs
@@ -13,12 +13,12 @@
 use sha2::Sha256;
 
 /// The version of the protocol.
-pub(crate) const VERSION: u8 = 1;
+pub(crate) const PROTOCOL_VERSION: u8 = 1;
 /// Largest frame before the other side has proved itself.
-pub(crate) const MAX_HELLO: usize = 4096;
+pub(crate) const MAX_HELLO_BYTES: usize = 4096;
 /// Bytes of a frame's tag.
-pub(crate) const TAG: usize = 8;
-const NONCE: usize = 32;
+pub(crate) const TAG_BYTES: usize = 8;
+const NONCE_BYTES: usize = 32;
 
 /// Which side of a connection.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -75,10 +75,10 @@
 
 impl Hello {
     pub(crate) fn new(card: Card) -> Self {
-        let nonce: [u8; NONCE] = rand::random();
+        let nonce: [u8; NONCE_BYTES] = rand::random();
         Hello {
-            low: VERSION,
-            high: VERSION,
+            low: PROTOCOL_VERSION,
+            high: PROTOCOL_VERSION,
             nonce: Bytes::copy_from_slice(&nonce),
             card,
         }
@@ -91,9 +91,9 @@
     }
 
     pub(crate) fn decode(buf: &[u8]) -> Result<Hello> {
-        let read: Result<Hello, _> = ciborium::from_reader(buf);
-        let hello = match read {
-            Ok(hello) if hello.nonce.len() == NONCE => hello,
+        let decoded: Result<Hello, _> = ciborium::from_reader(buf);
+        let hello = match decoded {
+            Ok(hello) if hello.nonce.len() == NONCE_BYTES => hello,
             Ok(_) => {
                 return MalformedSnafu {
                     reason: "a nonce has 32 bytes",
@@ -108,12 +108,12 @@
             }
         };
         let (low, high) = (hello.low, hello.high);
-        match (low..=high).contains(&VERSION) {
+        match (low..=high).contains(&PROTOCOL_VERSION) {
             true => Ok(hello),
             false => VersionSnafu {
                 low,
                 high,
-                ours: VERSION,
+                supported: PROTOCOL_VERSION,
             }
             .fail(),
         }
@@ -134,25 +134,25 @@
     }
 
     /// Checks what the other side shows, in constant time.
-    pub(crate) fn check(&self, side: Side, proof: &[u8]) -> Result<()> {
+    pub(crate) fn verify_proof(&self, side: Side, proof: &[u8]) -> Result<()> {
         use subtle::ConstantTimeEq;
         match bool::from(self.derive(b"oatdale-mesh proof", side).ct_eq(proof)) {
             true => Ok(()),
-            false => Err(Error::Unproved),
+            false => Err(Error::Unauthenticated),
         }
     }
 
     /// The keys of the connection as `side` uses them.
-    pub(crate) fn seals(&self, side: Side) -> (Seal, Seal) {
-        let seal = |side| Seal {
+    pub(crate) fn frame_macs(&self, side: Side) -> (FrameMac, FrameMac) {
+        let mac_for = |side| FrameMac {
             key: self.derive(b"oatdale-mesh frames", side),
-            count: 0,
+            frame_count: 0,
         };
-        (seal(side), seal(side.other()))
+        (mac_for(side), mac_for(side.other()))
     }
 
     fn derive(&self, purpose: &[u8], side: Side) -> [u8; 32] {
-        let mut mac = keyed(self.key);
+        let mut mac = new_hmac(self.key);
         for part in [purpose, side.label(), self.dialer, self.acceptor] {
             mac.update(&(part.len() as u64).to_be_bytes());
             mac.update(part);
@@ -162,24 +162,24 @@
 }
 
 /// Tags the frames of one direction.
-pub(crate) struct Seal {
+pub(crate) struct FrameMac {
     key: [u8; 32],
-    count: u64,
+    frame_count: u64,
 }
 
-impl Seal {
+impl FrameMac {
     /// The frame with its tag before it.
-    pub(crate) fn close(&mut self, frame: &[u8]) -> Bytes {
-        let mut buf = Vec::with_capacity(TAG + frame.len());
+    pub(crate) fn add_tag(&mut self, frame: &[u8]) -> Bytes {
+        let mut buf = Vec::with_capacity(TAG_BYTES + frame.len());
         buf.extend_from_slice(&self.tag(frame));
         buf.extend_from_slice(frame);
         buf.into()
     }
 
     /// The frame without its tag.
-    pub(crate) fn open<'a>(&mut self, buf: &'a [u8]) -> Result<&'a [u8]> {
+    pub(crate) fn verify<'a>(&mut self, buf: &'a [u8]) -> Result<&'a [u8]> {
         use subtle::ConstantTimeEq;
-        let Some((tag, frame)) = buf.split_at_checked(TAG) else {
+        let Some((tag, frame)) = buf.split_at_checked(TAG_BYTES) else {
             return MalformedSnafu {
                 reason: "a frame without a tag",
             }
@@ -187,22 +187,22 @@
         };
         match bool::from(self.tag(frame).ct_eq(tag)) {
             true => Ok(frame),
-            false => Err(Error::Unproved),
+            false => Err(Error::Unauthenticated),
         }
     }
 
-    fn tag(&mut self, frame: &[u8]) -> [u8; TAG] {
-        let mut mac = keyed(&self.key);
-        mac.update(&self.count.to_be_bytes());
+    fn tag(&mut self, frame: &[u8]) -> [u8; TAG_BYTES] {
+        let mut mac = new_hmac(&self.key);
+        mac.update(&self.frame_count.to_be_bytes());
         mac.update(frame);
-        self.count += 1;
-        let whole = mac.finalize().into_bytes();
-        let mut tag = [0; TAG];
-        tag.copy_from_slice(&whole[..TAG]);
+        self.frame_count += 1;
+        let digest = mac.finalize().into_bytes();
+        let mut tag = [0; TAG_BYTES];
+        tag.copy_from_slice(&digest[..TAG_BYTES]);
         tag
     }
 }
 
-fn keyed(key: &[u8]) -> Hmac<Sha256> {
+fn new_hmac(key: &[u8]) -> Hmac<Sha256> {
     Hmac::new_from_slice(key).expect("HMAC takes keys of any length")
 }
--- a/crates/oatdale-mesh/src/cfg.rs
+++ b/crates/oatdale-mesh/src/cfg.rs
@@ -8,7 +8,7 @@
 ///
 /// An acceptor proves itself first, so whoever may connect can try keys offline; a key as long as
 /// the digest can't be guessed.
-pub const MIN_KEY: usize = 32;
+pub const MIN_KEY_BYTES: usize = 32;
 
 /// The settings of one node.
 #[derive(Debug)]
@@ -29,7 +29,7 @@
     pub caller: SocketAddr,
     /// Nodes to ask first; this node's own address may be among them.
     pub seeds: Vec<SocketAddr>,
-    /// The key that all nodes share, at least [`MIN_KEY`] bytes.
+    /// The key that all nodes share, at least [`MIN_KEY_BYTES`] bytes.
     pub key: Vec<u8>,
     /// Nodes that keep each bill record.
     pub holders: u8,
@@ -89,23 +89,23 @@
     ///
     /// [`Error::Setting`](crate::Error::Setting) names the setting and what to write.
     pub fn check(&self) -> Result<()> {
-        let wrong = |setting, reason: &str| SettingSnafu { setting, reason }.fail();
+        let invalid = |setting, reason: &str| SettingSnafu { setting, reason }.fail();
         let timers = &self.intervals;
         match () {
-            () if self.host.is_empty() => wrong("host", "give the host's name"),
-            () if self.domain.is_empty() => wrong("domain", "name the host's failure domain"),
-            () if self.key.len() < MIN_KEY => wrong(
+            () if self.host.is_empty() => invalid("host", "give the host's name"),
+            () if self.domain.is_empty() => invalid("domain", "name the host's failure domain"),
+            () if self.key.len() < MIN_KEY_BYTES => invalid(
                 "key",
                 "the key must have at least 32 bytes, chosen at random",
             ),
-            () if self.incarnation == 0 => wrong("incarnation", "0 is not used"),
-            () if self.advertise.port() == 0 => wrong("advertise", "give a port other than 0"),
-            () if timers.beat.is_zero() => wrong("beat", "must be above 0"),
+            () if self.incarnation == 0 => invalid("incarnation", "0 is not used"),
+            () if self.advertise.port() == 0 => invalid("advertise", "give a port other than 0"),
+            () if timers.beat.is_zero() => invalid("beat", "must be above 0"),
             () if timers.suspect < timers.beat * 3 => {
-                wrong("suspect", "must be at least three heartbeats")
+                invalid("suspect", "must be at least three heartbeats")
             }
             () if timers.orphan < timers.suspect => {
-                wrong("orphan", "must not be shorter than `suspect`")
+                invalid("orphan", "must not be shorter than `suspect`")
             }
             () => Ok(()),
         }
--- a/crates/oatdale-mesh/src/delta.rs
+++ b/crates/oatdale-mesh/src/delta.rs
@@ -8,10 +8,10 @@
 pub(crate) type Delta = oatdale_config::Delta;
 
 /// Bytes of an edit beside its text.
-const EDIT_BYTES: usize = 10;
+const EDIT_OVERHEAD_BYTES: usize = 10;
 
 /// Bytes of a delta beside its edits: two digests.
-const DELTA_BYTES: usize = 70;
+const DELTA_OVERHEAD_BYTES: usize = 70;
 
 /// The delta that turns `from` into `to`, unless either is no text.
 pub(crate) fn between(from: &[u8], to: &[u8]) -> Option<Delta> {
@@ -38,6 +38,9 @@
 
 /// About how many bytes a delta has on the wire.
 pub(crate) fn size(delta: &Delta) -> usize {
-    let edits = delta.edits.iter().map(|e| EDIT_BYTES + e.text.len());
-    DELTA_BYTES + edits.sum::<usize>()
+    let edits = delta
+        .edits
+        .iter()
+        .map(|e| EDIT_OVERHEAD_BYTES + e.text.len());
+    DELTA_OVERHEAD_BYTES + edits.sum::<usize>()
 }
--- a/crates/oatdale-mesh/src/duty.rs
+++ b/crates/oatdale-mesh/src/duty.rs
@@ -17,15 +17,15 @@
 use tokio::time::{Instant, MissedTickBehavior, interval, timeout};
 
 /// How often the member looks at its timers.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// Connections at once, with those that have not proved themselves.
-const MAX_CONNS: usize = 1024;
+const MAX_CONNECTIONS: usize = 1024;
 /// What links have to say and the member has not heard yet.
-const LINK_EVENTS: usize = 1024;
+const LINK_EVENT_QUEUE: usize = 1024;
 /// Events that the node has not taken.
-const MAX_EVENTS: usize = 256;
+const MAX_QUEUED_EVENTS: usize = 256;
 /// How long the last frames may take at the end.
-const LAST_WORDS: Duration = Duration::from_secs(1);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Runs one node's part of the mesh until the node leaves or drops `rx`.
 ///
@@ -41,14 +41,14 @@
     cfg.check()?;
     let card = card(&cfg);
     let listener = bind(cfg.listen).await?;
-    let (links_tx, links_rx) = mpsc::channel(LINK_EVENTS);
+    let (link_events_tx, link_events_rx) = mpsc::channel(LINK_EVENT_QUEUE);
     let member = MemberConfig {
         card: card.clone(),
         seeds: cfg.seeds,
         holders: cfg.holders,
         intervals: cfg.intervals,
     };
-    let duty = Duty {
+    let driver = Driver {
         member: Member::new(member, Duration::ZERO),
         card,
         key: cfg.key.into(),
@@ -56,17 +56,17 @@
         links: HashMap::new(),
         next_conn: 0,
         tasks: JoinSet::new(),
-        links_tx,
-        holds: HashMap::new(),
-        forward: None,
+        link_events_tx,
+        hold_replies: HashMap::new(),
+        forward_reply: None,
         events: VecDeque::new(),
-        over: false,
+        finished: false,
     };
-    duty.run(listener, rx, links_rx, tx).await;
+    driver.run(listener, rx, link_events_rx, tx).await;
     Ok(())
 }
 
-struct Duty {
+struct Driver {
     member: Member,
     card: Card,
     key: Arc<[u8]>,
@@ -74,24 +74,24 @@
     links: HashMap<Conn, mpsc::Sender<Frame>>,
     next_conn: u64,
     tasks: JoinSet<()>,
-    links_tx: mpsc::Sender<LinkEvent>,
-    holds: HashMap<u128, oneshot::Sender<HoldAck>>,
-    forward: Option<oneshot::Sender<bool>>,
+    link_events_tx: mpsc::Sender<LinkEvent>,
+    hold_replies: HashMap<u128, oneshot::Sender<HoldAck>>,
+    forward_reply: Option<oneshot::Sender<bool>>,
     events: VecDeque<Event>,
-    over: bool,
+    finished: bool,
 }
 
-impl Duty {
+impl Driver {
     async fn run(
         mut self,
         listener: TcpListener,
         mut rx: mpsc::Receiver<Command>,
-        mut links_rx: mpsc::Receiver<LinkEvent>,
+        mut link_events_rx: mpsc::Receiver<LinkEvent>,
         tx: mpsc::Sender<Event>,
     ) {
-        let mut ticks = interval(TICK);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        while !(self.over && self.events.is_empty()) {
+        while !(self.finished && self.events.is_empty()) {
             tokio::select! {
                 permit = tx.reserve(), if !self.events.is_empty() => match permit {
                     Ok(permit) => {
@@ -102,52 +102,52 @@
                     Err(_) => break,
                 },
                 command = rx.recv() => match command {
-                    Some(command) => self.command(command),
+                    Some(command) => self.handle_command(command),
                     None => break,
                 },
-                Some(event) = links_rx.recv() => self.link_event(event),
+                Some(event) = link_events_rx.recv() => self.handle_link_event(event),
                 Ok((stream, _)) = listener.accept() => self.accept(stream),
                 Some(_) = self.tasks.join_next() => {}
-                _ = ticks.tick() => self.input(Input::Tick),
+                _ = ticks.tick() => self.handle_input(Input::Tick),
             }
         }
-        self.close(links_rx).await;
+        self.shut_down(link_events_rx).await;
     }
 
     /// Lets links write what is queued, but not for long.
-    async fn close(mut self, mut links_rx: mpsc::Receiver<LinkEvent>) {
+    async fn shut_down(mut self, mut link_events_rx: mpsc::Receiver<LinkEvent>) {
         self.links.clear();
-        let drained = async {
+        let drain_links = async {
             loop {
                 tokio::select! {
-                    Some(_) = links_rx.recv() => {}
+                    Some(_) = link_events_rx.recv() => {}
                     task = self.tasks.join_next() => if task.is_none() { break },
                 }
             }
         };
-        let _ = timeout(LAST_WORDS, drained).await;
+        let _ = timeout(SHUTDOWN_TIMEOUT, drain_links).await;
     }
 
-    fn command(&mut self, command: Command) {
+    fn handle_command(&mut self, command: Command) {
         let input = match command {
             Command::Adopted { revision, document } => Input::Adopted { revision, document },
             Command::Local(state) => Input::Local(state),
             Command::Hosts(list) => Input::Hosts(list),
             Command::Hold { id, record, reply } => {
-                self.holds.insert(id, reply);
+                self.hold_replies.insert(id, reply);
                 Input::Hold { id, record }
             }
             Command::Release(ids) => Input::Release(ids),
             Command::Forward { to, payload, reply } => {
-                self.forward = Some(reply);
+                self.forward_reply = Some(reply);
                 Input::Forward { to, payload }
             }
             Command::Leave => Input::Leave,
         };
-        self.input(input);
+        self.handle_input(input);
     }
 
-    fn link_event(&mut self, event: LinkEvent) {
+    fn handle_link_event(&mut self, event: LinkEvent) {
         match event {
             LinkEvent::Up {
                 conn,
@@ -156,94 +156,94 @@
                 tx,
             } => {
                 self.links.insert(conn, tx);
-                self.input(Input::Connected { conn, card, dialed });
+                self.handle_input(Input::Connected { conn, card, dialed });
             }
-            LinkEvent::Frame { conn, frame } => self.input(Input::Received { conn, frame }),
+            LinkEvent::Frame { conn, frame } => self.handle_input(Input::Received { conn, frame }),
             LinkEvent::Down { conn } => {
                 self.links.remove(&conn);
-                self.input(Input::Disconnected(conn));
+                self.handle_input(Input::Disconnected(conn));
             }
             LinkEvent::DialFailed { address, myself } => {
-                self.input(Input::DialFailed { address, myself });
+                self.handle_input(Input::DialFailed { address, myself });
             }
         }
     }
 
-    fn input(&mut self, input: Input) {
-        let mut full = Vec::new();
+    fn handle_input(&mut self, input: Input) {
+        let mut stalled = Vec::new();
         for output in self.member.handle(input, self.start.elapsed()) {
             match output {
                 Output::Send { conn, frame } => {
                     let sent = self.links.get(&conn).map(|tx| tx.try_send(frame));
-                    full.extend(matches!(sent, Some(Err(_))).then_some(conn));
+                    stalled.extend(matches!(sent, Some(Err(_))).then_some(conn));
                 }
                 Output::Dial(address) => self.dial(address),
                 // The link writes what is queued before it sees that its sender is gone.
                 Output::Close(conn) => drop(self.links.remove(&conn)),
-                Output::Event(event) => self.event(event),
+                Output::Event(event) => self.queue_event(event),
                 Output::HoldDone { id, ack } => {
-                    if let Some(reply) = self.holds.remove(&id) {
+                    if let Some(reply) = self.hold_replies.remove(&id) {
                         let _ = reply.send(ack);
                     }
                 }
                 Output::Forwarded(sent) => {
-                    if let Some(reply) = self.forward.take() {
+                    if let Some(reply) = self.forward_reply.take() {
                         let _ = reply.send(sent);
                     }
                 }
             }
         }
         // A peer that does not read would cost memory without bound.
-        for conn in full {
+        for conn in stalled {
             log::warn!("mesh: a peer does not read; closing its link");
             self.links.remove(&conn);
-            self.input(Input::Disconnected(conn));
+            self.handle_input(Input::Disconnected(conn));
         }
         self.card.incarnation = self.member.incarnation();
     }
 
-    fn context(&mut self) -> LinkContext {
+    fn link_context(&mut self) -> LinkContext {
         self.next_conn += 1;
         LinkContext {
             conn: Conn(self.next_conn),
             card: self.card.clone(),
             key: self.key.clone(),
-            tx: self.links_tx.clone(),
+            tx: self.link_events_tx.clone(),
         }
     }
 
     fn dial(&mut self, address: SocketAddr) {
-        if self.tasks.len() < MAX_CONNS {
-            let cx = self.context();
+        if self.tasks.len() < MAX_CONNECTIONS {
+            let cx = self.link_context();
             self.tasks.spawn(link::dial(cx, address));
         }
     }
 
     fn accept(&mut self, stream: TcpStream) {
-        if self.tasks.len() < MAX_CONNS {
-            let cx = self.context();
+        if self.tasks.len() < MAX_CONNECTIONS {
+            let cx = self.link_context();
             self.tasks.spawn(link::accept(cx, stream));
         }
     }
 
     /// Queues an event; one that the next of its kind replaces does not wait twice.
-    fn event(&mut self, event: Event) {
-        self.over |= matches!(event, Event::LeaveDone | Event::Superseded { .. });
+    fn queue_event(&mut self, event: Event) {
+        self.finished |= matches!(event, Event::LeaveDone | Event::Superseded { .. });
         let kind = std::mem::discriminant(&event);
-        if replaces(&event) {
+        if is_replaceable(&event) {
             self.events.retain(|e| std::mem::discriminant(e) != kind);
         }
         self.events.push_back(event);
-        if self.events.len() > MAX_EVENTS {
+        if self.events.len() > MAX_QUEUED_EVENTS {
             // Orphans are told again; a forwarded payload may be lost.
-            let lossy = |e: &Event| matches!(e, Event::Orphans(_) | Event::Forwarded { .. });
-            let oldest = self.events.iter().position(lossy);
+            let may_drop = |e: &Event| matches!(e, Event::Orphans(_) | Event::Forwarded { .. });
+            let oldest = self.events.iter().position(may_drop);
             self.events.remove(oldest.unwrap_or(0));
         }
     }
 }
 
-fn replaces(event: &Event) -> bool {
+fn is_replaceable(event: &Event) -> bool {
     match event {
         Event::Document { .. }
         | Event::Peers(_)
--- a/crates/oatdale-mesh/src/error.rs
+++ b/crates/oatdale-mesh/src/error.rs
@@ -30,21 +30,21 @@
         reason: String,
     },
     /// A peer speaks no version that this node speaks.
-    #[snafu(display("peer speaks versions {low} to {high}, this node speaks {ours}"))]
+    #[snafu(display("peer speaks versions {low} to {high}, this node speaks {supported}"))]
     Version {
         /// The peer's lowest.
         low: u8,
         /// The peer's highest.
         high: u8,
         /// The only one here.
-        ours: u8,
+        supported: u8,
     },
     /// A peer does not prove that it knows the key.
     #[snafu(display("peer does not prove that it holds the mesh key"))]
-    Unproved,
+    Unauthenticated,
     /// A connection to ourselves, made through a list of seeds.
     #[snafu(display("the address is this node's own"))]
-    Myself,
+    SelfConnection,
     /// The connection failed or ended.
     #[snafu(display("connection: {reason}"))]
     Connection {
@@ -52,10 +52,10 @@
         reason: String,
     },
     /// The peer took too long.
-    #[snafu(display("timeout while {doing}"))]
+    #[snafu(display("timeout while {operation}"))]
     Timeout {
         /// What was waited for.
-        doing: &'static str,
+        operation: &'static str,
     },
 }
 
--- a/crates/oatdale-mesh/src/lib.rs
+++ b/crates/oatdale-mesh/src/lib.rs
@@ -56,7 +56,7 @@
 mod wire;
 
 pub use crate::addresses::{Address, addresses};
-pub use crate::cfg::{Intervals, Listen, MIN_KEY, MeshConfig};
+pub use crate::cfg::{Intervals, Listen, MIN_KEY_BYTES, MeshConfig};
 pub use crate::duty::run;
 pub use crate::error::{Error, Result};
 pub use crate::member::{Conn, Input, Member, MemberConfig, Output, newer, settled};
--- a/crates/oatdale-mesh/src/link.rs
+++ b/crates/oatdale-mesh/src/link.rs
@@ -1,6 +1,6 @@
 //! One WebSocket connection to another node.
 
-use crate::auth::{Hello, MAX_HELLO, Seal, Side, TAG, Transcript};
+use crate::auth::{FrameMac, Hello, MAX_HELLO_BYTES, Side, TAG_BYTES, Transcript};
 use crate::error::{ConnectionSnafu, Error, MalformedSnafu, Result, TimeoutSnafu};
 use crate::member::Conn;
 use crate::wire::{Card, Frame, MAX_FRAME};
@@ -17,12 +17,12 @@
 use tokio_tungstenite::{WebSocketStream, accept_async_with_config, client_async_with_config};
 
 /// Frames that wait to be written; more and the peer counts as one that stopped reading.
-pub(crate) const QUEUE: usize = 256;
-const HANDSHAKE: Duration = Duration::from_secs(3);
+pub(crate) const FRAME_QUEUE: usize = 256;
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
 /// A write that takes longer means that the peer has stopped reading.
-const WRITE: Duration = Duration::from_secs(2);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Read and write buffers are small, since a node has dozens of links and 32 MB for control.
-const BUFFER: usize = 4096;
+const BUFFER_BYTES: usize = 4096;
 
 type Socket = WebSocketStream<TcpStream>;
 
@@ -58,19 +58,19 @@
 }
 
 /// A connection whose other end has proved itself.
-struct Proved {
+struct AuthenticatedLink {
     socket: Socket,
     card: Card,
-    send: Seal,
-    receive: Seal,
+    send_mac: FrameMac,
+    receive_mac: FrameMac,
 }
 
 /// Connects to an address and serves the link until it ends.
 pub(crate) async fn dial(cx: LinkContext, address: SocketAddr) {
-    match within(HANDSHAKE, "dialing", open(&cx, address)).await {
-        Ok(proved) => serve(cx, proved, Some(address)).await,
+    match with_timeout(HANDSHAKE_TIMEOUT, "dialing", dial_peer(&cx, address)).await {
+        Ok(link) => serve(cx, link, Some(address)).await,
         Err(e) => {
-            let myself = matches!(e, Error::Myself);
+            let myself = matches!(e, Error::SelfConnection);
             log::debug!("mesh: dial {address}: {e}");
             let _ = cx.tx.send(LinkEvent::DialFailed { address, myself }).await;
         }
@@ -80,94 +80,96 @@
 /// Serves a connection that was accepted.
 pub(crate) async fn accept(cx: LinkContext, stream: TcpStream) {
     let from = stream.peer_addr().ok();
-    match within(HANDSHAKE, "accepting", welcome(&cx, stream)).await {
-        Ok(proved) => serve(cx, proved, None).await,
-        Err(Error::Myself) => {}
+    match with_timeout(HANDSHAKE_TIMEOUT, "accepting", accept_peer(&cx, stream)).await {
+        Ok(link) => serve(cx, link, None).await,
+        Err(Error::SelfConnection) => {}
         Err(e) => log::warn!("mesh: refused a connection from {from:?}: {e}"),
     }
 }
 
-async fn open(cx: &LinkContext, address: SocketAddr) -> Result<Proved> {
-    let stream = TcpStream::connect(address).await.map_err(broken)?;
-    stream.set_nodelay(true).map_err(broken)?;
+async fn dial_peer(cx: &LinkContext, address: SocketAddr) -> Result<AuthenticatedLink> {
+    let stream = TcpStream::connect(address)
+        .await
+        .map_err(connection_error)?;
+    stream.set_nodelay(true).map_err(connection_error)?;
     let url = format!("ws://{address}/mesh");
-    let (mut socket, _) = client_async_with_config(url, stream, Some(limits()))
+    let (mut socket, _) = client_async_with_config(url, stream, Some(websocket_config()))
         .await
-        .map_err(broken)?;
-    let hello = Hello::new(cx.card.clone()).encode();
-    write(&mut socket, hello.clone()).await?;
-    let answer = read_small(&mut socket).await?;
-    let proof = read_small(&mut socket).await?;
-    let card = Hello::decode(&answer)?.card;
+        .map_err(connection_error)?;
+    let dialer_hello = Hello::new(cx.card.clone()).encode();
+    write(&mut socket, dialer_hello.clone()).await?;
+    let acceptor_hello = read_handshake_message(&mut socket).await?;
+    let proof = read_handshake_message(&mut socket).await?;
+    let card = Hello::decode(&acceptor_hello)?.card;
     let transcript = Transcript {
         key: &cx.key,
-        dialer: &hello,
-        acceptor: &answer,
+        dialer: &dialer_hello,
+        acceptor: &acceptor_hello,
     };
-    transcript.check(Side::Acceptor, &proof)?;
+    transcript.verify_proof(Side::Acceptor, &proof)?;
     write(&mut socket, transcript.proof(Side::Dialer)).await?;
-    let (send, receive) = transcript.seals(Side::Dialer);
-    prove(
+    let (send_mac, receive_mac) = transcript.frame_macs(Side::Dialer);
+    reject_self_connection(
         cx,
-        Proved {
+        AuthenticatedLink {
             socket,
             card,
-            send,
-            receive,
+            send_mac,
+            receive_mac,
         },
     )
 }
 
-async fn welcome(cx: &LinkContext, stream: TcpStream) -> Result<Proved> {
-    stream.set_nodelay(true).map_err(broken)?;
-    let mut socket = accept_async_with_config(stream, Some(limits()))
+async fn accept_peer(cx: &LinkContext, stream: TcpStream) -> Result<AuthenticatedLink> {
+    stream.set_nodelay(true).map_err(connection_error)?;
+    let mut socket = accept_async_with_config(stream, Some(websocket_config()))
         .await
-        .map_err(broken)?;
-    let hello = read_small(&mut socket).await?;
-    let card = Hello::decode(&hello)?.card;
-    let answer = Hello::new(cx.card.clone()).encode();
+        .map_err(connection_error)?;
+    let dialer_hello = read_handshake_message(&mut socket).await?;
+    let card = Hello::decode(&dialer_hello)?.card;
+    let acceptor_hello = Hello::new(cx.card.clone()).encode();
     let transcript = Transcript {
         key: &cx.key,
-        dialer: &hello,
-        acceptor: &answer,
+        dialer: &dialer_hello,
+        acceptor: &acceptor_hello,
     };
-    write(&mut socket, answer.clone()).await?;
+    write(&mut socket, acceptor_hello.clone()).await?;
     write(&mut socket, transcript.proof(Side::Acceptor)).await?;
-    let proof = read_small(&mut socket).await?;
-    transcript.check(Side::Dialer, &proof)?;
-    let (send, receive) = transcript.seals(Side::Acceptor);
-    prove(
+    let proof = read_handshake_message(&mut socket).await?;
+    transcript.verify_proof(Side::Dialer, &proof)?;
+    let (send_mac, receive_mac) = transcript.frame_macs(Side::Acceptor);
+    reject_self_connection(
         cx,
-        Proved {
+        AuthenticatedLink {
             socket,
             card,
-            send,
-            receive,
+            send_mac,
+            receive_mac,
         },
     )
 }
 
-fn prove(cx: &LinkContext, proved: Proved) -> Result<Proved> {
-    match proved.card == cx.card {
-        true => Err(Error::Myself),
-        false => Ok(proved),
+fn reject_self_connection(cx: &LinkContext, link: AuthenticatedLink) -> Result<AuthenticatedLink> {
+    match link.card == cx.card {
+        true => Err(Error::SelfConnection),
+        false => Ok(link),
     }
 }
 
-async fn serve(cx: LinkContext, mut proved: Proved, dialed: Option<SocketAddr>) {
+async fn serve(cx: LinkContext, mut link: AuthenticatedLink, dialed: Option<SocketAddr>) {
     let conn = cx.conn;
-    let (tx, rx) = mpsc::channel(QUEUE);
-    let host = proved.card.host.clone();
+    let (tx, rx) = mpsc::channel(FRAME_QUEUE);
+    let host = link.card.host.clone();
     let up = LinkEvent::Up {
         conn,
-        card: proved.card.clone(),
+        card: link.card.clone(),
         dialed,
         tx,
     };
     if cx.tx.send(up).await.is_err() {
         return;
     }
-    match pump(&cx, &mut proved, rx).await {
+    match exchange_frames(&cx, &mut link, rx).await {
         Ok(()) => log::debug!("mesh: link to {host} closed"),
         Err(e) => log::info!("mesh: link to {host}: {e}"),
     }
@@ -175,26 +177,30 @@
 }
 
 /// Moves frames both ways until the duty drops its sender or the connection ends.
-async fn pump(cx: &LinkContext, proved: &mut Proved, mut rx: mpsc::Receiver<Frame>) -> Result<()> {
+async fn exchange_frames(
+    cx: &LinkContext,
+    link: &mut AuthenticatedLink,
+    mut rx: mpsc::Receiver<Frame>,
+) -> Result<()> {
     loop {
         tokio::select! {
             frame = rx.recv() => match frame {
                 Some(frame) => {
-                    let buf = proved.send.close(&frame.encode());
-                    within(WRITE, "writing", write(&mut proved.socket, buf)).await?;
+                    let buf = link.send_mac.add_tag(&frame.encode());
+                    with_timeout(WRITE_TIMEOUT, "writing", write(&mut link.socket, buf)).await?;
                 }
                 None => {
-                    let closed = async { proved.socket.close(None).await.map_err(broken) };
-                    return within(WRITE, "closing", closed).await;
+                    let closing = async { link.socket.close(None).await.map_err(connection_error) };
+                    return with_timeout(WRITE_TIMEOUT, "closing", closing).await;
                 }
             },
-            message = proved.socket.next() => {
+            message = link.socket.next() => {
                 let buf = match message {
                     None => return Ok(()),
-                    Some(message) => payload(message)?,
+                    Some(message) => binary_payload(message)?,
                 };
                 let Some(buf) = buf else { continue };
-                let frame = Frame::decode(proved.receive.open(&buf)?)?;
+                let frame = Frame::decode(link.receive_mac.verify(&buf)?)?;
                 let event = LinkEvent::Frame { conn: cx.conn, frame };
                 if cx.tx.send(event).await.is_err() {
                     return Ok(());
@@ -204,8 +210,8 @@
     }
 }
 
-fn payload(message: Result<Message, tungstenite::Error>) -> Result<Option<Bytes>> {
-    match message.map_err(broken)? {
+fn binary_payload(message: Result<Message, tungstenite::Error>) -> Result<Option<Bytes>> {
+    match message.map_err(connection_error)? {
         Message::Binary(buf) => Ok(Some(buf)),
         Message::Ping(_) | Message::Pong(_) | Message::Close(_) => Ok(None),
         Message::Text(_) | Message::Frame(_) => MalformedSnafu {
@@ -215,7 +221,7 @@
     }
 }
 
-async fn read_small(socket: &mut Socket) -> Result<Bytes> {
+async fn read_handshake_message(socket: &mut Socket) -> Result<Bytes> {
     loop {
         let Some(message) = socket.next().await else {
             return ConnectionSnafu {
@@ -223,8 +229,8 @@
             }
             .fail();
         };
-        match payload(message)? {
-            Some(buf) if buf.len() > MAX_HELLO => {
+        match binary_payload(message)? {
+            Some(buf) if buf.len() > MAX_HELLO_BYTES => {
                 return MalformedSnafu {
                     reason: "a hello of that size",
                 }
@@ -237,30 +243,33 @@
 }
 
 async fn write(socket: &mut Socket, buf: Bytes) -> Result<()> {
-    socket.send(Message::Binary(buf)).await.map_err(broken)
+    socket
+        .send(Message::Binary(buf))
+        .await
+        .map_err(connection_error)
 }
 
-async fn within<T>(
-    bound: Duration,
-    doing: &'static str,
-    work: impl Future<Output = Result<T>>,
+async fn with_timeout<T>(
+    limit: Duration,
+    operation: &'static str,
+    future: impl Future<Output = Result<T>>,
 ) -> Result<T> {
-    match timeout(bound, work).await {
+    match timeout(limit, future).await {
         Ok(result) => result,
-        Err(_) => TimeoutSnafu { doing }.fail(),
+        Err(_) => TimeoutSnafu { operation }.fail(),
     }
 }
 
-fn limits() -> WebSocketConfig {
+fn websocket_config() -> WebSocketConfig {
     WebSocketConfig::default()
-        .read_buffer_size(BUFFER)
+        .read_buffer_size(BUFFER_BYTES)
         .write_buffer_size(0)
         .max_write_buffer_size(2 * MAX_FRAME)
-        .max_message_size(Some(MAX_FRAME + TAG))
-        .max_frame_size(Some(MAX_FRAME + TAG))
+        .max_message_size(Some(MAX_FRAME + TAG_BYTES))
+        .max_frame_size(Some(MAX_FRAME + TAG_BYTES))
 }
 
-fn broken(e: impl std::fmt::Display) -> Error {
+fn connection_error(e: impl std::fmt::Display) -> Error {
     Error::Connection {
         reason: e.to_string(),
     }
--- a/crates/oatdale-mesh/src/rank.rs
+++ b/crates/oatdale-mesh/src/rank.rs
@@ -30,24 +30,25 @@
 /// The domains of `others` get theirs in turn, and nobody gets a further one while somebody has
 /// fewer. Left to chance, one node of 360 would pass on four times what the mean does.
 pub(crate) fn reporters(hosts: &[HostId], others: &BTreeSet<u32>, of: u32, to: u32) -> Vec<HostId> {
-    let mut duties: BTreeMap<HostId, (usize, usize)> = hosts.iter().map(|h| (*h, (0, 0))).collect();
+    let mut assigned: BTreeMap<HostId, (usize, usize)> =
+        hosts.iter().map(|h| (*h, (0, 0))).collect();
     for domain in others {
         let salt = report_salt(of, *domain);
-        let first = duties
+        let primary = assigned
             .iter()
             .min_by_key(|(h, d)| (d.0, d.1, score(**h, salt)));
-        let first = first.map(|(h, _)| *h);
-        let rest = duties.iter().filter(|(h, _)| Some(**h) != first);
-        let second = rest
+        let primary = primary.map(|(h, _)| *h);
+        let remaining = assigned.iter().filter(|(h, _)| Some(**h) != primary);
+        let standby = remaining
             .min_by_key(|(h, d)| (d.1, d.0, score(**h, salt)))
             .map(|(h, _)| *h);
         if *domain == to {
-            return first.into_iter().chain(second).collect();
+            return primary.into_iter().chain(standby).collect();
         }
-        for (host, passes_on) in [(first, true), (second, false)] {
-            if let Some(duty) = host.and_then(|h| duties.get_mut(&h)) {
-                duty.0 += usize::from(passes_on);
-                duty.1 += 1;
+        for (host, is_primary) in [(primary, true), (standby, false)] {
+            if let Some(counts) = host.and_then(|h| assigned.get_mut(&h)) {
+                counts.0 += usize::from(is_primary);
+                counts.1 += 1;
             }
         }
     }
--- a/crates/oatdale-mesh/src/reach.rs
+++ b/crates/oatdale-mesh/src/reach.rs
@@ -18,10 +18,10 @@
 /// assert!(oatdale_mesh::reachable(&[], "hall-1").is_empty());
 /// ```
 pub fn reachable<'a>(peers: &'a [PeerView], domain: &str) -> Vec<&'a PeerView> {
-    let present = peers.iter().filter(|p| p.state != PeerState::Left).count() + 1;
+    let node_count = peers.iter().filter(|p| p.state != PeerState::Left).count() + 1;
     peers
         .iter()
         .filter(|p| p.state == PeerState::Alive)
-        .filter(|p| present < FULL_MESH || p.domain == domain)
+        .filter(|p| node_count < FULL_MESH || p.domain == domain)
         .collect()
 }
--- a/crates/oatdale-mesh/src/types.rs
+++ b/crates/oatdale-mesh/src/types.rs
@@ -32,9 +32,9 @@
 /// The first eight bytes of a SHA-256.
 pub(crate) fn digest64(bytes: &[u8]) -> u64 {
     let digest = Sha256::digest(bytes);
-    let mut head = [0; 8];
-    head.copy_from_slice(&digest[..8]);
-    u64::from_be_bytes(head)
+    let mut prefix = [0; 8];
+    prefix.copy_from_slice(&digest[..8]);
+    u64::from_be_bytes(prefix)
 }
 
 /// An incarnation for a process that starts now: wall clock in milliseconds above, chance below.
--- a/crates/oatdale-mesh/src/wire.rs
+++ b/crates/oatdale-mesh/src/wire.rs
@@ -1,7 +1,7 @@
 //! Messages between nodes and their CBOR form: arrays of numbers, no field names.
 
 /// Gives a type with named fields its form on the wire, a tuple of the same values.
-macro_rules! tuple_form {
+macro_rules! tuple_conversions {
     ($name:ident { $($field:ident: $type:ty),* $(,)? }) => {
         impl From<$name> for ($($type,)*) {
             fn from(v: $name) -> Self {
@@ -40,7 +40,7 @@
 /// Largest configuration; the key-value service holds no larger value.
 pub(crate) const MAX_DOCUMENT: usize = 1024 * 1024;
 /// Size at which a frame is closed and the next one begun; leaves room for one more message.
-const FRAME_TARGET: usize = 48 * 1024;
+const FRAME_TARGET_BYTES: usize = 48 * 1024;
 /// Cards in one message.
 pub(crate) const CARDS: usize = 256;
 
@@ -66,9 +66,9 @@
             let reason = format!("{} bytes are more than a frame may have", buf.len());
             return MalformedSnafu { reason }.fail();
         }
-        let mut rest = buf;
-        match ciborium::from_reader(&mut rest) {
-            Ok(frame) if rest.is_empty() => Ok(frame),
+        let mut remaining = buf;
+        match ciborium::from_reader(&mut remaining) {
+            Ok(frame) if remaining.is_empty() => Ok(frame),
             Ok(_) => MalformedSnafu {
                 reason: "bytes after the frame",
             }
@@ -86,9 +86,9 @@
         let mut frame = Vec::new();
         let mut size = 0;
         for message in messages {
-            size += message.weight();
+            size += message.estimated_size();
             frame.push(message);
-            if size >= FRAME_TARGET {
+            if size >= FRAME_TARGET_BYTES {
                 frames.push(Frame(std::mem::take(&mut frame)));
                 size = 0;
             }
@@ -155,7 +155,7 @@
 
 impl Message {
     /// About how many bytes the message takes.
-    fn weight(&self) -> usize {
+    fn estimated_size(&self) -> usize {
         match self {
             Message::Cards(cards) => cards.len() * 120,
             Message::Steps(steps) => steps.iter().map(|s| 40 + delta::size(&s.delta)).sum(),
@@ -186,7 +186,7 @@
 }
 
 type BeatWire = (u8, u8, u64, u32);
-tuple_form!(Beat {
+tuple_conversions!(Beat {
     flags: u8,
     load: u8,
     in_force: u64,
@@ -223,7 +223,7 @@
 }
 
 type CardWire = (String, String, String, u64, SocketAddr, SocketAddr);
-tuple_form!(Card {
+tuple_conversions!(Card {
     host: String,
     domain: String,
     region: String,
--- a/crates/oatdale-mesh/src/wire/document.rs
+++ b/crates/oatdale-mesh/src/wire/document.rs
@@ -10,7 +10,7 @@
     pub(crate) revision: u64,
     pub(crate) digest: u64,
 }
-tuple_form!(Newest {
+tuple_conversions!(Newest {
     revision: u64,
     digest: u64
 });
@@ -26,7 +26,7 @@
     /// How many bytes of it.
     pub(crate) offset: u32,
 }
-tuple_form!(Fetch {
+tuple_conversions!(Fetch {
     have: u64,
     partial: u64,
     offset: u32
@@ -46,7 +46,7 @@
 }
 
 type StepWire = (u64, u64, u64, Delta);
-tuple_form!(Step {
+tuple_conversions!(Step {
     from: u64,
     revision: u64,
     digest: u64,
@@ -67,7 +67,7 @@
 }
 
 type ChunkWire = (u64, u64, u32, u32, Bytes);
-tuple_form!(Chunk {
+tuple_conversions!(Chunk {
     revision: u64,
     digest: u64,
     total: u32,
--- a/crates/oatdale-mesh/src/wire/record.rs
+++ b/crates/oatdale-mesh/src/wire/record.rs
@@ -20,7 +20,7 @@
 }
 
 type RecordWire = (u128, HostId, u64, u64, u64, Bytes);
-tuple_form!(Record {
+tuple_conversions!(Record {
     id: u128,
     owner: HostId,
     incarnation: u64,
@@ -40,7 +40,7 @@
 }
 
 type HeldIdWire = (HostId, u64, u128, u64);
-tuple_form!(HeldId {
+tuple_conversions!(HeldId {
     owner: HostId,
     incarnation: u64,
     id: u128,
--- a/crates/oatdale-mesh/src/wire/summary.rs
+++ b/crates/oatdale-mesh/src/wire/summary.rs
@@ -31,7 +31,7 @@
 }
 
 type HostCountersWire = (HostId, u64, Vec<(u32, Vec<u64>)>);
-tuple_form!(HostCounters { host: HostId, incarnation: u64, counts: Vec<(u32, Vec<u64>)> });
+tuple_conversions!(HostCounters { host: HostId, incarnation: u64, counts: Vec<(u32, Vec<u64>)> });
 
 /// A summary of a failure domain, made by one of its nodes and passed on within another.
 #[derive(Clone, PartialEq, Debug, serde::Serialize, serde::Deserialize)]
@@ -56,7 +56,7 @@
     Vec<(u32, Fraction, Fraction)>,
     Vec<(u32, Vec<u64>)>,
 );
-tuple_form!(Report {
+tuple_conversions!(Report {
     domain: u32,
     revision: u64,
     members: Vec<ReportMember>,
@@ -75,7 +75,7 @@
     /// How far its revision is behind the report's.
     pub(crate) behind: u64,
 }
-tuple_form!(ReportMember {
+tuple_conversions!(ReportMember {
     short: u32,
     flags: u8,
     load: u8,
--- a/crates/oatdale-placement/src/lease.rs
+++ b/crates/oatdale-placement/src/lease.rs
@@ -17,53 +17,53 @@
     pub(crate) fencing: u64,
     ttl: Duration,
     /// When it ends at the latest, on the holder's clock.
-    until: Duration,
+    expires_at: Duration,
 }
 
 /// What became of an attempt to take the lease.
 #[derive(Debug)]
-pub(crate) enum Taken {
+pub(crate) enum Acquisition {
     /// This process holds it.
-    Held(Lease),
+    Acquired(Lease),
     /// Another one does; its key has this revision.
-    Other(ModRevision),
+    HeldByOther(ModRevision),
 }
 
 impl Lease {
     /// Tries to become the holder of `key`. `token` must never have been used before.
-    pub(crate) async fn take(
+    pub(crate) async fn acquire(
         kv: &impl Kv,
         key: &str,
         token: &str,
         ttl: Duration,
         clock: &PauseClock,
-    ) -> oatdale_platform::Result<Taken> {
+    ) -> oatdale_platform::Result<Acquisition> {
         if let Some(entry) = kv.get(key).await? {
-            return Ok(Taken::Other(entry.revision));
+            return Ok(Acquisition::HeldByOther(entry.revision));
         }
-        let until = clock() + ttl;
+        let expires_at = clock() + ttl;
         let id = kv.grant(ttl).await?;
         let value = Bytes::copy_from_slice(token.as_bytes());
         let lease = |fencing: ModRevision| Lease {
             id,
             fencing: fencing.0,
             ttl,
-            until,
+            expires_at,
         };
         match kv.put(key, value, Condition::Absent, Some(id)).await {
-            Ok(Put::Stored(revision)) => Ok(Taken::Held(lease(revision))),
+            Ok(Put::Stored(revision)) => Ok(Acquisition::Acquired(lease(revision))),
             Ok(Put::Conflict(revision)) => {
                 // Nobody uses the grant; it lapses by itself if this fails.
                 let _ = kv.revoke(id).await;
-                Ok(Taken::Other(revision.unwrap_or_default()))
+                Ok(Acquisition::HeldByOther(revision.unwrap_or_default()))
             }
             // The key may be this process's: its token tells. If it is not there yet it may still
             // come, and then it lapses with its lease, since nobody renews it.
             Err(KvError::Unknown { message }) => match kv.get(key).await? {
                 Some(entry) if entry.value == token.as_bytes() => {
-                    Ok(Taken::Held(lease(entry.revision)))
+                    Ok(Acquisition::Acquired(lease(entry.revision)))
                 }
-                Some(entry) => Ok(Taken::Other(entry.revision)),
+                Some(entry) => Ok(Acquisition::HeldByOther(entry.revision)),
                 None => Err(KvError::Unavailable { message }),
             },
             Err(error) => Err(error),
@@ -76,19 +76,19 @@
         kv: &impl Kv,
         clock: &PauseClock,
     ) -> oatdale_platform::Result<()> {
-        let asked = clock();
+        let requested_at = clock();
         kv.renew(self.id).await?;
-        self.until = asked + self.ttl;
+        self.expires_at = requested_at + self.ttl;
         Ok(())
     }
 
     /// How much is left for certain.
-    pub(crate) fn left(&self, clock: &PauseClock) -> Duration {
-        self.until.saturating_sub(clock())
+    pub(crate) fn remaining(&self, clock: &PauseClock) -> Duration {
+        self.expires_at.saturating_sub(clock())
     }
 
     /// Gives the lease back, so that another node need not wait until it lapses.
-    pub(crate) async fn give_back(self, kv: &impl Kv) -> oatdale_platform::Result<()> {
+    pub(crate) async fn release(self, kv: &impl Kv) -> oatdale_platform::Result<()> {
         kv.revoke(self.id).await
     }
 }
--- a/crates/oatdale-placement/src/lib.rs
+++ b/crates/oatdale-placement/src/lib.rs
@@ -17,9 +17,9 @@
 mod placer;
 mod plan;
 
-pub use crate::orders::Orders;
+pub use crate::orders::EngineControl;
 pub use crate::placer::{Live, Placer, Settings, run};
-pub use crate::plan::{Step, Wanted, Why, plan, wanted};
+pub use crate::plan::{DesiredState, OrderReason, Step, desired_states, plan};
 
 /// Reads a clock that goes on while the process is paused, as a time since any fixed moment.
 pub type PauseClock = std::sync::Arc<dyn Fn() -> std::time::Duration + Send + Sync>;
--- a/crates/oatdale-placement/src/orders.rs
+++ b/crates/oatdale-placement/src/orders.rs
@@ -7,12 +7,12 @@
 use tokio::time::Instant;
 
 /// Reads engines back and sends them orders.
-pub trait Orders: Clone + Send + Sync + 'static {
+pub trait EngineControl: Clone + Send + Sync + 'static {
     /// What an engine holds and was last ordered.
     fn held(
         &self,
         address: SocketAddr,
-        limit: Duration,
+        timeout: Duration,
     ) -> impl Future<Output = Result<Held, CallError>> + Send;
 
     /// Sends an order; after an error it may have taken effect, now or later.
@@ -20,21 +20,21 @@
         &self,
         address: SocketAddr,
         order: &Order,
-        limit: Duration,
+        timeout: Duration,
     ) -> impl Future<Output = Result<Ordered, CallError>> + Send;
 }
 
-impl Orders for EngineClient {
-    async fn held(&self, address: SocketAddr, limit: Duration) -> Result<Held, CallError> {
-        EngineClient::held(self, address, Instant::now() + limit).await
+impl EngineControl for EngineClient {
+    async fn held(&self, address: SocketAddr, timeout: Duration) -> Result<Held, CallError> {
+        EngineClient::held(self, address, Instant::now() + timeout).await
     }
 
     async fn order(
         &self,
         address: SocketAddr,
         order: &Order,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Ordered, CallError> {
-        EngineClient::order(self, address, order, Instant::now() + limit).await
+        EngineClient::order(self, address, order, Instant::now() + timeout).await
     }
 }
--- a/crates/oatdale-placement/src/placer.rs
+++ b/crates/oatdale-placement/src/placer.rs
@@ -1,9 +1,9 @@
 //! The duty that places one pool: it takes the lease, reads engines back and orders what differs.
 
 use crate::PauseClock;
-use crate::lease::{Lease, Taken};
-use crate::orders::Orders;
-use crate::plan::{Step, Wanted, Why, plan, wanted};
+use crate::lease::{Acquisition, Lease};
+use crate::orders::EngineControl;
+use crate::plan::{DesiredState, OrderReason, Step, desired_states, plan};
 use futures::future::join_all;
 use log::{info, warn};
 use oatdale_config::{Config, Revision};
@@ -27,16 +27,16 @@
     /// Tells this incarnation of the node from every other; draw it at random.
     pub incarnation: u64,
     /// How long the lease lasts without renewal.
-    pub lease: Duration,
+    pub lease_ttl: Duration,
     /// An order is sent only while this much of the lease is left; more than `call`, so that an
     /// order whose answer is awaited falls within the lease.
-    pub margin: Duration,
+    pub send_margin: Duration,
     /// How long one call may take.
-    pub call: Duration,
+    pub call_timeout: Duration,
     /// How often engines are read back and the lease is renewed.
-    pub interval: Duration,
+    pub poll_interval: Duration,
     /// How many engines may load at once.
-    pub loads: usize,
+    pub max_loading: usize,
 }
 
 impl Settings {
@@ -46,11 +46,11 @@
             pool: pool.to_owned(),
             node: node.to_owned(),
             incarnation,
-            lease: Duration::from_secs(15),
-            margin: Duration::from_secs(4),
-            call: Duration::from_secs(2),
-            interval: Duration::from_secs(3),
-            loads: 2,
+            lease_ttl: Duration::from_secs(15),
+            send_margin: Duration::from_secs(4),
+            call_timeout: Duration::from_secs(2),
+            poll_interval: Duration::from_secs(3),
+            max_loading: 2,
         }
     }
 }
@@ -72,97 +72,105 @@
 }
 
 /// Why a holder stops.
-enum End {
+enum StopReason {
     /// The lease is over, or too little of it is left.
-    Lapsed,
+    LeaseExpired,
     /// An engine has seen a newer holder.
-    Overtaken,
+    Superseded,
     /// The node is no candidate any more, or it stops.
-    Resigned,
+    NotCandidate,
 }
 
 /// Places a pool until the sender of `candidate` goes.
-pub async fn run<K: Kv, O: Orders>(mut placer: Placer<K, O>) {
+pub async fn run<K: Kv, O: EngineControl>(mut placer: Placer<K, O>) {
     let mut attempt = 0_u64;
     loop {
-        if !placer.stands().await {
+        if !placer.wait_until_candidate().await {
             return;
         }
         attempt += 1;
-        match placer.take(attempt).await {
-            Ok(Taken::Held(lease)) => placer.hold(lease).await,
-            Ok(Taken::Other(revision)) => placer.wait_for_lapse(revision).await,
+        match placer.acquire(attempt).await {
+            Ok(Acquisition::Acquired(lease)) => placer.run_as_holder(lease).await,
+            Ok(Acquisition::HeldByOther(revision)) => placer.wait_for_expiry(revision).await,
             Err(error) => {
                 warn!("placement {}: no lease: {error}", placer.settings.pool);
-                sleep(placer.settings.interval).await;
+                sleep(placer.settings.poll_interval).await;
             }
         }
     }
 }
 
-impl<K: Kv, O: Orders> Placer<K, O> {
+impl<K: Kv, O: EngineControl> Placer<K, O> {
     /// Waits until this node is a candidate; false if it never will be.
-    async fn stands(&mut self) -> bool {
-        let stands = self.candidate.wait_for(|stands| *stands).await.is_ok();
-        stands && self.candidate.has_changed().is_ok()
+    async fn wait_until_candidate(&mut self) -> bool {
+        let is_candidate = self
+            .candidate
+            .wait_for(|is_candidate| *is_candidate)
+            .await
+            .is_ok();
+        is_candidate && self.candidate.has_changed().is_ok()
     }
 
     fn key(&self) -> String {
         format!("placer/{}", self.settings.pool)
     }
 
-    async fn take(&self, attempt: u64) -> oatdale_platform::Result<Taken> {
+    async fn acquire(&self, attempt: u64) -> oatdale_platform::Result<Acquisition> {
         let Settings {
             node, incarnation, ..
         } = &self.settings;
         let token = format!("{node}/{incarnation:016x}/{attempt}");
         let key = self.key();
-        let take = Lease::take(&self.kv, &key, &token, self.settings.lease, &self.clock);
-        bounded(self.settings.call * 3, take).await
+        let acquire = Lease::acquire(&self.kv, &key, &token, self.settings.lease_ttl, &self.clock);
+        with_timeout(self.settings.call_timeout * 3, acquire).await
     }
 
     /// Waits for a part of the lease, or until another holder's key is there. That the key goes
     /// wakes nobody, so a new holder comes this much after the lapse at the latest.
-    async fn wait_for_lapse(&self, revision: ModRevision) {
-        let wait = self.settings.lease / 3;
+    async fn wait_for_expiry(&self, revision: ModRevision) {
+        let wait = self.settings.lease_ttl / 3;
         if self.kv.watch(&self.key(), revision, wait).await.is_err() {
-            sleep(self.settings.interval).await;
+            sleep(self.settings.poll_interval).await;
         }
     }
 
     /// Places the pool until the lease ends.
-    async fn hold(&mut self, mut lease: Lease) {
+    async fn run_as_holder(&mut self, mut lease: Lease) {
         let pool = &self.settings.pool;
         info!(
             "placement {pool}: holds the lease, fencing {}",
             lease.fencing
         );
-        let end = loop {
+        let stop_reason = loop {
             if !*self.candidate.borrow() || self.candidate.has_changed().is_err() {
-                break End::Resigned;
+                break StopReason::NotCandidate;
             }
-            match self.round(&lease).await {
+            match self.reconcile(&lease).await {
                 Ok(()) => {}
-                Err(end) => break end,
+                Err(stop_reason) => break stop_reason,
             }
-            sleep(self.settings.interval).await;
+            sleep(self.settings.poll_interval).await;
             if !self.renew(&mut lease).await {
-                break End::Lapsed;
+                break StopReason::LeaseExpired;
             }
         };
         let pool = &self.settings.pool;
-        match end {
-            End::Lapsed => info!("placement {pool}: the lease is over"),
-            End::Overtaken => warn!("placement {pool}: an engine follows a newer holder"),
-            End::Resigned => info!("placement {pool}: gives the lease back"),
+        match stop_reason {
+            StopReason::LeaseExpired => info!("placement {pool}: the lease is over"),
+            StopReason::Superseded => warn!("placement {pool}: an engine follows a newer holder"),
+            StopReason::NotCandidate => info!("placement {pool}: gives the lease back"),
         }
         // If this fails the lease lapses by itself.
-        let _ = bounded(self.settings.call, lease.give_back(&self.kv)).await;
+        let _ = with_timeout(self.settings.call_timeout, lease.release(&self.kv)).await;
     }
 
     /// Renews the lease; while the service is away the holder goes on with what is left.
     async fn renew(&self, lease: &mut Lease) -> bool {
-        let renewed = bounded(self.settings.call, lease.renew(&self.kv, &self.clock)).await;
+        let renewed = with_timeout(
+            self.settings.call_timeout,
+            lease.renew(&self.kv, &self.clock),
+        )
+        .await;
         match renewed {
             Ok(()) => true,
             Err(KvError::Rejected { .. }) => false,
@@ -171,39 +179,45 @@
     }
 
     /// Reads all engines back and sends what differs.
-    async fn round(&mut self, lease: &Lease) -> Result<(), End> {
+    async fn reconcile(&mut self, lease: &Lease) -> Result<(), StopReason> {
         let (revision, cfg) = self.live.borrow_and_update().clone();
         let Some(pool) = cfg.pools.find(|pool| pool.name == self.settings.pool) else {
             return Ok(());
         };
-        let reads = wanted(&cfg, pool).into_iter().map(|w| self.read_back(w));
-        let engines: Vec<(Wanted, Held)> = join_all(reads).await.into_iter().flatten().collect();
-        let steps = plan(&engines, lease.fencing, revision, self.settings.loads);
-        for ((wanted, held), step) in engines.iter().zip(steps) {
+        let reads = desired_states(&cfg, pool)
+            .into_iter()
+            .map(|w| self.read_state(w));
+        let engines: Vec<(DesiredState, Held)> =
+            join_all(reads).await.into_iter().flatten().collect();
+        let steps = plan(&engines, lease.fencing, revision, self.settings.max_loading);
+        for ((desired, held), step) in engines.iter().zip(steps) {
             match step {
-                Step::Send(order, why) => {
-                    self.send(lease, wanted, held, &order, why, engines.len())
+                Step::Send(order, reason) => {
+                    self.send(lease, desired, held, &order, reason, engines.len())
                         .await?;
                 }
-                Step::NewerLease(_) => return Err(End::Overtaken),
+                Step::NewerLease(_) => return Err(StopReason::Superseded),
                 Step::NewerRevision(newer) => info!(
                     "placement {}: {} follows revision {newer}, this node has {}",
-                    self.settings.pool, wanted.name, revision.0
+                    self.settings.pool, desired.name, revision.0
                 ),
-                Step::Settled | Step::WaitForRoom => {}
+                Step::UpToDate | Step::WaitForLoadSlot => {}
             }
         }
         Ok(())
     }
 
-    async fn read_back(&self, wanted: Wanted) -> Option<(Wanted, Held)> {
-        let held = self.orders.held(wanted.address, self.settings.call).await;
+    async fn read_state(&self, desired: DesiredState) -> Option<(DesiredState, Held)> {
+        let held = self
+            .orders
+            .held(desired.address, self.settings.call_timeout)
+            .await;
         match held {
-            Ok(held) => Some((wanted, held)),
+            Ok(held) => Some((desired, held)),
             Err(error) => {
                 warn!(
                     "placement {}: {} can't be read back: {error}",
-                    self.settings.pool, wanted.name
+                    self.settings.pool, desired.name
                 );
                 None
             }
@@ -216,52 +230,55 @@
     async fn send(
         &self,
         lease: &Lease,
-        wanted: &Wanted,
+        desired: &DesiredState,
         held: &Held,
         order: &Order,
-        why: Why,
+        reason: OrderReason,
         engines: usize,
-    ) -> Result<(), End> {
+    ) -> Result<(), StopReason> {
         info!(
-            "placement {}: {} of {engines} engines, {why:?}: hold [{}], held [{}], revision {}, \
+            "placement {}: {} of {engines} engines, {reason:?}: hold [{}], held [{}], revision {}, \
              fencing {}, {} ms of the lease left",
             self.settings.pool,
-            wanted.name,
+            desired.name,
             order.versions.join(", "),
             held.versions.join(", "),
             order.revision,
             order.fencing,
-            lease.left(&self.clock).as_millis()
+            lease.remaining(&self.clock).as_millis()
         );
         if !self.may_send(lease) {
-            return Err(End::Lapsed);
+            return Err(StopReason::LeaseExpired);
         }
         match self
             .orders
-            .order(wanted.address, order, self.settings.call)
+            .order(desired.address, order, self.settings.call_timeout)
             .await
         {
             Ok(Ordered::Accepted(_)) => Ok(()),
-            Ok(Ordered::Stale { .. }) => Err(End::Overtaken),
+            Ok(Ordered::Stale { .. }) => Err(StopReason::Superseded),
             Err(error) => {
                 // Whether it took effect shows when the engine is read back.
-                warn!("placement {}: {}: {error}", self.settings.pool, wanted.name);
+                warn!(
+                    "placement {}: {}: {error}",
+                    self.settings.pool, desired.name
+                );
                 Ok(())
             }
         }
     }
 
     fn may_send(&self, lease: &Lease) -> bool {
-        lease.left(&self.clock) >= self.settings.margin
+        lease.remaining(&self.clock) >= self.settings.send_margin
     }
 }
 
-async fn bounded<T>(
+async fn with_timeout<T>(
     limit: Duration,
     call: impl Future<Output = oatdale_platform::Result<T>>,
 ) -> oatdale_platform::Result<T> {
-    let late = |_| KvError::Unknown {
+    let timed_out = |_| KvError::Unknown {
         message: format!("no answer within {} ms", limit.as_millis()),
     };
-    timeout(limit, call).await.map_err(late)?
+    timeout(limit, call).await.map_err(timed_out)?
 }
--- a/crates/oatdale-placement/src/plan.rs
+++ b/crates/oatdale-placement/src/plan.rs
@@ -7,7 +7,7 @@
 
 /// What one engine should hold.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Wanted {
+pub struct DesiredState {
     /// The engine.
     pub endpoint: EndpointKey,
     /// Its name in the text.
@@ -22,7 +22,7 @@
 
 /// Why an order is sent.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Why {
+pub enum OrderReason {
     /// The engine was last ordered under an older lease; from now on it refuses that one's orders,
     /// if it checks.
     Adopt,
@@ -38,11 +38,11 @@
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Step {
     /// Send this order.
-    Send(Order, Why),
+    Send(Order, OrderReason),
     /// It is as it should be, or on its way there.
-    Settled,
+    UpToDate,
     /// It needs a version, but as many engines load as may at once.
-    WaitForRoom,
+    WaitForLoadSlot,
     /// It follows a newer configuration than this node has.
     NewerRevision(u64),
     /// It follows a newer lease: this one is over.
@@ -50,16 +50,16 @@
 }
 
 /// The engines of a pool and what the text wants of them; empty for plain pools.
-pub fn wanted(cfg: &Config, pool: PoolKey) -> Vec<Wanted> {
+pub fn desired_states(cfg: &Config, pool: PoolKey) -> Vec<DesiredState> {
     let endpoints = cfg.pools[pool].endpoints.iter();
-    endpoints.map(|key| wanted_of(cfg, *key)).collect()
+    endpoints.map(|key| desired_state(cfg, *key)).collect()
 }
 
-fn wanted_of(cfg: &Config, key: EndpointKey) -> Wanted {
+fn desired_state(cfg: &Config, key: EndpointKey) -> DesiredState {
     let endpoint = &cfg.endpoints[key];
     let in_use = |v: &&_| cfg.versions[**v].state != VersionState::Withdrawn;
     let versions = endpoint.versions.iter().filter(in_use);
-    Wanted {
+    DesiredState {
         endpoint: key,
         name: endpoint.name.clone(),
         address: endpoint.address,
@@ -71,50 +71,61 @@
 /// Decides about each engine that answered. At most `loads` engines load at once, since the weight
 /// store is rate limited and a loading engine serves less.
 pub fn plan(
-    engines: &[(Wanted, Held)],
+    engines: &[(DesiredState, Held)],
     fencing: u64,
     revision: Revision,
-    loads: usize,
+    max_loading: usize,
 ) -> Vec<Step> {
     let loading = engines.iter().filter(|(_, held)| !held.loading.is_empty());
-    let mut room = loads.saturating_sub(loading.count());
+    let mut free_load_slots = max_loading.saturating_sub(loading.count());
     engines
         .iter()
-        .map(|(wanted, held)| step(wanted, held, fencing, revision, &mut room))
+        .map(|(desired, held)| step(desired, held, fencing, revision, &mut free_load_slots))
         .collect()
 }
 
-fn step(wanted: &Wanted, held: &Held, fencing: u64, revision: Revision, room: &mut usize) -> Step {
+fn step(
+    desired: &DesiredState,
+    held: &Held,
+    fencing: u64,
+    revision: Revision,
+    free_load_slots: &mut usize,
+) -> Step {
     if held.fencing > fencing {
         return Step::NewerLease(held.fencing);
     }
     if held.revision > revision.0 {
         return Step::NewerRevision(held.revision);
     }
-    let have: BTreeSet<&str> = names(&held.versions).chain(names(&held.loading)).collect();
-    let missing = wanted.versions.iter().any(|v| !have.contains(v.as_str()));
-    let surplus = have.iter().any(|v| !wanted.versions.contains(*v));
-    let why = match () {
-        () if missing => Why::Missing,
-        () if surplus => Why::Surplus,
-        () if held.role != wanted.role => Why::Role,
-        () if held.fencing < fencing => Why::Adopt,
-        () => return Step::Settled,
+    let present: BTreeSet<&str> = as_strs(&held.versions)
+        .chain(as_strs(&held.loading))
+        .collect();
+    let missing = desired
+        .versions
+        .iter()
+        .any(|v| !present.contains(v.as_str()));
+    let surplus = present.iter().any(|v| !desired.versions.contains(*v));
+    let reason = match () {
+        () if missing => OrderReason::Missing,
+        () if surplus => OrderReason::Surplus,
+        () if held.role != desired.role => OrderReason::Role,
+        () if held.fencing < fencing => OrderReason::Adopt,
+        () => return Step::UpToDate,
     };
-    let needs_room = missing && held.loading.is_empty();
-    if needs_room && *room == 0 {
-        return Step::WaitForRoom;
+    let needs_load_slot = missing && held.loading.is_empty();
+    if needs_load_slot && *free_load_slots == 0 {
+        return Step::WaitForLoadSlot;
     }
-    *room -= usize::from(needs_room);
+    *free_load_slots -= usize::from(needs_load_slot);
     let order = Order {
         fencing,
         revision: revision.0,
-        versions: wanted.versions.iter().cloned().collect(),
-        role: wanted.role,
+        versions: desired.versions.iter().cloned().collect(),
+        role: desired.role,
     };
-    Step::Send(order, why)
+    Step::Send(order, reason)
 }
 
-fn names(versions: &[String]) -> impl Iterator<Item = &str> {
+fn as_strs(versions: &[String]) -> impl Iterator<Item = &str> {
     versions.iter().map(String::as_str)
 }
--- a/crates/oatdale-placement/tests/engines/mod.rs
+++ b/crates/oatdale-placement/tests/engines/mod.rs
@@ -1,6 +1,6 @@
 //! In-process engines that check fencing numbers or don't.
 
-use oatdale_placement::Orders;
+use oatdale_placement::EngineControl;
 use oatdale_platform::CallError;
 use oatdale_platform::wire::{Held, Order, Ordered};
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
 pub(crate) struct Engine {
     held: Held,
     /// Orders that arrived, with whether they were followed.
-    seen: Vec<(Order, bool)>,
+    received: Vec<(Order, bool)>,
 }
 
 /// All engines of a pool as one client reaches them; an order may be held up on its way.
@@ -25,14 +25,14 @@
     engines: Arc<Mutex<BTreeMap<SocketAddr, Engine>>>,
     fencing: bool,
     /// How long this client's orders are under way, whether or not it waits for them.
-    pub(crate) delay: Arc<Mutex<Duration>>,
+    pub(crate) order_delay: Arc<Mutex<Duration>>,
     /// How long a load takes.
-    pub(crate) load: Duration,
+    pub(crate) load_duration: Duration,
     /// The most engines that ever loaded at once.
-    pub(crate) most: Arc<Mutex<usize>>,
-    pub(crate) loses_answers: bool,
+    pub(crate) max_loading: Arc<Mutex<usize>>,
+    pub(crate) drops_responses: bool,
     /// How long reading an engine back takes; stands for a pause of the process there.
-    pub(crate) pause: Arc<Mutex<Duration>>,
+    pub(crate) read_delay: Arc<Mutex<Duration>>,
 }
 
 impl Engines {
@@ -40,24 +40,24 @@
         Engines {
             engines: Arc::default(),
             fencing,
-            delay: Arc::default(),
-            load: SECOND,
-            most: Arc::default(),
-            loses_answers: false,
-            pause: Arc::default(),
+            order_delay: Arc::default(),
+            load_duration: SECOND,
+            max_loading: Arc::default(),
+            drops_responses: false,
+            read_delay: Arc::default(),
         }
     }
 
     /// The same engines by a way of its own.
-    pub(crate) fn other_way(&self) -> Self {
+    pub(crate) fn separate_client(&self) -> Self {
         Engines {
-            delay: Arc::default(),
-            pause: Arc::default(),
+            order_delay: Arc::default(),
+            read_delay: Arc::default(),
             ..self.clone()
         }
     }
 
-    pub(crate) fn held_by(&self, index: u16) -> Held {
+    pub(crate) fn state_of(&self, index: u16) -> Held {
         let engines = self.engines.lock().unwrap();
         engines
             .get(&address(index))
@@ -66,26 +66,26 @@
             .held
     }
 
-    pub(crate) fn seen_by(&self, index: u16) -> Vec<(Order, bool)> {
+    pub(crate) fn orders_at(&self, index: u16) -> Vec<(Order, bool)> {
         let engines = self.engines.lock().unwrap();
         engines
             .get(&address(index))
             .cloned()
             .unwrap_or_default()
-            .seen
+            .received
     }
 
-    fn arrive(&self, to: SocketAddr, order: &Order) -> Ordered {
+    fn deliver(&self, to: SocketAddr, order: &Order) -> Ordered {
         let mut engines = self.engines.lock().unwrap();
         let engine = engines.entry(to).or_default();
         let stale = self.fencing && order.fencing < engine.held.fencing;
-        engine.seen.push((order.clone(), !stale));
+        engine.received.push((order.clone(), !stale));
         if stale {
             let newest = engine.held.fencing;
             return Ordered::Stale { newest };
         }
-        let have = |v: &String| engine.held.versions.contains(v);
-        let (kept, loading) = order.versions.iter().cloned().partition(have);
+        let is_held = |v: &String| engine.held.versions.contains(v);
+        let (kept, loading) = order.versions.iter().cloned().partition(is_held);
         engine.held = Held {
             fencing: order.fencing,
             revision: order.revision,
@@ -95,12 +95,12 @@
         };
         let held = engine.held.clone();
         let loads = engines.values().filter(|e| !e.held.loading.is_empty());
-        let mut most = self.most.lock().unwrap();
-        *most = (*most).max(loads.count());
+        let mut max_loading = self.max_loading.lock().unwrap();
+        *max_loading = (*max_loading).max(loads.count());
         Ordered::Accepted(held)
     }
 
-    fn loaded(&self, at: SocketAddr) {
+    fn finish_loading(&self, at: SocketAddr) {
         let mut engines = self.engines.lock().unwrap();
         let engine = engines.entry(at).or_default();
         let loading = std::mem::take(&mut engine.held.loading);
@@ -109,10 +109,10 @@
     }
 }
 
-impl Orders for Engines {
+impl EngineControl for Engines {
     async fn held(&self, address: SocketAddr, _limit: Duration) -> Result<Held, CallError> {
-        let pause = *self.pause.lock().unwrap();
-        sleep(pause).await;
+        let read_delay = *self.read_delay.lock().unwrap();
+        sleep(read_delay).await;
         let mut engines = self.engines.lock().unwrap();
         Ok(engines.entry(address).or_default().held.clone())
     }
@@ -123,19 +123,19 @@
         order: &Order,
         limit: Duration,
     ) -> Result<Ordered, CallError> {
-        let delay = *self.delay.lock().unwrap();
-        let (engines, order, load) = (self.clone(), order.clone(), self.load);
-        let travel = tokio::spawn(async move {
-            sleep(delay).await;
-            let ordered = engines.arrive(address, &order);
+        let order_delay = *self.order_delay.lock().unwrap();
+        let (engines, order, load_duration) = (self.clone(), order.clone(), self.load_duration);
+        let delivery = tokio::spawn(async move {
+            sleep(order_delay).await;
+            let ordered = engines.deliver(address, &order);
             tokio::spawn(async move {
-                sleep(load).await;
-                engines.loaded(address);
+                sleep(load_duration).await;
+                engines.finish_loading(address);
             });
             ordered
         });
-        match tokio::time::timeout(limit, travel).await {
-            Ok(ordered) if !self.loses_answers => Ok(ordered.unwrap()),
+        match tokio::time::timeout(limit, delivery).await {
+            Ok(ordered) if !self.drops_responses => Ok(ordered.unwrap()),
             Ok(_) | Err(_) => Err(CallError::TimedOut),
         }
     }
--- a/crates/oatdale-placement/tests/placer.rs
+++ b/crates/oatdale-placement/tests/placer.rs
@@ -80,40 +80,40 @@
     }
 }
 
-fn full(version: &str) -> Vec<String> {
+fn full_names(version: &str) -> Vec<String> {
     vec![format!("planner/{version}")]
 }
 
 #[tokio::test(start_paused = true)]
-async fn engines_get_what_the_text_wants_and_only_some_load_at_once() {
+async fn engines_get_the_configured_versions_and_at_most_two_load_at_once() {
     let (kv, start, mut engines) = (MemKv::new(1), Instant::now(), Engines::new(true));
-    engines.load = 10 * SECOND;
+    engines.load_duration = 10 * SECOND;
     let node = node(&kv, "a", &engines, live(1, 9, "1"), start);
     sleep(100 * SECOND).await;
     for index in 0..9 {
-        assert_eq!(engines.held_by(index).versions, full("1"));
+        assert_eq!(engines.state_of(index).versions, full_names("1"));
     }
-    assert_eq!(*engines.most.lock().unwrap(), 2);
+    assert_eq!(*engines.max_loading.lock().unwrap(), 2);
     node.live.send_replace(live(2, 9, "2"));
     sleep(100 * SECOND).await;
     for index in 0..9 {
-        assert_eq!(engines.held_by(index).versions, full("2"));
-        assert_eq!(engines.held_by(index).revision, 2);
+        assert_eq!(engines.state_of(index).versions, full_names("2"));
+        assert_eq!(engines.state_of(index).revision, 2);
     }
-    assert_eq!(*engines.most.lock().unwrap(), 2);
+    assert_eq!(*engines.max_loading.lock().unwrap(), 2);
 }
 
 // Another node takes over when the holder's lease lapses, with a higher fencing number.
 #[tokio::test(start_paused = true)]
-async fn a_cut_off_holder_is_followed_by_another() {
+async fn another_node_takes_over_from_a_partitioned_holder() {
     let (kv, start, engines) = (MemKv::new(1), Instant::now(), Engines::new(true));
     let _a = node(&kv, "a", &engines, live(1, 1, "1"), start);
     sleep(SECOND).await;
     let _b = node(&kv, "b", &engines, live(1, 1, "1"), start);
-    let first = engines.held_by(0).fencing;
+    let first = engines.state_of(0).fencing;
     kv.cut("a");
     sleep(40 * SECOND).await;
-    assert!(engines.held_by(0).fencing > first);
+    assert!(engines.state_of(0).fencing > first);
     assert!(kv.counters().cuts > 0 && kv.counters().lapsed > 0);
 }
 
@@ -121,61 +121,64 @@
 // lapses, another node places a newer version, and only then the order arrives. An engine that
 // checks refuses it. One that doesn't drops the new version, and callers find it gone until the
 // new holder reads the engine back and orders again.
-async fn late_order(fencing: bool) -> (Engines, Duration) {
+async fn deliver_late_order(fencing: bool) -> (Engines, Duration) {
     let (kv, start, engines) = (MemKv::new(1), Instant::now(), Engines::new(fencing));
     let a = node(&kv, "a", &engines, live(1, 1, "1"), start);
     sleep(10 * SECOND).await;
-    assert_eq!(engines.held_by(0).versions, full("1"));
-    *engines.delay.lock().unwrap() = 60 * SECOND;
+    assert_eq!(engines.state_of(0).versions, full_names("1"));
+    *engines.order_delay.lock().unwrap() = 60 * SECOND;
     a.live.send_replace(live(2, 1, "old"));
     sleep(4 * SECOND).await;
     kv.cut("a");
-    let other = engines.other_way();
+    let other = engines.separate_client();
     let _b = node(&kv, "b", &other, live(3, 1, "new"), start);
     sleep(50 * SECOND).await;
-    assert_eq!(engines.held_by(0).versions, full("new"));
-    let seen = engines.seen_by(0).len();
-    while engines.seen_by(0).len() == seen {
+    assert_eq!(engines.state_of(0).versions, full_names("new"));
+    let received_before = engines.orders_at(0).len();
+    while engines.orders_at(0).len() == received_before {
         sleep(Duration::from_millis(100)).await;
     }
-    let arrived = Instant::now();
-    assert_eq!(engines.seen_by(0)[seen].0.versions, full("old"));
-    while engines.held_by(0).versions != full("new") {
+    let arrived_at = Instant::now();
+    assert_eq!(
+        engines.orders_at(0)[received_before].0.versions,
+        full_names("old")
+    );
+    while engines.state_of(0).versions != full_names("new") {
         sleep(Duration::from_millis(100)).await;
     }
-    let harmed = arrived.elapsed();
+    let harm_duration = arrived_at.elapsed();
     sleep(60 * SECOND).await;
-    assert_eq!(engines.held_by(0).versions, full("new"));
-    (engines, harmed)
+    assert_eq!(engines.state_of(0).versions, full_names("new"));
+    (engines, harm_duration)
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_late_order_is_refused_by_an_engine_that_checks() {
-    let (engines, harmed) = late_order(true).await;
-    assert_eq!(harmed, Duration::ZERO);
-    let refused = engines.seen_by(0).iter().filter(|(_, ok)| !ok).count();
+async fn an_engine_that_checks_fencing_refuses_a_late_order() {
+    let (engines, harm_duration) = deliver_late_order(true).await;
+    assert_eq!(harm_duration, Duration::ZERO);
+    let refused = engines.orders_at(0).iter().filter(|(_, ok)| !ok).count();
     assert!(refused > 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_late_order_is_undone_at_an_engine_that_ignores_fencing() {
-    let (engines, harmed) = late_order(false).await;
+async fn a_late_order_is_reverted_at_an_engine_that_ignores_fencing() {
+    let (engines, harm_duration) = deliver_late_order(false).await;
     assert!(
-        harmed > Duration::ZERO,
+        harm_duration > Duration::ZERO,
         "the engine followed the late order"
     );
     assert!(
-        harmed <= 5 * SECOND,
-        "one round and one load, not {harmed:?}"
+        harm_duration <= 5 * SECOND,
+        "one round and one load, not {harm_duration:?}"
     );
-    let refused = engines.seen_by(0).iter().filter(|(_, ok)| !ok).count();
+    let refused = engines.orders_at(0).iter().filter(|(_, ok)| !ok).count();
     assert_eq!(refused, 0);
 }
 
 // The holder is held up at the service for longer than its lease lasts. When it comes back it must
 // notice before it sends anything.
 #[tokio::test(start_paused = true)]
-async fn a_holder_that_was_paused_sends_nothing() {
+async fn a_holder_paused_past_its_lease_sends_no_order() {
     let (kv, start, engines) = (MemKv::new(1), Instant::now(), Engines::new(false));
     let a = node(&kv, "a", &engines, live(1, 1, "1"), start);
     sleep(10 * SECOND).await;
@@ -184,66 +187,70 @@
     let _b = node(&kv, "b", &engines, live(3, 1, "new"), start);
     sleep(40 * SECOND).await;
     a.live.send_replace(live(2, 1, "old"));
-    let before = engines.seen_by(0).len();
+    let before = engines.orders_at(0).len();
     kv.resume("a");
     sleep(40 * SECOND).await;
-    let old = engines.seen_by(0)[before..].to_vec();
-    assert!(old.iter().all(|(order, _)| order.versions == full("new")));
-    assert_eq!(engines.held_by(0).versions, full("new"));
+    let later_orders = engines.orders_at(0)[before..].to_vec();
+    assert!(
+        later_orders
+            .iter()
+            .all(|(order, _)| order.versions == full_names("new"))
+    );
+    assert_eq!(engines.state_of(0).versions, full_names("new"));
 }
 
 // The holder loses the service and goes on with what is left of its lease. After that it may have
 // been followed by another, so it must not send even what its text now wants.
 #[tokio::test(start_paused = true)]
-async fn a_holder_orders_nothing_once_its_lease_may_be_over() {
+async fn a_holder_sends_no_order_once_its_lease_may_have_expired() {
     let (kv, start, engines) = (MemKv::new(1), Instant::now(), Engines::new(false));
     let a = node(&kv, "a", &engines, live(1, 1, "1"), start);
     sleep(10 * SECOND).await;
     kv.cut("a");
     a.live.send_replace(live(2, 1, "2"));
     sleep(5 * SECOND).await;
-    assert_eq!(engines.held_by(0).revision, 2, "there was enough left");
+    assert_eq!(engines.state_of(0).revision, 2, "there was enough left");
     sleep(10 * SECOND).await;
     a.live.send_replace(live(3, 1, "3"));
     sleep(20 * SECOND).await;
-    assert_eq!(engines.held_by(0).revision, 2);
+    assert_eq!(engines.state_of(0).revision, 2);
     kv.mend("a");
     sleep(20 * SECOND).await;
-    assert_eq!(engines.held_by(0).revision, 3);
+    assert_eq!(engines.state_of(0).revision, 3);
 }
 
 // The process is paused after it decided and before it sends. Its decision is stale by then, and
 // an engine that ignores fencing numbers would follow it.
 #[tokio::test(start_paused = true)]
-async fn a_pause_between_reading_and_ordering_is_noticed() {
+async fn a_pause_between_reading_an_engine_and_ordering_prevents_the_order() {
     let (kv, start, engines) = (MemKv::new(1), Instant::now(), Engines::new(false));
-    *engines.pause.lock().unwrap() = 14 * SECOND;
+    *engines.read_delay.lock().unwrap() = 14 * SECOND;
     let _a = node(&kv, "a", &engines, live(1, 1, "1"), start);
     sleep(40 * SECOND).await;
-    assert_eq!(engines.seen_by(0), []);
-    *engines.pause.lock().unwrap() = Duration::ZERO;
+    assert_eq!(engines.orders_at(0), []);
+    *engines.read_delay.lock().unwrap() = Duration::ZERO;
     sleep(40 * SECOND).await;
-    assert_eq!(engines.held_by(0).versions, full("1"));
+    assert_eq!(engines.state_of(0).versions, full_names("1"));
 }
 
 // The answers to the lease's key and to all orders are lost. The placer must neither think that
 // another holds the lease nor order for ever what the engine holds already.
 #[tokio::test(start_paused = true)]
-async fn lost_answers_do_no_harm() {
+async fn lost_responses_cause_no_repeated_orders() {
     let (kv, start, mut engines) = (MemKv::new(1), Instant::now(), Engines::new(true));
-    engines.loses_answers = true;
+    engines.drops_responses = true;
     kv.script("a", [KvFault::Pass, KvFault::LostAnswer]);
     let _a = node(&kv, "a", &engines, live(1, 1, "1"), start);
     sleep(60 * SECOND).await;
     assert_eq!(kv.counters().lost_answers, 1);
-    assert_eq!(engines.held_by(0).versions, full("1"));
-    assert_eq!(engines.seen_by(0).len(), 1);
+    assert_eq!(engines.state_of(0).versions, full_names("1"));
+    assert_eq!(engines.orders_at(0).len(), 1);
 }
 
 // A node that is behind with its configuration gets the lease. It must not take engines back to
 // what it knows.
 #[tokio::test(start_paused = true)]
-async fn a_holder_with_an_older_text_orders_nothing() {
+async fn a_holder_with_an_older_configuration_sends_no_order() {
     let (kv, start, engines) = (MemKv::new(1), Instant::now(), Engines::new(false));
     let a = node(&kv, "a", &engines, live(5, 1, "5"), start);
     sleep(10 * SECOND).await;
@@ -251,14 +258,14 @@
     sleep(10 * SECOND).await;
     let b = node(&kv, "b", &engines, live(4, 1, "4"), start);
     sleep(30 * SECOND).await;
-    assert_eq!(engines.held_by(0).versions, full("5"));
+    assert_eq!(engines.state_of(0).versions, full_names("5"));
     b.live.send_replace(live(6, 1, "6"));
     sleep(10 * SECOND).await;
-    assert_eq!(engines.held_by(0).versions, full("6"));
+    assert_eq!(engines.state_of(0).versions, full_names("6"));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_placer_ends_with_its_node() {
+async fn a_placer_releases_its_lease_when_its_node_stops() {
     let (kv, start, engines) = (MemKv::new(1), Instant::now(), Engines::new(true));
     let a = node(&kv, "a", &engines, live(1, 1, "1"), start);
     sleep(5 * SECOND).await;
