--- a/crates/oatdale-mesh/src/addresses.rs
+++ b/crates/oatdale-mesh/src/addresses.rs
@@ -1,30 +1,30 @@
-//! Which addresses a caller should use.
+//! Selects the node addresses that a caller should use.
 
 use crate::rank;
 use crate::types::{PeerState, PeerView};
 use std::net::SocketAddr;
 
-/// Load from which on a node counts as one tier farther away.
+/// Load at or above which a node is ranked one tier farther away.
 const HIGH_LOAD: f32 = 0.9;
-/// The least spare capacity that a weight stands for, so that a full node still gets some.
+/// Minimum spare capacity that a weight is computed from, so that a full node still gets some
+/// requests.
 const MIN_SPARE: f32 = 0.05;
 
-/// One address for a caller.
+/// A node address offered to a caller.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Address {
-    /// Where to connect.
+    /// Address that the caller connects to.
     pub address: SocketAddr,
-    /// How much of a caller's work should go there, from 1 to 100, among addresses that are
-    /// equally near.
+    /// Relative share of the caller's requests, from 1 to 100, among addresses of the same tier.
     pub weight: u32,
 }
 
-/// Chooses at most `count` addresses for a caller in failure domain `domain`, best first.
+/// Selects at most `count` addresses for a caller in failure domain `domain`, best first.
 ///
 /// Nodes of the caller's failure domain come first, then those of its region, then the rest.
-/// Within a tier the order is random with weight by spare capacity, so that callers spread;
-/// `seed` should differ from caller to caller. Nodes that are leaving, suspected or not accepting
-/// are never in it. The answering node must put a view of itself into `peers`.
+/// Within a tier the order is random, weighted by spare capacity, so that callers spread over the
+/// nodes; `seed` should differ between callers. Nodes that are leaving, suspected or not accepting
+/// are never returned. The calling node must include a view of itself in `peers`.
 ///
 /// # Examples
 ///
@@ -81,7 +81,8 @@
     (1.0 - peer.load).clamp(MIN_SPARE, 1.0)
 }
 
-/// A draw for weighted sampling without replacement: the least `-ln(u) / weight` comes first.
+/// Returns the key for weighted sampling without replacement: the lowest `-ln(u) / weight` comes
+/// first.
 fn sort_key(peer: &PeerView, seed: u64) -> f64 {
     let host = crate::types::HostId::of(&peer.host);
     let uniform = (rank::score(host, seed) >> 11) as f64 / (1u64 << 53) as f64;
--- a/crates/oatdale-mesh/src/auth.rs
+++ b/crates/oatdale-mesh/src/auth.rs
@@ -1,10 +1,11 @@
-//! Who is at the other end: both sides prove that they hold the key.
+//! Mutual authentication: both sides prove that they hold the shared key.
 //!
-//! The dialer sends a hello with a nonce and its card; the acceptor answers with its own and a
-//! proof over both; the dialer sends its proof. A proof names the direction, so one can't be sent
-//! back to its maker, and it covers both cards, so it is of no use to another incarnation. Each
-//! later frame carries a tag under a key of that connection and direction, with a counter: a frame
-//! that was changed, repeated, dropped or put elsewhere ends the connection. Nothing is encrypted.
+//! The dialer sends a hello with a nonce and its card; the acceptor replies with its own hello and
+//! a proof over both; the dialer then sends its proof. A proof includes the direction, so it can't
+//! be reflected to its sender, and covers both cards, so another incarnation can't reuse it. Each
+//! later frame carries a MAC tag that covers a frame counter, under a key specific to the
+//! connection and direction: a modified, replayed, dropped or reordered frame, or one from another
+//! connection, ends the connection. Nothing is encrypted.
 
 use crate::error::{Error, MalformedSnafu, Result, VersionSnafu};
 use crate::wire::Card;
@@ -12,15 +13,15 @@
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 
-/// The version of the protocol.
+/// Protocol version of this node.
 pub(crate) const PROTOCOL_VERSION: u8 = 1;
-/// Largest frame before the other side has proved itself.
+/// Maximum size of a message from a peer that is not authenticated yet.
 pub(crate) const MAX_HELLO_BYTES: usize = 4096;
-/// Bytes of a frame's tag.
+/// Length of the MAC tag of a frame.
 pub(crate) const TAG_BYTES: usize = 8;
 const NONCE_BYTES: usize = 32;
 
-/// Which side of a connection.
+/// A side of a connection.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Side {
     Dialer,
@@ -43,11 +44,11 @@
     }
 }
 
-/// The first frame of each side.
+/// The first message that each side sends.
 #[derive(Clone, PartialEq, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(from = "HelloWire", into = "HelloWire")]
 pub(crate) struct Hello {
-    /// Lowest and highest version that the sender speaks.
+    /// Lowest and highest protocol version that the sender supports.
     low: u8,
     high: u8,
     nonce: Bytes,
@@ -96,7 +97,7 @@
             Ok(hello) if hello.nonce.len() == NONCE_BYTES => hello,
             Ok(_) => {
                 return MalformedSnafu {
-                    reason: "a nonce has 32 bytes",
+                    reason: "nonce is not 32 bytes long",
                 }
                 .fail();
             }
@@ -120,7 +121,7 @@
     }
 }
 
-/// What both sides know after the hellos.
+/// The handshake transcript: the shared key and both encoded hellos.
 pub(crate) struct Transcript<'a> {
     pub(crate) key: &'a [u8],
     pub(crate) dialer: &'a [u8],
@@ -128,12 +129,12 @@
 }
 
 impl Transcript<'_> {
-    /// What `side` must show.
+    /// Returns the proof that `side` must send.
     pub(crate) fn proof(&self, side: Side) -> Bytes {
         Bytes::copy_from_slice(&self.derive(b"oatdale-mesh proof", side))
     }
 
-    /// Checks what the other side shows, in constant time.
+    /// Verifies the proof that `side` sent, in constant time.
     pub(crate) fn verify_proof(&self, side: Side, proof: &[u8]) -> Result<()> {
         use subtle::ConstantTimeEq;
         match bool::from(self.derive(b"oatdale-mesh proof", side).ct_eq(proof)) {
@@ -142,7 +143,7 @@
         }
     }
 
-    /// The keys of the connection as `side` uses them.
+    /// Returns the frame authenticators of `side`: one for sending, one for receiving.
     pub(crate) fn frame_macs(&self, side: Side) -> (FrameMac, FrameMac) {
         let mac_for = |side| FrameMac {
             key: self.derive(b"oatdale-mesh frames", side),
@@ -161,14 +162,14 @@
     }
 }
 
-/// Tags the frames of one direction.
+/// Authenticates the frames of one direction with a MAC over a frame counter and the frame.
 pub(crate) struct FrameMac {
     key: [u8; 32],
     frame_count: u64,
 }
 
 impl FrameMac {
-    /// The frame with its tag before it.
+    /// Returns the frame prefixed with its tag.
     pub(crate) fn add_tag(&mut self, frame: &[u8]) -> Bytes {
         let mut buf = Vec::with_capacity(TAG_BYTES + frame.len());
         buf.extend_from_slice(&self.tag(frame));
@@ -176,12 +177,12 @@
         buf.into()
     }
 
-    /// The frame without its tag.
+    /// Verifies the tag and returns the frame without it.
     pub(crate) fn verify<'a>(&mut self, buf: &'a [u8]) -> Result<&'a [u8]> {
         use subtle::ConstantTimeEq;
         let Some((tag, frame)) = buf.split_at_checked(TAG_BYTES) else {
             return MalformedSnafu {
-                reason: "a frame without a tag",
+                reason: "frame is shorter than its 8-byte tag",
             }
             .fail();
         };
--- a/crates/oatdale-mesh/src/cfg.rs
+++ b/crates/oatdale-mesh/src/cfg.rs
@@ -1,69 +1,70 @@
-//! The settings of the mesh.
+//! Mesh settings.
 
 use crate::error::{Result, SettingSnafu};
 use std::net::{SocketAddr, TcpListener};
 use std::time::Duration;
 
-/// Length under which a key is refused, in bytes.
+/// Minimum length of the key in bytes; a shorter key is refused.
 ///
-/// An acceptor proves itself first, so whoever may connect can try keys offline; a key as long as
-/// the digest can't be guessed.
+/// The acceptor sends its proof first, so anyone who can connect can test guessed keys offline. A
+/// random key as long as the digest can't be guessed.
 pub const MIN_KEY_BYTES: usize = 32;
 
-/// The settings of one node.
+/// Mesh settings of one node.
 #[derive(Debug)]
 pub struct MeshConfig {
-    /// The host's name, unique in the fleet.
+    /// Name of the host, unique in the fleet.
     pub host: String,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub domain: String,
-    /// Its region.
+    /// Region of the host.
     pub region: String,
-    /// See [`new_incarnation`](crate::new_incarnation).
+    /// Incarnation of the process, see [`new_incarnation`](crate::new_incarnation).
     pub incarnation: u64,
-    /// Where other nodes connect to.
+    /// Socket on which to accept connections from other nodes.
     pub listen: Listen,
-    /// The address that others are told.
+    /// Address that is advertised to other nodes.
     pub advertise: SocketAddr,
-    /// The address that callers are told.
+    /// Address that is given to callers.
     pub caller: SocketAddr,
-    /// Nodes to ask first; this node's own address may be among them.
+    /// Nodes to contact first; this node's own address may be among them.
     pub seeds: Vec<SocketAddr>,
-    /// The key that all nodes share, at least [`MIN_KEY_BYTES`] bytes.
+    /// Key shared by all nodes, at least [`MIN_KEY_BYTES`] bytes.
     pub key: Vec<u8>,
-    /// Nodes that keep each bill record.
+    /// Number of nodes that hold each bill record.
     pub holders: u8,
     /// Timers.
     pub intervals: Intervals,
 }
 
-/// Where to listen.
+/// The socket that accepts connections.
 #[derive(Debug)]
 pub enum Listen {
-    /// Bind this address.
+    /// Binds this address.
     Address(SocketAddr),
-    /// Use a socket that is bound already.
+    /// Uses a socket that is already bound.
     Bound(TcpListener),
 }
 
 /// Timers of the mesh.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Intervals {
-    /// Between two heartbeats on one link.
+    /// Heartbeat interval of a link.
     pub beat: Duration,
-    /// Silence after which a node is suspected.
+    /// Time without a heartbeat after which a node is suspected.
     pub suspect: Duration,
-    /// Suspicion after which a node that the platform no longer lists is forgotten.
+    /// Time under suspicion after which a node that the platform no longer lists is removed.
     pub unlisted: Duration,
-    /// Suspicion after which any node is forgotten.
+    /// Time under suspicion after which any node is removed.
     pub forget: Duration,
-    /// Suspicion after which holders journal a node's records in its place.
+    /// Time under suspicion after which holders journal a node's records on its behalf.
     pub orphan: Duration,
-    /// How long a joiner waits for peers to tell their revision.
+    /// How long a joining node waits for peers to report their revision.
     pub join: Duration,
-    /// How long a [`Command::Hold`](crate::Command::Hold) waits for its copies.
+    /// How long a [`Command::Hold`](crate::Command::Hold) waits for confirmations.
     pub hold: Duration,
-    /// Between two summaries of one failure domain to another where there are few domains.
+    /// Interval between summaries from one failure domain to another; longer if there are many
+    /// domains.
     pub report: Duration,
 }
 
@@ -83,11 +84,11 @@
 }
 
 impl MeshConfig {
-    /// Refuses settings that can't work.
+    /// Checks that the settings are valid.
     ///
     /// # Errors
     ///
-    /// [`Error::Setting`](crate::Error::Setting) names the setting and what to write.
+    /// Returns [`Error::Setting`](crate::Error::Setting) with the setting and a valid value for it.
     pub fn check(&self) -> Result<()> {
         let invalid = |setting, reason: &str| SettingSnafu { setting, reason }.fail();
         let timers = &self.intervals;
@@ -98,8 +99,8 @@
                 "key",
                 "the key must have at least 32 bytes, chosen at random",
             ),
-            () if self.incarnation == 0 => invalid("incarnation", "0 is not used"),
-            () if self.advertise.port() == 0 => invalid("advertise", "give a port other than 0"),
+            () if self.incarnation == 0 => invalid("incarnation", "must not be 0"),
+            () if self.advertise.port() == 0 => invalid("advertise", "the port must not be 0"),
             () if timers.beat.is_zero() => invalid("beat", "must be above 0"),
             () if timers.suspect < timers.beat * 3 => {
                 invalid("suspect", "must be at least three heartbeats")
--- a/crates/oatdale-mesh/src/delta.rs
+++ b/crates/oatdale-mesh/src/delta.rs
@@ -1,19 +1,19 @@
-//! The difference between two documents, as changed lines.
+//! Line-based deltas between two documents.
 
 use crate::error::{MalformedSnafu, Result};
 use bytes::Bytes;
 use oatdale_config::{apply_delta, delta};
 
-/// What turns one document into the next.
+/// The edits that turn one document into the next.
 pub(crate) type Delta = oatdale_config::Delta;
 
-/// Bytes of an edit beside its text.
+/// Approximate encoded size of an edit without its text.
 const EDIT_OVERHEAD_BYTES: usize = 10;
 
-/// Bytes of a delta beside its edits: two digests.
+/// Approximate encoded size of a delta without its edits: two digests.
 const DELTA_OVERHEAD_BYTES: usize = 70;
 
-/// The delta that turns `from` into `to`, unless either is no text.
+/// Returns the delta that turns `from` into `to`, or `None` if either is not valid UTF-8.
 pub(crate) fn between(from: &[u8], to: &[u8]) -> Option<Delta> {
     let from = std::str::from_utf8(from).ok()?;
     let to = std::str::from_utf8(to).ok()?;
@@ -24,19 +24,19 @@
 ///
 /// # Errors
 ///
-/// Refuses a delta of another text.
+/// Returns an error if the delta was made from another document.
 pub(crate) fn apply(from: &[u8], delta: &Delta) -> Result<Bytes> {
     let text = std::str::from_utf8(from).ok();
     match text.map(|text| apply_delta(text, delta)) {
         Some(Ok(text)) => Ok(text.into()),
         Some(Err(_)) | None => {
-            let reason = "a delta does not fit the document";
+            let reason = "delta was made from another document";
             MalformedSnafu { reason }.fail()
         }
     }
 }
 
-/// About how many bytes a delta has on the wire.
+/// Estimates the encoded size of a delta in bytes.
 pub(crate) fn size(delta: &Delta) -> usize {
     let edits = delta
         .edits
--- a/crates/oatdale-mesh/src/duty.rs
+++ b/crates/oatdale-mesh/src/duty.rs
@@ -1,4 +1,4 @@
-//! The duty that drives a [`Member`] over WebSockets.
+//! The task that drives a [`Member`] over WebSockets.
 
 use crate::cfg::{Listen, MeshConfig};
 use crate::error::{ListenSnafu, Result};
@@ -16,23 +16,23 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, MissedTickBehavior, interval, timeout};
 
-/// How often the member looks at its timers.
+/// How often the member checks its timers.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Connections at once, with those that have not proved themselves.
+/// Maximum number of connections and dials in progress, including unauthenticated ones.
 const MAX_CONNECTIONS: usize = 1024;
-/// What links have to say and the member has not heard yet.
+/// Capacity of the queue of link events that the member has not processed yet.
 const LINK_EVENT_QUEUE: usize = 1024;
-/// Events that the node has not taken.
+/// Maximum number of events that the node has not received yet.
 const MAX_QUEUED_EVENTS: usize = 256;
-/// How long the last frames may take at the end.
+/// How long links may take to write their queued frames on shutdown.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Runs one node's part of the mesh until the node leaves or drops `rx`.
 ///
 /// # Errors
 ///
-/// Fails at the start on settings that make no sense and on an address that can't be bound.
-/// What goes wrong with single peers is logged, and they are tried again.
+/// Returns an error at the start if the settings are invalid or the address can't be bound.
+/// Failures of single peers are logged, and the peers are dialed again.
 pub async fn run(
     cfg: MeshConfig,
     rx: mpsc::Receiver<Command>,
@@ -114,7 +114,7 @@
         self.shut_down(link_events_rx).await;
     }
 
-    /// Lets links write what is queued, but not for long.
+    /// Closes all links after they have written their queued frames or the timeout has passed.
     async fn shut_down(mut self, mut link_events_rx: mpsc::Receiver<LinkEvent>) {
         self.links.clear();
         let drain_links = async {
@@ -178,7 +178,7 @@
                     stalled.extend(matches!(sent, Some(Err(_))).then_some(conn));
                 }
                 Output::Dial(address) => self.dial(address),
-                // The link writes what is queued before it sees that its sender is gone.
+                // The link writes all queued frames before it sees that its sender was dropped.
                 Output::Close(conn) => drop(self.links.remove(&conn)),
                 Output::Event(event) => self.queue_event(event),
                 Output::HoldDone { id, ack } => {
@@ -193,9 +193,9 @@
                 }
             }
         }
-        // A peer that does not read would cost memory without bound.
+        // Queueing for a peer that does not read would use unbounded memory.
         for conn in stalled {
-            log::warn!("mesh: a peer does not read; closing its link");
+            log::warn!("mesh: link write queue is full, the peer does not read; closing the link");
             self.links.remove(&conn);
             self.handle_input(Input::Disconnected(conn));
         }
@@ -226,7 +226,7 @@
         }
     }
 
-    /// Queues an event; one that the next of its kind replaces does not wait twice.
+    /// Queues an event. It replaces a queued event of its kind if it makes that one obsolete.
     fn queue_event(&mut self, event: Event) {
         self.finished |= matches!(event, Event::LeaveDone | Event::Superseded { .. });
         let kind = std::mem::discriminant(&event);
@@ -235,7 +235,7 @@
         }
         self.events.push_back(event);
         if self.events.len() > MAX_QUEUED_EVENTS {
-            // Orphans are told again; a forwarded payload may be lost.
+            // Orphans are reported again, and forwarded payloads are delivered at most once.
             let may_drop = |e: &Event| matches!(e, Event::Orphans(_) | Event::Forwarded { .. });
             let oldest = self.events.iter().position(may_drop);
             self.events.remove(oldest.unwrap_or(0));
@@ -277,7 +277,7 @@
         }),
         Listen::Bound(socket) => {
             let address = || ListenSnafu {
-                address: "the given socket",
+                address: "the provided socket",
             };
             socket.set_nonblocking(true).with_context(|_| address())?;
             TcpListener::from_std(socket).with_context(|_| address())
--- a/crates/oatdale-mesh/src/error.rs
+++ b/crates/oatdale-mesh/src/error.rs
@@ -1,8 +1,8 @@
-//! What can go wrong between two nodes.
+//! Errors of the mesh.
 
 use snafu::Snafu;
 
-/// A failure of the duty or of one link.
+/// A failure of the mesh task or of a single link.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
@@ -10,54 +10,54 @@
     /// The listening socket could not be opened or used.
     #[snafu(display("cannot listen for other nodes on {address}: {source}"))]
     Listen {
-        /// What the settings ask for.
+        /// The address to listen on.
         address: String,
-        /// The system's error.
+        /// The underlying I/O error.
         source: std::io::Error,
     },
-    /// A setting makes no sense.
+    /// A setting is invalid.
     #[snafu(display("mesh setting `{setting}`: {reason}"))]
     Setting {
-        /// Its name.
+        /// Name of the setting.
         setting: &'static str,
-        /// What to write instead.
+        /// What a valid value is.
         reason: String,
     },
-    /// A message is not what this version of the protocol speaks.
+    /// A message does not follow this version of the protocol.
     #[snafu(display("malformed message: {reason}"))]
     Malformed {
-        /// What was wrong.
+        /// What is wrong with it.
         reason: String,
     },
-    /// A peer speaks no version that this node speaks.
-    #[snafu(display("peer speaks versions {low} to {high}, this node speaks {supported}"))]
+    /// The peer supports no protocol version that this node supports.
+    #[snafu(display("peer supports versions {low} to {high}, this node supports {supported}"))]
     Version {
-        /// The peer's lowest.
+        /// Lowest version that the peer supports.
         low: u8,
-        /// The peer's highest.
+        /// Highest version that the peer supports.
         high: u8,
-        /// The only one here.
+        /// The only version that this node supports.
         supported: u8,
     },
-    /// A peer does not prove that it knows the key.
-    #[snafu(display("peer does not prove that it holds the mesh key"))]
+    /// The peer failed to prove that it holds the mesh key, or a frame carries a wrong tag.
+    #[snafu(display("peer failed to prove that it holds the mesh key, or a frame tag is wrong"))]
     Unauthenticated,
-    /// A connection to ourselves, made through a list of seeds.
-    #[snafu(display("the address is this node's own"))]
+    /// The node connected to itself, because the list of seeds contains its own address.
+    #[snafu(display("the address belongs to this node itself"))]
     SelfConnection,
     /// The connection failed or ended.
-    #[snafu(display("connection: {reason}"))]
+    #[snafu(display("connection error: {reason}"))]
     Connection {
-        /// What the transport says.
+        /// The error that the transport reported.
         reason: String,
     },
-    /// The peer took too long.
+    /// The peer did not respond in time.
     #[snafu(display("timeout while {operation}"))]
     Timeout {
-        /// What was waited for.
+        /// The operation that timed out.
         operation: &'static str,
     },
 }
 
-/// The crate's result.
+/// Result type of this crate.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
--- a/crates/oatdale-mesh/src/lib.rs
+++ b/crates/oatdale-mesh/src/lib.rs
@@ -1,9 +1,11 @@
-//! Node to node: membership, configuration deltas, load, limits, evidence.
+//! Communication between nodes: membership, configuration deltas, load, shares of limits, and
+//! counters of versions.
 //!
-//! [`run`] is the duty of one node. It takes [`Command`]s from the node's other duties, gives them
-//! [`Event`]s, and talks to other nodes over authenticated WebSockets. All it knows is soft state:
-//! views of different nodes may differ at any time, which harms speed and no promise. The
-//! decisions are made by [`Member`], a state machine without I/O and without a clock.
+//! [`run`] is the mesh task of one node. It receives [`Command`]s from the node's other tasks,
+//! sends them [`Event`]s, and communicates with other nodes over authenticated WebSockets. It keeps
+//! only soft state: the views of different nodes may differ at any time, which affects performance
+//! but not correctness. Decisions are made by [`Member`], a state machine without I/O and without
+//! a clock.
 //!
 //! ```
 //! use oatdale_mesh::{Command, Event, Intervals, Listen, MeshConfig, new_incarnation, run};
@@ -28,7 +30,7 @@
 //! };
 //! let (tx, commands) = mpsc::channel(64);
 //! let (events, mut rx) = mpsc::channel(64);
-//! let duty = tokio::spawn(run(cfg, commands, events));
+//! let task = tokio::spawn(run(cfg, commands, events));
 //!
 //! let document = "services: []\n".into();
 //! tx.send(Command::Adopted { revision: 1, document }).await?;
@@ -36,7 +38,7 @@
 //!
 //! tx.send(Command::Leave).await?;
 //! while rx.recv().await != Some(Event::LeaveDone) {}
-//! duty.await??;
+//! task.await??;
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! # })?;
 //! # Ok::<(), Box<dyn std::error::Error>>(())
--- a/crates/oatdale-mesh/src/link.rs
+++ b/crates/oatdale-mesh/src/link.rs
@@ -1,4 +1,4 @@
-//! One WebSocket connection to another node.
+//! A WebSocket connection to another node.
 
 use crate::auth::{FrameMac, Hello, MAX_HELLO_BYTES, Side, TAG_BYTES, Transcript};
 use crate::error::{ConnectionSnafu, Error, MalformedSnafu, Result, TimeoutSnafu};
@@ -16,17 +16,19 @@
 use tokio_tungstenite::tungstenite::{self, Message};
 use tokio_tungstenite::{WebSocketStream, accept_async_with_config, client_async_with_config};
 
-/// Frames that wait to be written; more and the peer counts as one that stopped reading.
+/// Capacity of the queue of frames to write. If it is full, the peer is considered to have stopped
+/// reading.
 pub(crate) const FRAME_QUEUE: usize = 256;
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
-/// A write that takes longer means that the peer has stopped reading.
+/// If a write takes longer, the peer is considered to have stopped reading.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Read and write buffers are small, since a node has dozens of links and 32 MB for control.
+/// Size of the read buffer. Read and write buffers are small, since a node has dozens of links and
+/// 32 MB for the control plane.
 const BUFFER_BYTES: usize = 4096;
 
 type Socket = WebSocketStream<TcpStream>;
 
-/// What a link tells the duty.
+/// An event that a link reports to the mesh task.
 #[derive(Debug)]
 pub(crate) enum LinkEvent {
     Up {
@@ -48,7 +50,7 @@
     },
 }
 
-/// What a link needs to know.
+/// Parameters of a link.
 #[derive(Clone)]
 pub(crate) struct LinkContext {
     pub(crate) conn: Conn,
@@ -57,7 +59,7 @@
     pub(crate) tx: mpsc::Sender<LinkEvent>,
 }
 
-/// A connection whose other end has proved itself.
+/// A connection whose peer is authenticated.
 struct AuthenticatedLink {
     socket: Socket,
     card: Card,
@@ -65,25 +67,25 @@
     receive_mac: FrameMac,
 }
 
-/// Connects to an address and serves the link until it ends.
+/// Connects to an address and serves the link until it closes.
 pub(crate) async fn dial(cx: LinkContext, address: SocketAddr) {
     match with_timeout(HANDSHAKE_TIMEOUT, "dialing", dial_peer(&cx, address)).await {
         Ok(link) => serve(cx, link, Some(address)).await,
         Err(e) => {
             let myself = matches!(e, Error::SelfConnection);
-            log::debug!("mesh: dial {address}: {e}");
+            log::debug!("mesh: dialing {address} failed: {e}");
             let _ = cx.tx.send(LinkEvent::DialFailed { address, myself }).await;
         }
     }
 }
 
-/// Serves a connection that was accepted.
+/// Authenticates an accepted connection and serves the link until it closes.
 pub(crate) async fn accept(cx: LinkContext, stream: TcpStream) {
     let from = stream.peer_addr().ok();
     match with_timeout(HANDSHAKE_TIMEOUT, "accepting", accept_peer(&cx, stream)).await {
         Ok(link) => serve(cx, link, None).await,
         Err(Error::SelfConnection) => {}
-        Err(e) => log::warn!("mesh: refused a connection from {from:?}: {e}"),
+        Err(e) => log::warn!("mesh: rejected a connection from {from:?}: {e}"),
     }
 }
 
@@ -171,12 +173,12 @@
     }
     match exchange_frames(&cx, &mut link, rx).await {
         Ok(()) => log::debug!("mesh: link to {host} closed"),
-        Err(e) => log::info!("mesh: link to {host}: {e}"),
+        Err(e) => log::info!("mesh: link to {host} failed: {e}"),
     }
     let _ = cx.tx.send(LinkEvent::Down { conn }).await;
 }
 
-/// Moves frames both ways until the duty drops its sender or the connection ends.
+/// Sends and receives frames until the mesh task drops its sender or the connection ends.
 async fn exchange_frames(
     cx: &LinkContext,
     link: &mut AuthenticatedLink,
@@ -215,7 +217,7 @@
         Message::Binary(buf) => Ok(Some(buf)),
         Message::Ping(_) | Message::Pong(_) | Message::Close(_) => Ok(None),
         Message::Text(_) | Message::Frame(_) => MalformedSnafu {
-            reason: "only binary frames are spoken",
+            reason: "expected a binary WebSocket message",
         }
         .fail(),
     }
@@ -232,7 +234,7 @@
         match binary_payload(message)? {
             Some(buf) if buf.len() > MAX_HELLO_BYTES => {
                 return MalformedSnafu {
-                    reason: "a hello of that size",
+                    reason: "handshake message exceeds 4096 bytes",
                 }
                 .fail();
             }
--- a/crates/oatdale-mesh/src/rank.rs
+++ b/crates/oatdale-mesh/src/rank.rs
@@ -1,9 +1,9 @@
-//! Rendezvous hashing: every node that knows the same hosts picks the same ones without a word.
+//! Rendezvous hashing: nodes that know the same hosts select the same ones without communicating.
 
 use crate::types::HostId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A well mixed function of a number (the finaliser of SplitMix64).
+/// Hashes a number with the finalizer of SplitMix64.
 pub(crate) fn mix(mut x: u64) -> u64 {
     x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -11,12 +11,12 @@
     x ^ (x >> 31)
 }
 
-/// The place of a host in the order that belongs to `salt`; the lowest is first.
+/// Returns the score of a host in the ranking of `salt`; the lowest score ranks first.
 pub(crate) fn score(host: HostId, salt: u64) -> u64 {
     mix(host.0 ^ mix(salt))
 }
 
-/// The first `count` hosts in the order of `salt`.
+/// Returns the first `count` hosts in the ranking of `salt`.
 pub(crate) fn first(hosts: impl Iterator<Item = HostId>, salt: u64, count: usize) -> Vec<HostId> {
     let mut ranked: Vec<(u64, HostId)> = hosts.map(|h| (score(h, salt), h)).collect();
     ranked.sort_unstable();
@@ -24,11 +24,11 @@
     ranked.into_iter().map(|(_, host)| host).collect()
 }
 
-/// The hosts of the failure domain `of` that talk to the domain `to`: one that passes on what it
-/// hears and, where there are several hosts, one that stands by.
+/// Returns the reporters of the failure domain `of` for the domain `to`: a primary that relays the
+/// summaries it receives and, if there are several hosts, a standby.
 ///
-/// The domains of `others` get theirs in turn, and nobody gets a further one while somebody has
-/// fewer. Left to chance, one node of 360 would pass on four times what the mean does.
+/// The domains of `others` are assigned one after another, each to the hosts with the fewest
+/// assignments so far. With a random assignment, one node of 360 would relay four times the mean.
 pub(crate) fn reporters(hosts: &[HostId], others: &BTreeSet<u32>, of: u32, to: u32) -> Vec<HostId> {
     let mut assigned: BTreeMap<HostId, (usize, usize)> =
         hosts.iter().map(|h| (*h, (0, 0))).collect();
@@ -55,12 +55,12 @@
     Vec::new()
 }
 
-/// The order in which nodes of the failure domain `of` report to the failure domain `to`.
+/// Returns the salt of the ranking of reporters from the failure domain `of` to `to`.
 pub(crate) fn report_salt(of: u32, to: u32) -> u64 {
     (u64::from(of) << 32) | u64::from(to)
 }
 
-/// The order in which nodes of a failure domain watch the configuration's key.
+/// Returns the salt of the ranking of nodes that watch the configuration key for a failure domain.
 pub(crate) fn watch_salt(domain: u32) -> u64 {
     mix(u64::from(domain))
 }
--- a/crates/oatdale-mesh/src/reach.rs
+++ b/crates/oatdale-mesh/src/reach.rs
@@ -1,16 +1,16 @@
-//! Which nodes a payload can be sent to.
+//! Determines which nodes a payload can be sent to.
 
 use crate::types::{PeerState, PeerView};
 
-/// Hosts from which on a node keeps links within its failure domain only, beside those of reporters
-/// and holders.
+/// Number of hosts from which a node keeps links only within its failure domain, apart from the
+/// links of reporters and holders.
 pub(crate) const FULL_MESH: usize = 24;
 
-/// The live peers that a node of `domain` is linked to in any case, to which
-/// [`Command::Forward`](crate::Command::Forward) therefore gets.
+/// Returns the live peers that a node of `domain` always has a link to, so that
+/// [`Command::Forward`](crate::Command::Forward) can deliver to them.
 ///
-/// In a large fleet these are the peers of its own failure domain. Work that is dealt out over nodes
-/// by forwarding must be dealt out over these: a payload for any other node gets nowhere.
+/// In a large fleet these are the peers of its own failure domain. Work that is distributed by
+/// forwarding must be distributed over these peers only: a payload for any other node is dropped.
 ///
 /// # Examples
 ///
--- a/crates/oatdale-mesh/src/types.rs
+++ b/crates/oatdale-mesh/src/types.rs
@@ -1,4 +1,4 @@
-//! What the node and the mesh tell each other.
+//! Commands from the node to the mesh, events from the mesh to the node, and their data types.
 
 use bytes::Bytes;
 use sha2::{Digest, Sha256};
@@ -6,30 +6,31 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Names a host by the first eight bytes of the SHA-256 of its name.
+/// Identifies a host by the first eight bytes of the SHA-256 of its name.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, serde::Serialize, serde::Deserialize,
 )]
 pub struct HostId(pub u64);
 
 impl HostId {
-    /// The id of a host's name.
+    /// Returns the id of the host with the given name.
     pub fn of(name: &str) -> Self {
         HostId(digest64(name.as_bytes()))
     }
 
-    /// The form that summaries use; a collision mixes up two hosts' load and nothing else.
+    /// Returns the short form used in summaries. A collision can only mix up the reported load,
+    /// flags and revision of two hosts.
     pub(crate) fn short(self) -> u32 {
         (self.0 >> 32) as u32
     }
 }
 
-/// The number under which customers, versions and domains travel: a hash of the name.
+/// Returns the hash of a name that identifies a customer, version or domain in messages.
 pub fn name_hash(name: &str) -> u32 {
     (digest64(name.as_bytes()) >> 32) as u32
 }
 
-/// The first eight bytes of a SHA-256.
+/// Returns the first eight bytes of the SHA-256 of `bytes`.
 pub(crate) fn digest64(bytes: &[u8]) -> u64 {
     let digest = Sha256::digest(bytes);
     let mut prefix = [0; 8];
@@ -37,10 +38,11 @@
     u64::from_be_bytes(prefix)
 }
 
-/// An incarnation for a process that starts now: wall clock in milliseconds above, chance below.
+/// Returns an incarnation for a process that starts now: wall-clock milliseconds in the upper 48
+/// bits, random lower 16 bits.
 ///
-/// A later start of the same host has the higher number. Should the wall clock have gone back, the
-/// peers tell the joiner and it picks a higher one.
+/// A later start of the same host has a higher incarnation. If the wall clock has gone back, peers
+/// report the higher incarnation to the joining node, which then picks one above it.
 pub fn new_incarnation() -> u64 {
     let now = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
@@ -48,193 +50,193 @@
     ((now.as_millis() as u64) << 16) | u64::from(rand::random::<u16>())
 }
 
-/// What the node tells the mesh.
+/// A command from the node to the mesh.
 #[derive(Debug)]
 pub enum Command {
-    /// The node has a configuration in force, from the key-value service or from
-    /// [`Event::Document`]; the mesh offers it to others.
+    /// The node has put a configuration in force that it got from the key-value service or from
+    /// [`Event::Document`]; the mesh offers it to other nodes.
     Adopted {
-        /// Its revision, above 0.
+        /// Revision of the configuration, above 0.
         revision: u64,
-        /// The whole text.
+        /// Full text of the configuration.
         document: Bytes,
     },
-    /// What this node does at the moment; replaces what was told before.
+    /// The current state of this node; replaces the previous one.
     Local(LocalState),
-    /// The platform's list of hosts, late as it is.
+    /// The platform's list of hosts, which may be out of date.
     Hosts(Vec<ListedHost>),
-    /// Keep a bill record at other nodes until it is released. Another `Hold` of the same id
+    /// Holds a bill record at other nodes until it is released. Another `Hold` with the same id
     /// replaces the record.
     Hold {
-        /// The request.
+        /// Id of the request.
         id: u128,
-        /// What to keep, at most [`MAX_RECORD`](crate::MAX_RECORD) bytes.
+        /// The record, at most [`MAX_RECORD`](crate::MAX_RECORD) bytes.
         record: Bytes,
-        /// Told once when enough nodes have it, or after the timeout. Dropped if another hold of
-        /// the same id comes before that.
+        /// Receives one reply when enough nodes hold the record, or after the timeout. Dropped if
+        /// another `Hold` with the same id comes first.
         reply: oneshot::Sender<HoldAck>,
     },
-    /// The journal has these; whoever holds them may forget them.
+    /// The journal has stored these records; their holders may discard them.
     Release(Vec<u128>),
-    /// Send a payload to a node that this one has a link to, at most once.
+    /// Sends a payload to a node that this one has a link to, at most once.
     Forward {
-        /// The host's name.
+        /// Name of the receiving host.
         to: String,
-        /// At most [`MAX_RECORD`](crate::MAX_RECORD) bytes.
+        /// The payload, at most [`MAX_RECORD`](crate::MAX_RECORD) bytes.
         payload: Bytes,
-        /// Whether it was handed to a link.
+        /// Receives whether the payload was handed to a link.
         reply: oneshot::Sender<bool>,
     },
-    /// A planned stop: tell everyone, hand over what is held, then end.
+    /// Starts a planned stop: notifies all peers, hands over the records held, then ends.
     Leave,
 }
 
-/// What a node does at the moment.
+/// The current state of a node.
 #[derive(Clone, PartialEq, Debug, Default)]
 pub struct LocalState {
     /// Whether callers may be sent here.
     pub accepting: bool,
-    /// From 0 (idle) to 1 (full).
+    /// Load from 0 (idle) to 1 (full).
     pub load: f32,
-    /// Whether the key-value service answers this node; `None` when it was not asked lately.
+    /// Whether the key-value service responds to this node; `None` if there was no recent request.
     pub service_up: Option<bool>,
-    /// What each customer asks of this node lately, admitted or not, by [`name_hash`], as a
-    /// fraction of the customer's whole limit. Lists every customer, idle ones with 0.
+    /// Each customer's recent demand on this node, admitted or not, by [`name_hash`], as a fraction
+    /// of the customer's total limit. Lists every customer, idle ones with 0.
     pub demand: Vec<(u32, f32)>,
-    /// Counters since this process started, by version.
+    /// Counters since the start of this process, by version.
     pub evidence: Vec<VersionCounters>,
-    /// Versions that were stopped, by this node or as heard.
+    /// Stopped versions, whether stopped by this node or by another one.
     pub stops: Vec<Stop>,
 }
 
-/// Counters of one version that only rise.
+/// Monotonic counters of one version.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct VersionCounters {
-    /// [`name_hash`] of the version's full name.
+    /// [`name_hash`] of the full name of the version.
     pub version: u32,
-    /// At most 16 counters; their meaning is the node's affair.
+    /// At most 16 counters; the node defines their meaning.
     pub counts: Vec<u64>,
 }
 
-/// A version that gets no new session until a newer revision speaks of it.
+/// A version that gets no new sessions until a newer revision of the configuration decides on it.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug, serde::Serialize, serde::Deserialize)]
 pub struct Stop {
-    /// The version's full name.
+    /// Full name of the version.
     pub version: String,
-    /// The revision in force when it was stopped.
+    /// Revision in force when the version was stopped.
     pub revision: u64,
-    /// Why, for operators.
+    /// Reason, for operators.
     pub reason: String,
 }
 
-/// A line of the platform's list of hosts.
+/// An entry of the platform's list of hosts.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct ListedHost {
-    /// Where its mesh listens.
+    /// Address on which its mesh listens.
     pub address: SocketAddr,
-    /// Whether the platform says that it is leaving.
+    /// Whether the platform lists the host as leaving.
     pub leaving: bool,
 }
 
-/// How a [`Command::Hold`] ended.
+/// The result of a [`Command::Hold`].
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct HoldAck {
-    /// Nodes that confirmed to have the record in memory, without this one.
+    /// Number of other nodes that confirmed to hold the record in memory.
     pub copies: u8,
-    /// Nodes that were wanted.
+    /// Number of nodes that should hold the record.
     pub wanted: u8,
 }
 
-/// What the mesh tells the node.
+/// An event that the mesh reports to the node.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Event {
-    /// Enough peers were asked for the newest configuration, or the wait for them is over.
-    /// A node that could not read the key-value service serves only after this.
+    /// Enough peers were asked for the newest configuration, or the wait for them timed out.
+    /// A node that could not read the key-value service serves requests only after this event.
     Joined {
-        /// How many peers answered.
+        /// Number of peers that responded.
         asked: usize,
     },
-    /// A newer configuration; revisions only rise. One that the node has read from the service in
-    /// the meantime may be higher still, so the node takes the higher of the two.
+    /// A newer configuration; revisions only rise. The node may have read an even higher revision
+    /// from the key-value service in the meantime and must keep the higher of the two.
     Document {
-        /// Its revision.
+        /// Revision of the configuration.
         revision: u64,
-        /// The whole text, checked by digest.
+        /// Full text of the configuration, verified by its digest.
         document: Bytes,
     },
-    /// All other nodes known, by name.
+    /// All other known nodes, in the order of their host ids.
     Peers(Vec<PeerView>),
-    /// Each customer's demand and this node's share of its limit.
+    /// Demand of each customer and this node's share of the customer's limit.
     Demand(Vec<Share>),
-    /// Sums over all other nodes and former incarnations; each counter only rises.
+    /// Counter sums over all other nodes and former incarnations; each counter only rises.
     Evidence(Vec<VersionCounters>),
-    /// All stops known.
+    /// All known stops.
     Stops(Vec<Stop>),
-    /// Records whose owner is gone, to be journalled and released by this node. Told again until
-    /// they are released.
+    /// Records whose owner is gone, to be journalled and released by this node. Reported again
+    /// until they are released.
     Orphans(Vec<(u128, Bytes)>),
-    /// Whether this node should watch the configuration's key.
+    /// Whether this node should watch the configuration key.
     WatchKey(bool),
     /// A payload sent by [`Command::Forward`].
     Forwarded {
-        /// The sending host's name.
+        /// Name of the sending host.
         from: String,
-        /// What it sent.
+        /// The payload.
         payload: Bytes,
     },
-    /// Another process runs under this host's name and started later; this one must stop, and the
-    /// duty ends.
+    /// Another process with this host's name started later; this one must stop, and the mesh task
+    /// ends.
     Superseded {
-        /// The other's incarnation.
+        /// Incarnation of the other process.
         by: u64,
     },
-    /// The planned stop is complete; nothing is left to hand over.
+    /// The planned stop is complete; no records remain to be handed over.
     LeaveDone,
 }
 
-/// One customer's demand as this node sees it.
+/// Demand of one customer as this node knows it.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Share {
     /// [`name_hash`] of the customer.
     pub customer: u32,
-    /// Demand over all nodes heard of lately, as a fraction of the limit.
+    /// Demand on all nodes with recent reports, as a fraction of the limit.
     pub total: f32,
-    /// The part of the customer's limit that this node may use, from 0 to 1.
+    /// Part of the customer's limit that this node may use, from 0 to 1.
     pub share: f32,
 }
 
-/// Another node as this one sees it.
+/// Another node as this one knows it.
 #[derive(Clone, PartialEq, Debug)]
 pub struct PeerView {
-    /// Its name.
+    /// Name of the host.
     pub host: String,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub domain: String,
-    /// Its region.
+    /// Region of the host.
     pub region: String,
-    /// Its incarnation.
+    /// Incarnation of the process.
     pub incarnation: u64,
-    /// Where callers reach it.
+    /// Address for callers.
     pub caller: SocketAddr,
-    /// Whether it takes callers.
+    /// Whether it accepts callers.
     pub accepting: bool,
-    /// From 0 to 1.
+    /// Load from 0 to 1.
     pub load: f32,
-    /// The revision in force there, as last heard.
+    /// Last reported revision in force at the node.
     pub revision: u64,
-    /// How long ago that was heard.
+    /// Time since the revision was reported.
     pub revision_age: Duration,
-    /// Whether it is there.
+    /// State of the node.
     pub state: PeerState,
 }
 
-/// Whether another node is there.
+/// State of another node.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum PeerState {
-    /// Heard of lately.
+    /// Recently heard from, directly or by a summary.
     Alive,
-    /// Not heard of for a while; it may be dead, paused or cut off.
+    /// No recent heartbeat or report; the node may be dead, paused or partitioned.
     Suspect,
-    /// It said goodbye, or the platform says that it is leaving.
+    /// The node announced that it leaves, or the platform lists it as leaving.
     Left,
 }
--- a/crates/oatdale-mesh/src/wire.rs
+++ b/crates/oatdale-mesh/src/wire.rs
@@ -1,6 +1,6 @@
-//! Messages between nodes and their CBOR form: arrays of numbers, no field names.
+//! Messages between nodes and their CBOR encoding, which uses arrays without field names.
 
-/// Gives a type with named fields its form on the wire, a tuple of the same values.
+/// Implements the conversions between a struct and the tuple it is serialized as.
 macro_rules! tuple_conversions {
     ($name:ident { $($field:ident: $type:ty),* $(,)? }) => {
         impl From<$name> for ($($type,)*) {
@@ -31,46 +31,47 @@
 use bytes::Bytes;
 use std::net::SocketAddr;
 
-/// Largest frame in bytes; a peer that sends a larger one is dropped.
+/// Maximum frame size in bytes; a peer that sends a larger one is disconnected.
 pub const MAX_FRAME: usize = 128 * 1024;
-/// Largest record that may be held or forwarded, in bytes.
+/// Maximum size of a held record or a forwarded payload, in bytes.
 pub const MAX_RECORD: usize = 8 * 1024;
-/// Bytes of a configuration that travel in one message.
+/// Maximum bytes of a configuration in one message.
 pub(crate) const CHUNK: usize = 16 * 1024;
-/// Largest configuration; the key-value service holds no larger value.
+/// Maximum size of a configuration in bytes; the key-value service stores no larger value.
 pub(crate) const MAX_DOCUMENT: usize = 1024 * 1024;
-/// Size at which a frame is closed and the next one begun; leaves room for one more message.
+/// Size at which a frame is complete and the next one starts. Far enough below [`MAX_FRAME`] for
+/// the message that exceeds it.
 const FRAME_TARGET_BYTES: usize = 48 * 1024;
-/// Cards in one message.
+/// Maximum number of cards in one message.
 pub(crate) const CARDS: usize = 256;
 
-/// Messages that travel together on one link.
+/// A batch of messages sent over one link.
 #[derive(Clone, PartialEq, Debug, serde::Serialize, serde::Deserialize)]
 pub struct Frame(pub(crate) Vec<Message>);
 
 impl Frame {
-    /// The CBOR form.
+    /// Encodes the frame as CBOR.
     pub fn encode(&self) -> Vec<u8> {
         let mut buf = Vec::with_capacity(64);
         ciborium::into_writer(self, &mut buf).expect("writing to memory does not fail");
         buf
     }
 
-    /// Reads the CBOR form.
+    /// Decodes a frame from CBOR.
     ///
     /// # Errors
     ///
-    /// [`Error::Malformed`](crate::Error::Malformed) on anything but one whole frame.
+    /// Returns [`Error::Malformed`](crate::Error::Malformed) unless `buf` is exactly one frame.
     pub fn decode(buf: &[u8]) -> Result<Frame> {
         if buf.len() > MAX_FRAME {
-            let reason = format!("{} bytes are more than a frame may have", buf.len());
+            let reason = format!("frame of {} bytes exceeds the limit of 128 KiB", buf.len());
             return MalformedSnafu { reason }.fail();
         }
         let mut remaining = buf;
         match ciborium::from_reader(&mut remaining) {
             Ok(frame) if remaining.is_empty() => Ok(frame),
             Ok(_) => MalformedSnafu {
-                reason: "bytes after the frame",
+                reason: "trailing bytes after the frame",
             }
             .fail(),
             Err(e) => MalformedSnafu {
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Puts messages into frames of moderate size.
+    /// Packs messages into frames of moderate size.
     pub(crate) fn pack(messages: Vec<Message>) -> Vec<Frame> {
         let mut frames = Vec::with_capacity(1);
         let mut frame = Vec::new();
@@ -100,46 +101,46 @@
     }
 }
 
-/// One message. Variants travel under one letter.
+/// A message. Each variant is encoded under a one-letter name.
 #[derive(Clone, PartialEq, Debug, serde::Serialize, serde::Deserialize)]
 pub(crate) enum Message {
-    /// Sent on every link at every heartbeat.
+    /// Heartbeat, sent periodically on every link.
     #[serde(rename = "b")]
     Beat(Beat),
-    /// Hosts that the receiver may not know.
+    /// Cards of hosts that the receiver may not know.
     #[serde(rename = "c")]
     Cards(Vec<Card>),
-    /// Send me every card that you have.
+    /// Requests all cards that the receiver has.
     #[serde(rename = "r")]
     AskCards,
-    /// The sender stops as planned.
+    /// The sender begins a planned stop.
     #[serde(rename = "l")]
     Leave,
     /// The sender has a newer configuration.
     #[serde(rename = "n")]
     Newest(Newest),
-    /// Send the configuration to one who has the text of this digest (0 for none).
+    /// Requests the configuration; names the digest of the text that the sender has (0 for none).
     #[serde(rename = "f")]
     Fetch(Fetch),
-    /// The deltas from the receiver's text to the newest.
+    /// Deltas from the receiver's text to the newest one.
     #[serde(rename = "s")]
     Steps(Vec<Step>),
-    /// A piece of the whole text.
+    /// A chunk of the full text.
     #[serde(rename = "k")]
     Chunk(Chunk),
-    /// Keep these.
+    /// Records that the receiver should hold.
     #[serde(rename = "h")]
     Hold(Vec<Record>),
-    /// These are kept.
+    /// Confirms that the sender holds these records.
     #[serde(rename = "a")]
     Held(Vec<HeldId>),
-    /// These need not be kept.
+    /// Records that no longer need to be held.
     #[serde(rename = "x")]
     Release(Vec<u128>),
-    /// The sender's demand by customer as a fraction of the limit, where it has changed.
+    /// The sender's demand by customer as a fraction of the limit; only changed values.
     #[serde(rename = "d")]
     Demand(Vec<(u32, Fraction)>),
-    /// Counters of nodes in the sender's failure domain that the receiver may not have.
+    /// Counters of nodes in the sender's failure domain that the receiver may lack.
     #[serde(rename = "e")]
     Evidence(Vec<HostCounters>),
     /// A summary of a failure domain.
@@ -148,13 +149,13 @@
     /// Stops that the receiver may not know.
     #[serde(rename = "t")]
     Stops(Vec<Stop>),
-    /// A payload from node to node.
+    /// A forwarded payload.
     #[serde(rename = "w")]
     Forward(Bytes),
 }
 
 impl Message {
-    /// About how many bytes the message takes.
+    /// Estimates the encoded size of the message in bytes.
     fn estimated_size(&self) -> usize {
         match self {
             Message::Cards(cards) => cards.len() * 120,
@@ -175,13 +176,13 @@
 #[derive(Clone, Copy, PartialEq, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(from = "BeatWire", into = "BeatWire")]
 pub(crate) struct Beat {
-    /// See the `FLAG_` constants.
+    /// Bit set of the `FLAG_` constants.
     pub(crate) flags: u8,
-    /// Load in 255ths.
+    /// Load from 0 to 255.
     pub(crate) load: u8,
-    /// The revision in force.
+    /// Revision in force at the sender.
     pub(crate) in_force: u64,
-    /// A hash over all hosts that the sender knows, to notice a missing one.
+    /// Hash over all hosts that the sender knows, so that the receiver notices if the lists differ.
     pub(crate) roster: u32,
 }
 
@@ -193,32 +194,32 @@
     roster: u32
 });
 
-/// Callers may be sent to the host.
+/// The host accepts callers.
 pub(crate) const FLAG_ACCEPTING: u8 = 1;
-/// The host stops as planned.
+/// The host is in a planned stop.
 pub(crate) const FLAG_LEAVING: u8 = 2;
-/// The host watched the key-value service and got no answer.
+/// The host watched the key-value service and got no response.
 pub(crate) const FLAG_SERVICE_DOWN: u8 = 4;
-/// The sender wants to keep this link.
+/// The sender wants to keep the link.
 pub(crate) const FLAG_WANTED: u8 = 8;
 /// In summaries: the reporter suspects the host.
 pub(crate) const FLAG_SUSPECT: u8 = 16;
 
-/// What does not change while a process runs.
+/// Identity and addresses of a process, which do not change while it runs.
 #[derive(Clone, PartialEq, Eq, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(from = "CardWire", into = "CardWire")]
 pub struct Card {
-    /// The host's name.
+    /// Name of the host.
     pub host: String,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub domain: String,
-    /// Its region.
+    /// Region of the host.
     pub region: String,
-    /// The incarnation of the process.
+    /// Incarnation of the process.
     pub incarnation: u64,
-    /// Where its mesh listens.
+    /// Address on which its mesh listens.
     pub address: SocketAddr,
-    /// Where callers reach it.
+    /// Address for callers.
     pub caller: SocketAddr,
 }
 
@@ -233,7 +234,7 @@
 });
 
 impl Card {
-    /// The host's id.
+    /// Returns the id of the host.
     pub fn id(&self) -> HostId {
         HostId::of(&self.host)
     }
--- a/crates/oatdale-mesh/src/wire/document.rs
+++ b/crates/oatdale-mesh/src/wire/document.rs
@@ -1,9 +1,9 @@
-//! What nodes say to each other about the configuration.
+//! Messages that distribute the configuration.
 
 use crate::delta::Delta;
 use bytes::Bytes;
 
-/// Says which configuration the sender holds.
+/// Announces which configuration the sender holds.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub(crate) struct Newest {
@@ -15,15 +15,15 @@
     digest: u64
 });
 
-/// Asks for a configuration.
+/// Requests a configuration.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(from = "(u64, u64, u32)", into = "(u64, u64, u32)")]
 pub(crate) struct Fetch {
-    /// Digest of the text that the sender has, 0 for none.
+    /// Digest of the full text that the sender has, 0 for none.
     pub(crate) have: u64,
-    /// Digest of the text of which the sender has a part, 0 for none.
+    /// Digest of the text that the sender has received in part, 0 for none.
     pub(crate) partial: u64,
-    /// How many bytes of it.
+    /// Number of bytes of the partial text received so far.
     pub(crate) offset: u32,
 }
 tuple_conversions!(Fetch {
@@ -32,15 +32,15 @@
     offset: u32
 });
 
-/// One delta of the configuration.
+/// A delta from one revision of the configuration to a later one.
 #[derive(Clone, PartialEq, Eq, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(from = "StepWire", into = "StepWire")]
 pub(crate) struct Step {
-    /// Digest of the text before.
+    /// Digest of the text before the delta.
     pub(crate) from: u64,
-    /// Revision after.
+    /// Revision after the delta.
     pub(crate) revision: u64,
-    /// Digest of the text after.
+    /// Digest of the text after the delta.
     pub(crate) digest: u64,
     pub(crate) delta: Delta,
 }
@@ -53,14 +53,14 @@
     delta: Delta
 });
 
-/// A piece of a configuration.
+/// A chunk of the text of a configuration.
 #[derive(Clone, PartialEq, Eq, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(from = "ChunkWire", into = "ChunkWire")]
 pub(crate) struct Chunk {
     pub(crate) revision: u64,
-    /// Digest of the whole text.
+    /// Digest of the full text.
     pub(crate) digest: u64,
-    /// Length of the whole text.
+    /// Length of the full text in bytes.
     pub(crate) total: u32,
     pub(crate) offset: u32,
     pub(crate) bytes: Bytes,
--- a/crates/oatdale-mesh/src/wire/record.rs
+++ b/crates/oatdale-mesh/src/wire/record.rs
@@ -3,18 +3,18 @@
 use crate::types::HostId;
 use bytes::Bytes;
 
-/// A held record.
+/// A record held for another node.
 #[derive(Clone, PartialEq, Eq, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(from = "RecordWire", into = "RecordWire")]
 pub(crate) struct Record {
     pub(crate) id: u128,
-    /// The host whose request it is.
+    /// Host that owns the record.
     pub(crate) owner: HostId,
-    /// That host's incarnation.
+    /// Incarnation of the owner.
     pub(crate) incarnation: u64,
-    /// The owner's count of records; the higher replaces the lower of the same id.
+    /// Sequence number assigned by the owner; of two records with the same id the higher one wins.
     pub(crate) seq: u64,
-    /// The other holder, 0 for none.
+    /// Host id of the other holder, 0 for none.
     pub(crate) other: u64,
     pub(crate) record: Bytes,
 }
@@ -29,7 +29,7 @@
     record: Bytes,
 });
 
-/// Names a held record.
+/// Identifies a held record.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(from = "HeldIdWire", into = "HeldIdWire")]
 pub(crate) struct HeldId {
--- a/crates/oatdale-mesh/src/wire/summary.rs
+++ b/crates/oatdale-mesh/src/wire/summary.rs
@@ -2,14 +2,14 @@
 
 use crate::types::HostId;
 
-/// A part of a limit in ten-thousandths, up to about six and a half limits.
+/// A fraction of a limit in units of 1/10,000; saturates at about 6.5 times the limit.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(transparent)]
 pub(crate) struct Fraction(u16);
 
 impl From<f32> for Fraction {
     fn from(part: f32) -> Self {
-        // The cast saturates, and takes what is not a number for 0.
+        // The cast saturates and maps NaN to 0.
         Fraction((part * 10_000.0).round() as u16)
     }
 }
@@ -20,32 +20,33 @@
     }
 }
 
-/// The counters of one process.
+/// Counters of one process.
 #[derive(Clone, PartialEq, Eq, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(from = "HostCountersWire", into = "HostCountersWire")]
 pub(crate) struct HostCounters {
     pub(crate) host: HostId,
     pub(crate) incarnation: u64,
-    /// By version.
+    /// Counters by version.
     pub(crate) counts: Vec<(u32, Vec<u64>)>,
 }
 
 type HostCountersWire = (HostId, u64, Vec<(u32, Vec<u64>)>);
 tuple_conversions!(HostCounters { host: HostId, incarnation: u64, counts: Vec<(u32, Vec<u64>)> });
 
-/// A summary of a failure domain, made by one of its nodes and passed on within another.
+/// A summary of a failure domain, created by one of its nodes and relayed within another domain.
 #[derive(Clone, PartialEq, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(from = "ReportWire", into = "ReportWire")]
 pub(crate) struct Report {
     /// [`name_hash`](crate::name_hash) of the failure domain.
     pub(crate) domain: u32,
-    /// The highest revision in force there.
+    /// Highest revision in force in the domain.
     pub(crate) revision: u64,
-    /// Its hosts.
+    /// Hosts of the domain.
     pub(crate) members: Vec<ReportMember>,
-    /// Demand of the hosts that the reporter hears, and the share kept for the others.
+    /// By customer: demand on the hosts that the reporter hears from, and the share reserved for
+    /// the other hosts.
     pub(crate) demand: Vec<(u32, Fraction, Fraction)>,
-    /// Sums over its hosts that changed since the last report of this reporter.
+    /// Counter sums over the hosts that changed since the last report of this reporter.
     pub(crate) counts: Vec<(u32, Vec<u64>)>,
 }
 
@@ -64,7 +65,7 @@
     counts: Vec<(u32, Vec<u64>)>,
 });
 
-/// One host of a summary.
+/// A host in a summary.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(from = "(u32, u8, u8, u64)", into = "(u32, u8, u8, u64)")]
 pub(crate) struct ReportMember {
@@ -72,7 +73,7 @@
     pub(crate) short: u32,
     pub(crate) flags: u8,
     pub(crate) load: u8,
-    /// How far its revision is behind the report's.
+    /// Number of revisions that the host is behind the report's revision.
     pub(crate) behind: u64,
 }
 tuple_conversions!(ReportMember {
--- a/crates/oatdale-placement/src/lease.rs
+++ b/crates/oatdale-placement/src/lease.rs
@@ -1,36 +1,36 @@
-//! The right to place a pool: a key at the service under a lease.
+//! The lease that entitles a node to place a pool: a key in the key-value service with a TTL.
 //!
-//! The key's revision is the fencing number: it rises with every new holder. The holder counts its
-//! lease from before it asked, on a clock that counts pauses, so its own count never ends later
-//! than the service's.
+//! The revision of the key is the fencing number; it rises with every new holder. The holder counts
+//! the TTL from before it sent its request, on a clock that includes pauses of the process, so that
+//! the lease never expires later for the holder than for the service.
 
 use crate::PauseClock;
 use bytes::Bytes;
 use oatdale_platform::{Condition, Kv, KvError, LeaseId, ModRevision, Put};
 use std::time::Duration;
 
-/// A lease as its holder knows it.
+/// A lease from the view of its holder.
 #[derive(Clone, Debug)]
 pub(crate) struct Lease {
     id: LeaseId,
-    /// The fencing number.
+    /// Fencing number.
     pub(crate) fencing: u64,
     ttl: Duration,
-    /// When it ends at the latest, on the holder's clock.
+    /// Latest time at which the lease expires, on the holder's clock.
     expires_at: Duration,
 }
 
-/// What became of an attempt to take the lease.
+/// The result of an attempt to acquire the lease.
 #[derive(Debug)]
 pub(crate) enum Acquisition {
-    /// This process holds it.
+    /// This process holds the lease.
     Acquired(Lease),
-    /// Another one does; its key has this revision.
+    /// Another process holds the lease; the key has this revision.
     HeldByOther(ModRevision),
 }
 
 impl Lease {
-    /// Tries to become the holder of `key`. `token` must never have been used before.
+    /// Tries to acquire the lease on `key`. `token` must never have been used before.
     pub(crate) async fn acquire(
         kv: &impl Kv,
         key: &str,
@@ -53,12 +53,12 @@
         match kv.put(key, value, Condition::Absent, Some(id)).await {
             Ok(Put::Stored(revision)) => Ok(Acquisition::Acquired(lease(revision))),
             Ok(Put::Conflict(revision)) => {
-                // Nobody uses the grant; it lapses by itself if this fails.
+                // The granted lease is unused; it expires by itself if this fails.
                 let _ = kv.revoke(id).await;
                 Ok(Acquisition::HeldByOther(revision.unwrap_or_default()))
             }
-            // The key may be this process's: its token tells. If it is not there yet it may still
-            // come, and then it lapses with its lease, since nobody renews it.
+            // The write may have succeeded, which the token in the key shows. If the key does not
+            // exist yet it may still appear; it then expires with its lease, which nobody renews.
             Err(KvError::Unknown { message }) => match kv.get(key).await? {
                 Some(entry) if entry.value == token.as_bytes() => {
                     Ok(Acquisition::Acquired(lease(entry.revision)))
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Renews the lease; an error leaves it as it was.
+    /// Renews the lease. On an error the expiry time stays unchanged.
     pub(crate) async fn renew(
         &mut self,
         kv: &impl Kv,
@@ -82,12 +82,12 @@
         Ok(())
     }
 
-    /// How much is left for certain.
+    /// Returns the time for which the lease is certainly still valid.
     pub(crate) fn remaining(&self, clock: &PauseClock) -> Duration {
         self.expires_at.saturating_sub(clock())
     }
 
-    /// Gives the lease back, so that another node need not wait until it lapses.
+    /// Revokes the lease, so that another node need not wait until it expires.
     pub(crate) async fn release(self, kv: &impl Kv) -> oatdale_platform::Result<()> {
         kv.revoke(self.id).await
     }
--- a/crates/oatdale-placement/src/lib.rs
+++ b/crates/oatdale-placement/src/lib.rs
@@ -1,9 +1,10 @@
-//! Orders to engines under a lease with a fencing number.
+//! Sends orders to engines under a lease with a fencing number.
 //!
-//! A few nodes stand for each pool; the one that holds the lease `placer/<pool>` reads the pool's
-//! engines back every few seconds and orders what differs from the text. An order names the whole
-//! wanted state, so sending one twice, or after another placer's, does no lasting harm.
-//! docs/PLACEMENT.md tells what can't be promised where engines ignore fencing numbers.
+//! A few nodes are candidates for each pool. The one that holds the lease `placer/<pool>` reads the
+//! state of the pool's engines every few seconds and sends orders where it differs from the
+//! configuration. An order contains the complete desired state, so an order that arrives twice, or
+//! after another placer's order, does no lasting harm. docs/PLACEMENT.md describes what can't be
+//! guaranteed if engines ignore fencing numbers.
 //!
 //! ```
 //! use oatdale_config::Revision;
@@ -21,5 +22,5 @@
 pub use crate::placer::{Live, Placer, Settings, run};
 pub use crate::plan::{DesiredState, OrderReason, Step, desired_states, plan};
 
-/// Reads a clock that goes on while the process is paused, as a time since any fixed moment.
+/// Reads a clock that keeps running while the process is paused, as the time since a fixed instant.
 pub type PauseClock = std::sync::Arc<dyn Fn() -> std::time::Duration + Send + Sync>;
--- a/crates/oatdale-placement/src/orders.rs
+++ b/crates/oatdale-placement/src/orders.rs
@@ -1,4 +1,4 @@
-//! How orders reach engines: the edge of the process.
+//! Communication with engines.
 
 use oatdale_platform::wire::{Held, Order, Ordered};
 use oatdale_platform::{CallError, EngineClient};
@@ -6,16 +6,16 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Reads engines back and sends them orders.
+/// Reads the state of engines and sends them orders.
 pub trait EngineControl: Clone + Send + Sync + 'static {
-    /// What an engine holds and was last ordered.
+    /// Returns the versions that an engine holds and its last accepted order.
     fn held(
         &self,
         address: SocketAddr,
         timeout: Duration,
     ) -> impl Future<Output = Result<Held, CallError>> + Send;
 
-    /// Sends an order; after an error it may have taken effect, now or later.
+    /// Sends an order. After an error the order may still have taken effect or take effect later.
     fn order(
         &self,
         address: SocketAddr,
--- a/crates/oatdale-placement/src/placer.rs
+++ b/crates/oatdale-placement/src/placer.rs
@@ -1,4 +1,5 @@
-//! The duty that places one pool: it takes the lease, reads engines back and orders what differs.
+//! The task that places one pool: acquires the lease, reads the state of the engines and sends
+//! orders where it differs from the configuration.
 
 use crate::PauseClock;
 use crate::lease::{Acquisition, Lease};
@@ -14,33 +15,33 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// The configuration in force on this node.
+/// The configuration in force on this node and its revision.
 pub type Live = (Revision, Arc<Config>);
 
-/// How a pool is placed.
+/// Settings of the placement of a pool.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Settings {
-    /// The pool's name in the text.
+    /// Name of the pool in the configuration.
     pub pool: String,
-    /// This node's name, for whoever reads the key.
+    /// Name of this node, written into the lease key for operators.
     pub node: String,
-    /// Tells this incarnation of the node from every other; draw it at random.
+    /// Distinguishes this incarnation of the node from all others; should be random.
     pub incarnation: u64,
-    /// How long the lease lasts without renewal.
+    /// How long the lease is valid without renewal.
     pub lease_ttl: Duration,
-    /// An order is sent only while this much of the lease is left; more than `call`, so that an
-    /// order whose answer is awaited falls within the lease.
+    /// An order is sent only while at least this much of the lease remains. Longer than
+    /// `call_timeout`, so that the wait for the response ends before the lease expires.
     pub send_margin: Duration,
-    /// How long one call may take.
+    /// Timeout of a single call.
     pub call_timeout: Duration,
-    /// How often engines are read back and the lease is renewed.
+    /// Pause between two reads of the engines, after which the lease is renewed.
     pub poll_interval: Duration,
-    /// How many engines may load at once.
+    /// Maximum number of engines that load at once.
     pub max_loading: usize,
 }
 
 impl Settings {
-    /// The usual settings.
+    /// Returns the default settings.
     pub fn new(pool: &str, node: &str, incarnation: u64) -> Self {
         Settings {
             pool: pool.to_owned(),
@@ -55,33 +56,33 @@
     }
 }
 
-/// What [`run`] needs.
+/// Parameters of [`run`].
 pub struct Placer<K, O> {
-    /// The key-value service.
+    /// Client of the key-value service.
     pub kv: K,
-    /// The way to the engines.
+    /// Client of the engines.
     pub orders: O,
-    /// How the pool is placed.
+    /// Settings.
     pub settings: Settings,
-    /// A clock that goes on while the process is paused.
+    /// Clock that keeps running while the process is paused.
     pub clock: PauseClock,
-    /// The configuration in force on this node.
+    /// Configuration in force on this node.
     pub live: watch::Receiver<Live>,
-    /// Whether this node should try to hold the lease; a few nodes for each pool suffice.
+    /// Whether this node should try to acquire the lease; a few candidates per pool are enough.
     pub candidate: watch::Receiver<bool>,
 }
 
-/// Why a holder stops.
+/// The reason why a holder stops.
 enum StopReason {
-    /// The lease is over, or too little of it is left.
+    /// The lease has expired, or too little of it remains to send an order.
     LeaseExpired,
-    /// An engine has seen a newer holder.
+    /// An engine has received an order with a newer fencing number.
     Superseded,
-    /// The node is no candidate any more, or it stops.
+    /// The node is no longer a candidate, or it is stopping.
     NotCandidate,
 }
 
-/// Places a pool until the sender of `candidate` goes.
+/// Places a pool until the sender of `candidate` is dropped.
 pub async fn run<K: Kv, O: EngineControl>(mut placer: Placer<K, O>) {
     let mut attempt = 0_u64;
     loop {
@@ -93,7 +94,10 @@
             Ok(Acquisition::Acquired(lease)) => placer.run_as_holder(lease).await,
             Ok(Acquisition::HeldByOther(revision)) => placer.wait_for_expiry(revision).await,
             Err(error) => {
-                warn!("placement {}: no lease: {error}", placer.settings.pool);
+                warn!(
+                    "placement {}: cannot acquire the lease: {error}",
+                    placer.settings.pool
+                );
                 sleep(placer.settings.poll_interval).await;
             }
         }
@@ -101,7 +105,7 @@
 }
 
 impl<K: Kv, O: EngineControl> Placer<K, O> {
-    /// Waits until this node is a candidate; false if it never will be.
+    /// Waits until this node is a candidate; false if the sender of `candidate` was dropped.
     async fn wait_until_candidate(&mut self) -> bool {
         let is_candidate = self
             .candidate
@@ -125,8 +129,8 @@
         with_timeout(self.settings.call_timeout * 3, acquire).await
     }
 
-    /// Waits for a part of the lease, or until another holder's key is there. That the key goes
-    /// wakes nobody, so a new holder comes this much after the lapse at the latest.
+    /// Waits for a third of the TTL, or until another holder writes the key. The deletion of the
+    /// key does not end the wait, so a new holder may follow up to this long after the expiry.
     async fn wait_for_expiry(&self, revision: ModRevision) {
         let wait = self.settings.lease_ttl / 3;
         if self.kv.watch(&self.key(), revision, wait).await.is_err() {
@@ -134,11 +138,11 @@
         }
     }
 
-    /// Places the pool until the lease ends.
+    /// Places the pool until the lease expires or the node must give it up.
     async fn run_as_holder(&mut self, mut lease: Lease) {
         let pool = &self.settings.pool;
         info!(
-            "placement {pool}: holds the lease, fencing {}",
+            "placement {pool}: acquired the lease, fencing {}",
             lease.fencing
         );
         let stop_reason = loop {
@@ -156,15 +160,16 @@
         };
         let pool = &self.settings.pool;
         match stop_reason {
-            StopReason::LeaseExpired => info!("placement {pool}: the lease is over"),
-            StopReason::Superseded => warn!("placement {pool}: an engine follows a newer holder"),
-            StopReason::NotCandidate => info!("placement {pool}: gives the lease back"),
+            StopReason::LeaseExpired => info!("placement {pool}: lease expired or about to expire"),
+            StopReason::Superseded => warn!("placement {pool}: engine has newer fencing number"),
+            StopReason::NotCandidate => info!("placement {pool}: not a candidate, releasing lease"),
         }
-        // If this fails the lease lapses by itself.
+        // If this fails the lease expires by itself.
         let _ = with_timeout(self.settings.call_timeout, lease.release(&self.kv)).await;
     }
 
-    /// Renews the lease; while the service is away the holder goes on with what is left.
+    /// Renews the lease. While the service is unavailable the holder continues until too little of
+    /// the lease remains.
     async fn renew(&self, lease: &mut Lease) -> bool {
         let renewed = with_timeout(
             self.settings.call_timeout,
@@ -178,7 +183,7 @@
         }
     }
 
-    /// Reads all engines back and sends what differs.
+    /// Reads the state of all engines and sends an order to each that differs from the desired one.
     async fn reconcile(&mut self, lease: &Lease) -> Result<(), StopReason> {
         let (revision, cfg) = self.live.borrow_and_update().clone();
         let Some(pool) = cfg.pools.find(|pool| pool.name == self.settings.pool) else {
@@ -198,7 +203,7 @@
                 }
                 Step::NewerLease(_) => return Err(StopReason::Superseded),
                 Step::NewerRevision(newer) => info!(
-                    "placement {}: {} follows revision {newer}, this node has {}",
+                    "placement {}: {} has newer revision {newer}, this node has {}",
                     self.settings.pool, desired.name, revision.0
                 ),
                 Step::UpToDate | Step::WaitForLoadSlot => {}
@@ -216,7 +221,7 @@
             Ok(held) => Some((desired, held)),
             Err(error) => {
                 warn!(
-                    "placement {}: {} can't be read back: {error}",
+                    "placement {}: cannot read the state of {}: {error}",
                     self.settings.pool, desired.name
                 );
                 None
@@ -224,9 +229,9 @@
         }
     }
 
-    /// Sends one order, unless too little of the lease is left. A process may be paused between
-    /// any two lines, so this is asked again right before each send; what remains is a pause
-    /// within the send itself, which only an engine that checks the number can catch.
+    /// Sends an order, unless too little of the lease remains. A process may be paused between any
+    /// two statements, so the lease is checked right before each send. A pause within the send
+    /// itself can only be detected by an engine that checks the fencing number.
     async fn send(
         &self,
         lease: &Lease,
@@ -237,8 +242,8 @@
         engines: usize,
     ) -> Result<(), StopReason> {
         info!(
-            "placement {}: {} of {engines} engines, {reason:?}: hold [{}], held [{}], revision {}, \
-             fencing {}, {} ms of the lease left",
+            "placement {}: order to {}, 1 of {engines} engines, reason {reason:?}: versions [{}], \
+             currently [{}], revision {}, fencing {}, {} ms of the lease remaining",
             self.settings.pool,
             desired.name,
             order.versions.join(", "),
@@ -258,9 +263,9 @@
             Ok(Ordered::Accepted(_)) => Ok(()),
             Ok(Ordered::Stale { .. }) => Err(StopReason::Superseded),
             Err(error) => {
-                // Whether it took effect shows when the engine is read back.
+                // The next read of the engine shows whether the order took effect.
                 warn!(
-                    "placement {}: {}: {error}",
+                    "placement {}: order to {} not confirmed: {error}",
                     self.settings.pool, desired.name
                 );
                 Ok(())
@@ -278,7 +283,7 @@
     call: impl Future<Output = oatdale_platform::Result<T>>,
 ) -> oatdale_platform::Result<T> {
     let timed_out = |_| KvError::Unknown {
-        message: format!("no answer within {} ms", limit.as_millis()),
+        message: format!("no response within {} ms", limit.as_millis()),
     };
     timeout(limit, call).await.map_err(timed_out)?
 }
--- a/crates/oatdale-placement/src/plan.rs
+++ b/crates/oatdale-placement/src/plan.rs
@@ -1,55 +1,56 @@
-//! What each engine should hold and what to order next: pure.
+//! Computes the desired state of each engine and the next order to send, without I/O.
 
 use oatdale_config::{Config, EndpointKey, PoolKey, Revision, VersionState};
 use oatdale_platform::wire::{Held, Order, Role};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// What one engine should hold.
+/// The desired state of an engine.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct DesiredState {
-    /// The engine.
+    /// Key of the engine.
     pub endpoint: EndpointKey,
-    /// Its name in the text.
+    /// Name of the engine in the configuration.
     pub name: String,
-    /// Where it listens.
+    /// Address on which the engine listens.
     pub address: SocketAddr,
-    /// Full names of its versions, sorted.
+    /// Full names of the versions that the engine should hold, sorted.
     pub versions: BTreeSet<String>,
-    /// Its role.
+    /// Role that the engine should have.
     pub role: Role,
 }
 
-/// Why an order is sent.
+/// The reason for an order.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum OrderReason {
-    /// The engine was last ordered under an older lease; from now on it refuses that one's orders,
-    /// if it checks.
+    /// The engine's last order was sent under an older lease. After this order it refuses orders of
+    /// the older lease, if it checks fencing numbers.
     Adopt,
-    /// It lacks a version.
+    /// The engine lacks a version.
     Missing,
-    /// It holds a version that it should not.
+    /// The engine holds a version that it should not hold.
     Surplus,
-    /// It has another role.
+    /// The engine has another role.
     Role,
 }
 
-/// What to do about one engine.
+/// The next step for an engine.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Step {
     /// Send this order.
     Send(Order, OrderReason),
-    /// It is as it should be, or on its way there.
+    /// The engine has the desired state or is loading the missing versions.
     UpToDate,
-    /// It needs a version, but as many engines load as may at once.
+    /// The engine needs a version, but the maximum number of engines is already loading.
     WaitForLoadSlot,
-    /// It follows a newer configuration than this node has.
+    /// The engine was ordered under a newer configuration revision than this node has.
     NewerRevision(u64),
-    /// It follows a newer lease: this one is over.
+    /// The engine was ordered under a newer lease, so this one has expired.
     NewerLease(u64),
 }
 
-/// The engines of a pool and what the text wants of them; empty for plain pools.
+/// Returns the desired state of each engine of a pool. For plain pools the sets of versions are
+/// empty, since endpoints of plain services hold none.
 pub fn desired_states(cfg: &Config, pool: PoolKey) -> Vec<DesiredState> {
     let endpoints = cfg.pools[pool].endpoints.iter();
     endpoints.map(|key| desired_state(cfg, *key)).collect()
@@ -68,8 +69,8 @@
     }
 }
 
-/// Decides about each engine that answered. At most `loads` engines load at once, since the weight
-/// store is rate limited and a loading engine serves less.
+/// Returns the next step for each engine that responded. At most `max_loading` engines load at
+/// once, since the weight store is rate limited and a loading engine has less serving capacity.
 pub fn plan(
     engines: &[(DesiredState, Held)],
     fencing: u64,
--- a/crates/oatdale-placement/tests/engines/mod.rs
+++ b/crates/oatdale-placement/tests/engines/mod.rs
@@ -1,4 +1,4 @@
-//! In-process engines that check fencing numbers or don't.
+//! In-process engines, with or without checks of fencing numbers.
 
 use oatdale_placement::EngineControl;
 use oatdale_platform::CallError;
@@ -11,27 +11,27 @@
 
 pub(crate) const SECOND: Duration = Duration::from_secs(1);
 
-/// What one engine is and saw.
+/// State of an engine and the orders it received.
 #[derive(Clone, Default)]
 pub(crate) struct Engine {
     held: Held,
-    /// Orders that arrived, with whether they were followed.
+    /// Received orders, each with whether it was accepted.
     received: Vec<(Order, bool)>,
 }
 
-/// All engines of a pool as one client reaches them; an order may be held up on its way.
+/// A client of all engines of a pool, which can delay its orders in transit.
 #[derive(Clone)]
 pub(crate) struct Engines {
     engines: Arc<Mutex<BTreeMap<SocketAddr, Engine>>>,
     fencing: bool,
-    /// How long this client's orders are under way, whether or not it waits for them.
+    /// Transit time of this client's orders, even if the client stops waiting for the response.
     pub(crate) order_delay: Arc<Mutex<Duration>>,
-    /// How long a load takes.
+    /// How long loading a version takes.
     pub(crate) load_duration: Duration,
-    /// The most engines that ever loaded at once.
+    /// Highest number of engines that were loading at once.
     pub(crate) max_loading: Arc<Mutex<usize>>,
     pub(crate) drops_responses: bool,
-    /// How long reading an engine back takes; stands for a pause of the process there.
+    /// How long reading an engine takes; simulates a pause of the process at that point.
     pub(crate) read_delay: Arc<Mutex<Duration>>,
 }
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The same engines by a way of its own.
+    /// Returns another client of the same engines, with delays of its own.
     pub(crate) fn separate_client(&self) -> Self {
         Engines {
             order_delay: Arc::default(),
--- a/crates/oatdale-placement/tests/placer.rs
+++ b/crates/oatdale-placement/tests/placer.rs
@@ -1,4 +1,5 @@
-//! A pool's placers over an in-process service and engines that check fencing numbers or don't.
+//! Placers of a pool with an in-process key-value service and in-process engines, with or without
+//! checks of fencing numbers.
 
 mod engines;
 
@@ -13,7 +14,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep};
 
-/// A pool of `engines` that should hold `version` of one model and nothing else.
+/// Returns a configuration with one pool of `engines` that should hold only `version` of one model.
 fn live(revision: u64, engines: u16, version: &str) -> Live {
     let mut cfg = Config::default();
     let domain = cfg.domains.push(Domain {
@@ -53,7 +54,7 @@
     (Revision(revision), Arc::new(cfg))
 }
 
-/// A node that stands for the pool; its clock can be offset, as one that jumps.
+/// A node that is a candidate for the pool.
 struct Node {
     live: watch::Sender<Live>,
     candidate: watch::Sender<bool>,
@@ -103,7 +104,7 @@
     assert_eq!(*engines.max_loading.lock().unwrap(), 2);
 }
 
-// Another node takes over when the holder's lease lapses, with a higher fencing number.
+// Another node takes over with a higher fencing number once the holder's lease has expired.
 #[tokio::test(start_paused = true)]
 async fn another_node_takes_over_from_a_partitioned_holder() {
     let (kv, start, engines) = (MemKv::new(1), Instant::now(), Engines::new(true));
@@ -117,10 +118,10 @@
     assert!(kv.counters().cuts > 0 && kv.counters().lapsed > 0);
 }
 
-// The holder sends an order, which is held up in the network while the holder is away. The lease
-// lapses, another node places a newer version, and only then the order arrives. An engine that
-// checks refuses it. One that doesn't drops the new version, and callers find it gone until the
-// new holder reads the engine back and orders again.
+// An order is delayed in the network while its sender is partitioned. The lease expires, another
+// node places a newer version, and only then does the order arrive. An engine that checks fencing
+// numbers refuses it. One that doesn't drops the new version, which callers find missing until the
+// new holder reads the engine and sends its order again.
 async fn deliver_late_order(fencing: bool) -> (Engines, Duration) {
     let (kv, start, engines) = (MemKv::new(1), Instant::now(), Engines::new(fencing));
     let a = node(&kv, "a", &engines, live(1, 1, "1"), start);
@@ -165,18 +166,18 @@
     let (engines, harm_duration) = deliver_late_order(false).await;
     assert!(
         harm_duration > Duration::ZERO,
-        "the engine followed the late order"
+        "the engine accepted the late order"
     );
     assert!(
         harm_duration <= 5 * SECOND,
-        "one round and one load, not {harm_duration:?}"
+        "more than one poll interval and one load: {harm_duration:?}"
     );
     let refused = engines.orders_at(0).iter().filter(|(_, ok)| !ok).count();
     assert_eq!(refused, 0);
 }
 
-// The holder is held up at the service for longer than its lease lasts. When it comes back it must
-// notice before it sends anything.
+// A call to the key-value service takes longer than the holder's lease. Afterwards the holder must
+// notice that the lease has expired before it sends an order.
 #[tokio::test(start_paused = true)]
 async fn a_holder_paused_past_its_lease_sends_no_order() {
     let (kv, start, engines) = (MemKv::new(1), Instant::now(), Engines::new(false));
@@ -199,8 +200,9 @@
     assert_eq!(engines.state_of(0).versions, full_names("new"));
 }
 
-// The holder loses the service and goes on with what is left of its lease. After that it may have
-// been followed by another, so it must not send even what its text now wants.
+// The holder loses the key-value service and continues while enough of its lease remains. After
+// that another holder may have taken over, so it must not send an order even if its configuration
+// changes.
 #[tokio::test(start_paused = true)]
 async fn a_holder_sends_no_order_once_its_lease_may_have_expired() {
     let (kv, start, engines) = (MemKv::new(1), Instant::now(), Engines::new(false));
@@ -209,7 +211,11 @@
     kv.cut("a");
     a.live.send_replace(live(2, 1, "2"));
     sleep(5 * SECOND).await;
-    assert_eq!(engines.state_of(0).revision, 2, "there was enough left");
+    assert_eq!(
+        engines.state_of(0).revision,
+        2,
+        "enough of the lease remained"
+    );
     sleep(10 * SECOND).await;
     a.live.send_replace(live(3, 1, "3"));
     sleep(20 * SECOND).await;
@@ -219,8 +225,8 @@
     assert_eq!(engines.state_of(0).revision, 3);
 }
 
-// The process is paused after it decided and before it sends. Its decision is stale by then, and
-// an engine that ignores fencing numbers would follow it.
+// The process is paused between reading an engine and sending the order. The decision is stale by
+// then, and an engine that ignores fencing numbers would accept the order.
 #[tokio::test(start_paused = true)]
 async fn a_pause_between_reading_an_engine_and_ordering_prevents_the_order() {
     let (kv, start, engines) = (MemKv::new(1), Instant::now(), Engines::new(false));
@@ -233,8 +239,8 @@
     assert_eq!(engines.state_of(0).versions, full_names("1"));
 }
 
-// The answers to the lease's key and to all orders are lost. The placer must neither think that
-// another holds the lease nor order for ever what the engine holds already.
+// The responses to the write of the lease key and to all orders are lost. The placer must neither
+// assume that another node holds the lease nor keep ordering what the engine already holds.
 #[tokio::test(start_paused = true)]
 async fn lost_responses_cause_no_repeated_orders() {
     let (kv, start, mut engines) = (MemKv::new(1), Instant::now(), Engines::new(true));
@@ -247,8 +253,8 @@
     assert_eq!(engines.orders_at(0).len(), 1);
 }
 
-// A node that is behind with its configuration gets the lease. It must not take engines back to
-// what it knows.
+// A node with an outdated configuration acquires the lease. It must not roll engines back to its
+// older configuration.
 #[tokio::test(start_paused = true)]
 async fn a_holder_with_an_older_configuration_sends_no_order() {
     let (kv, start, engines) = (MemKv::new(1), Instant::now(), Engines::new(false));
@@ -273,5 +279,5 @@
     sleep(5 * SECOND).await;
     assert!(a.task.is_finished());
     let key = oatdale_platform::Kv::get(&kv, "placer/language").await;
-    assert_eq!(key.unwrap(), None, "the lease was given back");
+    assert_eq!(key.unwrap(), None, "the lease was released");
 }
--- a/crates/oatdale-placement/tests/spec_lease.rs
+++ b/crates/oatdale-placement/tests/spec_lease.rs
@@ -1,38 +1,39 @@
-//! Leases and orders as a small state machine: two placers, one engine, late orders, pauses.
+//! Specification of leases and orders as a small state machine: two placers, one engine, late
+//! orders, pauses.
 //!
-//! Time goes in ticks that any step may fall between. A placer that takes no step for some ticks is
-//! a paused one.
+//! Time passes in ticks, and any step may happen between two ticks. A placer that takes no step for
+//! some ticks models a paused one.
 
 use oatdale_check::{Counterexample, Spec, explore};
 
-/// Ticks that a lease lasts.
+/// Duration of a lease in ticks.
 const TTL: u8 = 2;
-/// Ticks that must be left when an order is sent.
+/// Ticks of the lease that must remain when an order is sent.
 const MARGIN: u8 = 1;
 const MAX_STATES: usize = 2_000_000;
 
-/// A deliberate fault.
+/// A deliberate fault that the specification must detect.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Fault {
     None,
-    /// The lease is looked at when an order is decided, not when it is sent.
+    /// The lease is checked when an order is decided, not when it is sent.
     LeaseCheckedOnDecision,
-    /// The placer's clock stands still while the process is paused.
+    /// The placer's clock stops while the process is paused.
     ClockStopsWhilePaused,
-    /// The lease is counted from its answer, not from before it was asked for.
+    /// The TTL is counted from the response instead of from before the request.
     TtlCountedFromResponse,
-    /// A new holder gets the fencing number of the one before.
+    /// A new holder gets the fencing number of the previous one.
     FencingNumberReused,
-    /// The placer remembers its last order in place of reading the engine back.
+    /// The placer relies on its last order instead of reading the engine.
     EngineNotRead,
 }
 
-/// What must hold beside "no order is sent without the lease".
+/// The property to check in addition to "no order is sent without the lease".
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Property {
-    /// The engine never follows an older holder after a newer one.
+    /// The engine never accepts an order of an older holder after one of a newer holder.
     NoRegress,
-    /// Whatever the engine was made to do, the holder notices and orders again.
+    /// If the engine was brought into a wrong state, the holder notices and sends an order again.
     Repair,
 }
 
@@ -48,11 +49,11 @@
 struct Order {
     fencing: u8,
     revision: u8,
-    /// Counts the holders whatever their numbers; nobody in the system sees it.
+    /// Counts the holders independently of fencing numbers; known only to the specification.
     epoch: u8,
 }
 
-/// A lease as its holder knows it.
+/// A lease from the view of its holder.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 struct Lease {
     fencing: u8,
@@ -60,7 +61,8 @@
     ticks_left: u8,
 }
 
-/// A request for the lease: what will be left of it, and its number and epoch once it has arrived.
+/// A request for the lease: the ticks that will remain of it, and once the request has arrived
+/// either the fencing number and epoch or `None` if another node holds the lease.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 struct LeaseRequest {
     ticks_left: u8,
@@ -72,7 +74,7 @@
     revision: u8,
     request: Option<LeaseRequest>,
     lease: Option<Lease>,
-    /// An order that is decided and not sent.
+    /// Order that is decided but not sent yet.
     pending_order: Option<Order>,
     last: Option<Order>,
 }
@@ -81,14 +83,14 @@
 struct SystemState {
     ticks: u8,
     sent_count: u8,
-    /// The holder, its number and the ticks left, as the service sees it.
+    /// Holder, its fencing number and the remaining ticks, from the view of the service.
     holder: Option<(usize, u8, u8)>,
     newest_fencing: u8,
     epoch_count: u8,
     nodes: [Node; 2],
     in_flight: Vec<Order>,
     engine: Order,
-    /// The last holder that the engine ever followed.
+    /// Highest epoch whose order the engine ever accepted.
     newest_epoch_followed: u8,
     followed_older_holder: bool,
     sent_without_lease: bool,
@@ -116,7 +118,7 @@
         next
     }
 
-    /// The request for a lease arrives: it renews the asker's, or makes a new one if there is none.
+    /// Processes a lease request: renews the requester's lease, or grants one if there is none.
     fn receive_request(&self, state: &mut SystemState, index: usize) {
         let number = match state.holder {
             Some((node, fencing, _)) if node == index => Some(fencing),
@@ -156,7 +158,7 @@
         });
     }
 
-    /// What the holder would order after it read the engine back.
+    /// Returns the order that the holder would send after reading the engine.
     fn decide(&self, node: &Node, engine: Order) -> Option<Order> {
         let lease = node.lease?;
         let order = Order {
@@ -210,7 +212,7 @@
         let node = &state.nodes[index];
         match node.request {
             None if node.lease.is_some_and(|lease| lease.ticks_left == TTL) => {}
-            None => step("asks for the lease", &|w| {
+            None => step("requests the lease", &|w| {
                 w.nodes[index].request = Some(LeaseRequest {
                     ticks_left: TTL,
                     outcome: None,
@@ -219,7 +221,7 @@
             Some(LeaseRequest { outcome: None, .. }) => {
                 step("lease request arrives", &|w| self.receive_request(w, index));
             }
-            Some(_) => step("gets its answer", &|w| {
+            Some(_) => step("receives the response", &|w| {
                 self.receive_response(&mut w.nodes[index]);
             }),
         }
@@ -238,12 +240,13 @@
             step("sends its order", &|w| self.send(w, index));
         }
         if node.revision < 2 {
-            step("gets revision 2", &|w| w.nodes[index].revision = 2);
+            step("receives revision 2", &|w| w.nodes[index].revision = 2);
         }
         steps
     }
 
-    /// With nothing under way, a holder that has the newest text orders whatever is wrong.
+    /// Whether a holder with the newest configuration, with no order pending or in flight, sends an
+    /// order if the engine has another revision.
     fn repairs(&self, state: &SystemState) -> bool {
         let Some((index, fencing, _)) = state.holder else {
             return true;
@@ -316,7 +319,7 @@
                 Err("the engine followed an older holder".to_owned())
             }
             Property::Repair if !self.repairs(state) => {
-                Err("the holder leaves the engine wrong".to_owned())
+                Err("the holder does not repair the engine".to_owned())
             }
             Property::NoRegress | Property::Repair => Ok(()),
         }
@@ -334,7 +337,7 @@
 }
 
 fn find_counterexample(spec: &LeaseSpec) -> Counterexample {
-    let counterexample = explore(spec, MAX_STATES).expect_err("must be found");
+    let counterexample = explore(spec, MAX_STATES).expect_err("no counterexample found");
     assert!(!counterexample.steps.is_empty(), "{counterexample}");
     println!(
         "{:?}, fencing {}: {counterexample}",
@@ -367,8 +370,8 @@
     verify(&lease_spec(Fault::None, false, Property::Repair));
 }
 
-// This is the limit that docs/PLACEMENT.md states: an order that was sent in time and arrives late
-// is followed by an engine that does not check.
+// The limitation that docs/PLACEMENT.md describes: an engine that does not check fencing numbers
+// accepts an order that was sent in time but arrives late.
 #[test]
 fn engines_that_ignore_fencing_may_follow_an_older_holder_for_a_while() {
     let counterexample = find_counterexample(&lease_spec(Fault::None, false, Property::NoRegress));
@@ -376,7 +379,7 @@
 }
 
 #[test]
-fn each_fault_violates_its_property() {
+fn each_fault_is_detected() {
     let faults = [
         (Fault::LeaseCheckedOnDecision, true, Property::NoRegress),
         (Fault::ClockStopsWhilePaused, true, Property::NoRegress),
