--- a/crates/oatdale-mesh/src/addresses.rs
+++ b/crates/oatdale-mesh/src/addresses.rs
@@ -1,30 +1,30 @@
-//! Which addresses a caller should use.
+//! Selects the node addresses that a caller should use.
 
 use crate::rank;
 use crate::types::{PeerState, PeerView};
 use std::net::SocketAddr;
 
-/// Load from which on a node counts as one tier farther away.
-const CROWDED: f32 = 0.9;
-/// The least spare capacity that a weight stands for, so that a full node still gets some.
-const LEAST_SPARE: f32 = 0.05;
+/// Load at or above which a node is ranked one tier farther away.
+const HIGH_LOAD: f32 = 0.9;
+/// Minimum spare capacity that a weight is computed from, so that a full node still gets some
+/// requests.
+const MIN_SPARE: f32 = 0.05;
 
-/// One address for a caller.
+/// A node address offered to a caller.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Address {
-    /// Where to connect.
+    /// Address that the caller connects to.
     pub address: SocketAddr,
-    /// How much of a caller's work should go there, from 1 to 100, among addresses that are
-    /// equally near.
+    /// Relative share of the caller's requests, from 1 to 100, among addresses of the same tier.
     pub weight: u32,
 }
 
-/// Chooses at most `count` addresses for a caller in failure domain `domain`, best first.
+/// Selects at most `count` addresses for a caller in failure domain `domain`, best first.
 ///
 /// Nodes of the caller's failure domain come first, then those of its region, then the rest.
-/// Within a tier the order is random with weight by spare capacity, so that callers spread;
-/// `seed` should differ from caller to caller. Nodes that are leaving, suspected or not accepting
-/// are never in it. The answering node must put a view of itself into `peers`.
+/// Within a tier the order is random, weighted by spare capacity, so that callers spread over the
+/// nodes; `seed` should differ between callers. Nodes that are leaving, suspected or not accepting
+/// are never returned. The calling node must include a view of itself in `peers`.
 ///
 /// # Examples
 ///
@@ -61,7 +61,7 @@
     let mut ranked: Vec<(u8, f64, Address)> = peers
         .iter()
         .filter(|p| p.accepting && p.state == PeerState::Alive)
-        .map(|p| (tier(p, domain, region), key(p, seed), entry(p)))
+        .map(|p| (tier(p, domain, region), sort_key(p, seed), to_address(p)))
         .collect();
     ranked.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
     ranked.truncate(count);
@@ -69,27 +69,28 @@
 }
 
 fn tier(peer: &PeerView, domain: &str, region: Option<&str>) -> u8 {
-    let near = match peer {
+    let distance = match peer {
         p if p.domain == domain => 0,
         p if Some(p.region.as_str()) == region => 1,
         _ => 2,
     };
-    near + u8::from(peer.load >= CROWDED)
+    distance + u8::from(peer.load >= HIGH_LOAD)
 }
 
-fn spare(peer: &PeerView) -> f32 {
-    (1.0 - peer.load).clamp(LEAST_SPARE, 1.0)
+fn spare_capacity(peer: &PeerView) -> f32 {
+    (1.0 - peer.load).clamp(MIN_SPARE, 1.0)
 }
 
-/// A draw for weighted sampling without replacement: the least `-ln(u) / weight` comes first.
-fn key(peer: &PeerView, seed: u64) -> f64 {
+/// Returns the key for weighted sampling without replacement: the lowest `-ln(u) / weight` comes
+/// first.
+fn sort_key(peer: &PeerView, seed: u64) -> f64 {
     let host = crate::types::HostId::of(&peer.host);
-    let draw = (rank::score(host, seed) >> 11) as f64 / (1u64 << 53) as f64;
-    -draw.max(f64::MIN_POSITIVE).ln() / f64::from(spare(peer))
+    let uniform = (rank::score(host, seed) >> 11) as f64 / (1u64 << 53) as f64;
+    -uniform.max(f64::MIN_POSITIVE).ln() / f64::from(spare_capacity(peer))
 }
 
-fn entry(peer: &PeerView) -> Address {
-    let weight = (spare(peer) * 100.0).round() as u32;
+fn to_address(peer: &PeerView) -> Address {
+    let weight = (spare_capacity(peer) * 100.0).round() as u32;
     Address {
         address: peer.caller,
         weight,
--- a/crates/oatdale-mesh/src/wire/record.rs
+++ b/crates/oatdale-mesh/src/wire/record.rs
@@ -3,24 +3,24 @@
 use crate::types::HostId;
 use bytes::Bytes;
 
-/// A held record.
+/// A record held for another node.
 #[derive(Clone, PartialEq, Eq, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(from = "RecordWire", into = "RecordWire")]
 pub(crate) struct Record {
     pub(crate) id: u128,
-    /// The host whose request it is.
+    /// Host that owns the record.
     pub(crate) owner: HostId,
-    /// That host's incarnation.
+    /// Incarnation of the owner.
     pub(crate) incarnation: u64,
-    /// The owner's count of records; the higher replaces the lower of the same id.
+    /// Sequence number assigned by the owner; of two records with the same id the higher one wins.
     pub(crate) seq: u64,
-    /// The other holder, 0 for none.
+    /// Host id of the other holder, 0 for none.
     pub(crate) other: u64,
     pub(crate) record: Bytes,
 }
 
 type RecordWire = (u128, HostId, u64, u64, u64, Bytes);
-tuple_form!(Record {
+tuple_conversions!(Record {
     id: u128,
     owner: HostId,
     incarnation: u64,
@@ -29,7 +29,7 @@
     record: Bytes,
 });
 
-/// Names a held record.
+/// Identifies a held record.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(from = "HeldIdWire", into = "HeldIdWire")]
 pub(crate) struct HeldId {
@@ -40,7 +40,7 @@
 }
 
 type HeldIdWire = (HostId, u64, u128, u64);
-tuple_form!(HeldId {
+tuple_conversions!(HeldId {
     owner: HostId,
     incarnation: u64,
     id: u128,
--- a/crates/oatdale-placement/src/lease.rs
+++ b/crates/oatdale-placement/src/lease.rs
@@ -1,94 +1,94 @@
-//! The right to place a pool: a key at the service under a lease.
+//! The lease that entitles a node to place a pool: a key in the key-value service with a TTL.
 //!
-//! The key's revision is the fencing number: it rises with every new holder. The holder counts its
-//! lease from before it asked, on a clock that counts pauses, so its own count never ends later
-//! than the service's.
+//! The revision of the key is the fencing number; it rises with every new holder. The holder counts
+//! the TTL from before it sent its request, on a clock that includes pauses of the process, so that
+//! the lease never expires later for the holder than for the service.
 
 use crate::PauseClock;
 use bytes::Bytes;
 use oatdale_platform::{Condition, Kv, KvError, LeaseId, ModRevision, Put};
 use std::time::Duration;
 
-/// A lease as its holder knows it.
+/// A lease from the view of its holder.
 #[derive(Clone, Debug)]
 pub(crate) struct Lease {
     id: LeaseId,
-    /// The fencing number.
+    /// Fencing number.
     pub(crate) fencing: u64,
     ttl: Duration,
-    /// When it ends at the latest, on the holder's clock.
-    until: Duration,
+    /// Latest time at which the lease expires, on the holder's clock.
+    expires_at: Duration,
 }
 
-/// What became of an attempt to take the lease.
+/// The result of an attempt to acquire the lease.
 #[derive(Debug)]
-pub(crate) enum Taken {
-    /// This process holds it.
-    Held(Lease),
-    /// Another one does; its key has this revision.
-    Other(ModRevision),
+pub(crate) enum Acquisition {
+    /// This process holds the lease.
+    Acquired(Lease),
+    /// Another process holds the lease; the key has this revision.
+    HeldByOther(ModRevision),
 }
 
 impl Lease {
-    /// Tries to become the holder of `key`. `token` must never have been used before.
-    pub(crate) async fn take(
+    /// Tries to acquire the lease on `key`. `token` must never have been used before.
+    pub(crate) async fn acquire(
         kv: &impl Kv,
         key: &str,
         token: &str,
         ttl: Duration,
         clock: &PauseClock,
-    ) -> oatdale_platform::Result<Taken> {
+    ) -> oatdale_platform::Result<Acquisition> {
         if let Some(entry) = kv.get(key).await? {
-            return Ok(Taken::Other(entry.revision));
+            return Ok(Acquisition::HeldByOther(entry.revision));
         }
-        let until = clock() + ttl;
+        let expires_at = clock() + ttl;
         let id = kv.grant(ttl).await?;
         let value = Bytes::copy_from_slice(token.as_bytes());
         let lease = |fencing: ModRevision| Lease {
             id,
             fencing: fencing.0,
             ttl,
-            until,
+            expires_at,
         };
         match kv.put(key, value, Condition::Absent, Some(id)).await {
-            Ok(Put::Stored(revision)) => Ok(Taken::Held(lease(revision))),
+            Ok(Put::Stored(revision)) => Ok(Acquisition::Acquired(lease(revision))),
             Ok(Put::Conflict(revision)) => {
-                // Nobody uses the grant; it lapses by itself if this fails.
+                // The granted lease is unused; it expires by itself if this fails.
                 let _ = kv.revoke(id).await;
-                Ok(Taken::Other(revision.unwrap_or_default()))
+                Ok(Acquisition::HeldByOther(revision.unwrap_or_default()))
             }
-            // The key may be this process's: its token tells. If it is not there yet it may still
-            // come, and then it lapses with its lease, since nobody renews it.
+            // The write may have succeeded, which the token in the key shows. If the key does not
+            // exist yet it may still appear; it then expires with its lease, which nobody renews.
             Err(KvError::Unknown { message }) => match kv.get(key).await? {
                 Some(entry) if entry.value == token.as_bytes() => {
-                    Ok(Taken::Held(lease(entry.revision)))
+                    Ok(Acquisition::Acquired(lease(entry.revision)))
                 }
-                Some(entry) => Ok(Taken::Other(entry.revision)),
+                Some(entry) => Ok(Acquisition::HeldByOther(entry.revision)),
                 None => Err(KvError::Unavailable { message }),
             },
             Err(error) => Err(error),
         }
     }
 
-    /// Renews the lease; an error leaves it as it was.
+    /// Renews the lease. On an error the expiry time stays unchanged.
     pub(crate) async fn renew(
         &mut self,
         kv: &impl Kv,
         clock: &PauseClock,
     ) -> oatdale_platform::Result<()> {
-        let asked = clock();
+        let requested_at = clock();
         kv.renew(self.id).await?;
-        self.until = asked + self.ttl;
+        self.expires_at = requested_at + self.ttl;
         Ok(())
     }
 
-    /// How much is left for certain.
-    pub(crate) fn left(&self, clock: &PauseClock) -> Duration {
-        self.until.saturating_sub(clock())
+    /// Returns the time for which the lease is certainly still valid.
+    pub(crate) fn remaining(&self, clock: &PauseClock) -> Duration {
+        self.expires_at.saturating_sub(clock())
     }
 
-    /// Gives the lease back, so that another node need not wait until it lapses.
-    pub(crate) async fn give_back(self, kv: &impl Kv) -> oatdale_platform::Result<()> {
+    /// Revokes the lease, so that another node need not wait until it expires.
+    pub(crate) async fn release(self, kv: &impl Kv) -> oatdale_platform::Result<()> {
         kv.revoke(self.id).await
     }
 }
