--- a/crates/oatdale-mesh/examples/slopes.rs
+++ b/crates/oatdale-mesh/examples/slopes.rs
@@ -18,50 +18,50 @@
 use std::time::{Duration, Instant};
 
 /// 7,000 changes a day.
-const CHANGE: Duration = Duration::from_millis(12_343);
+const CHANGE_INTERVAL: Duration = Duration::from_millis(12_343);
 const WARM_UP: Duration = Duration::from_secs(45);
-const MEASURED: Duration = Duration::from_secs(124);
+const MEASURED_SPAN: Duration = Duration::from_secs(124);
 const CUSTOMERS: usize = 10;
 /// Versions whose evidence is shared at a time: one roll-out with its predecessor.
-const ROLLING: usize = 2;
+const ROLLOUT_VERSIONS: usize = 2;
 
 fn main() {
-    let part = std::env::args().nth(1);
-    let only = std::env::args()
+    let section = std::env::args().nth(1);
+    let only_hosts = std::env::args()
         .nth(2)
         .and_then(|n| n.parse::<usize>().ok());
-    if part.is_none() || part.as_deref() == Some("core") {
-        core_table(only);
+    if section.is_none() || section.as_deref() == Some("core") {
+        core_table(only_hosts);
     }
-    if part.is_none() || part.as_deref() == Some("rest") {
-        bills();
-        outages();
+    if section.is_none() || section.as_deref() == Some("rest") {
+        print_hold_cost();
+        print_outage_latencies();
     }
-    if part.is_none() || part.as_deref() == Some("sockets") {
-        sockets_table(only);
+    if section.is_none() || section.as_deref() == Some("sockets") {
+        sockets_table(only_hosts);
     }
 }
 
 /// A text of about 60 KB with one line that changes.
-fn text(change: u64) -> Bytes {
-    let mut text = String::from("endpoints:\n");
+fn config_text(change_number: u64) -> Bytes {
+    let mut config_text = String::from("endpoints:\n");
     for i in 0..1000 {
         if i == 500 {
-            text += &format!("  # change {change}\n");
+            config_text += &format!("  # change {change_number}\n");
         }
-        text += &format!(
+        config_text += &format!(
             "  - {{name: worker-{i}, address: 10.1.{}.{}:8000}}\n",
             i / 250,
             i % 250
         );
     }
-    text.into()
+    config_text.into()
 }
 
-fn core_table(only: Option<usize>) {
+fn core_table(only_hosts: Option<usize>) {
     println!(
         "pure core, counted clock, {} s, a change every 12.3 s",
-        MEASURED.as_secs()
+        MEASURED_SPAN.as_secs()
     );
     println!(
         "{:>5} {:>7} {:>6} {:>9} {:>9} {:>9} {:>8} {:>9} {:>8} {:>9} {:>9} {:>9}",
@@ -87,37 +87,38 @@
         (16, 128),
         (16, 360),
     ] {
-        if only.is_none_or(|n| n == hosts) {
+        if only_hosts.is_none_or(|n| n == hosts) {
             core_row(domains, hosts);
         }
     }
 }
 
 fn core_row(domains: usize, hosts: usize) {
-    let before = resident();
-    let mut fleet = Fleet::of(1, domains, hosts);
+    let before = resident_bytes();
+    let mut fleet = Fleet::with_hosts(1, domains, hosts);
     for i in 0..hosts {
         let seeds: Vec<SocketAddr> = fleet
             .seeds()
             .into_iter()
             .step_by(hosts.div_ceil(8))
             .collect();
-        fleet.start_with(i, seeds);
+        fleet.start_with_seeds(i, seeds);
         fleet.run(ms(5));
     }
-    work(&mut fleet, WARM_UP);
+    apply_load(&mut fleet, WARM_UP);
     assert!(fleet.views_agree(), "{}", fleet.disagreement());
-    fleet.clocked = true;
+    fleet.measure_processing = true;
     for node in &mut fleet.nodes {
         (node.sent_bytes, node.sent_frames, node.received_bytes) = (0, 0, 0);
-        node.busy = Duration::ZERO;
+        node.processing_time = Duration::ZERO;
     }
-    let mut spread = work(&mut fleet, MEASURED);
-    spread.sort_unstable();
-    let span = MEASURED.as_secs_f64();
+    let mut latencies = apply_load(&mut fleet, MEASURED_SPAN);
+    latencies.sort_unstable();
+    let span = MEASURED_SPAN.as_secs_f64();
     let count = hosts as f64;
-    let sum = |f: fn(&in_memory::fleet::Slot) -> f64| fleet.nodes.iter().map(f).sum::<f64>();
-    let max = |f: fn(&in_memory::fleet::Slot) -> f64| fleet.nodes.iter().map(f).fold(0.0, f64::max);
+    let sum = |f: fn(&in_memory::fleet::SimNode) -> f64| fleet.nodes.iter().map(f).sum::<f64>();
+    let max =
+        |f: fn(&in_memory::fleet::SimNode) -> f64| fleet.nodes.iter().map(f).fold(0.0, f64::max);
     let links = sum(|n| n.member.as_ref().map_or(0, |m| m.linked().count()) as f64) / count;
     println!(
         "{hosts:>5} {domains:>7} {links:>6.1} {:>9.0} {:>9.0} {:>9.0} {:>8.1} {:>9.0} {:>8.0} {:>9.0} {:>9} {:>9}",
@@ -125,58 +126,61 @@
         max(|n| n.sent_bytes as f64) / span,
         sum(|n| n.received_bytes as f64) / count / span,
         sum(|n| n.sent_frames as f64) / count / span,
-        sum(|n| n.busy.as_secs_f64()) * 1e6 / count / span,
-        max(|n| n.busy.as_secs_f64()) * 1e6 / span,
-        (resident().saturating_sub(before)) as f64 / 1024.0 / count,
-        spread[spread.len() / 2].as_millis(),
-        spread[spread.len() - 1].as_millis(),
+        sum(|n| n.processing_time.as_secs_f64()) * 1e6 / count / span,
+        max(|n| n.processing_time.as_secs_f64()) * 1e6 / span,
+        (resident_bytes().saturating_sub(before)) as f64 / 1024.0 / count,
+        latencies[latencies.len() / 2].as_millis(),
+        latencies[latencies.len() - 1].as_millis(),
     );
 }
 
 /// Load, demand and evidence change every second, the configuration every 12.3 s. Returns how
 /// long each change took to be in force everywhere.
-fn work(fleet: &mut Fleet, span: Duration) -> Vec<Duration> {
+fn apply_load(fleet: &mut Fleet, span: Duration) -> Vec<Duration> {
     let end = fleet.now + span;
-    let mut spread = Vec::new();
+    let mut latencies = Vec::new();
     let mut next_change = fleet.now;
     while fleet.now < end {
         for i in 0..fleet.nodes.len() {
             let local = local_state(fleet, i);
             fleet.nodes[i].app.local = local;
-            fleet.tell_local(i);
+            fleet.send_local_state(i);
         }
-        let mut left = Duration::from_secs(1);
+        let mut remaining = Duration::from_secs(1);
         if fleet.now >= next_change {
-            next_change += CHANGE;
-            let revision = fleet.write(text(fleet.platform.revision));
-            let took = fleet.run_until(left, |f| f.all_hold(revision));
-            spread.push(took.unwrap_or(Duration::MAX));
-            left -= took.unwrap_or(left);
+            next_change += CHANGE_INTERVAL;
+            let revision = fleet.write_config(config_text(fleet.platform.revision));
+            let elapsed_time = fleet.run_until(remaining, |f| f.all_at_revision(revision));
+            latencies.push(elapsed_time.unwrap_or(Duration::MAX));
+            remaining -= elapsed_time.unwrap_or(remaining);
         }
-        fleet.run(left);
+        fleet.run(remaining);
     }
-    spread
+    latencies
 }
 
 fn local_state(fleet: &mut Fleet, i: usize) -> LocalState {
     let mut local = fleet.nodes[i].app.local.clone();
     let share = 1.0 / fleet.nodes.len() as f32;
-    local.load = fleet.random(100) as f32 / 100.0;
+    local.load = fleet.random_below(100) as f32 / 100.0;
     local.demand = (0..CUSTOMERS)
         .map(|c| {
             (
                 name_hash(&format!("customer-{c}")),
-                share * fleet.random(100) as f32 / 50.0,
+                share * fleet.random_below(100) as f32 / 50.0,
             )
         })
         .collect();
-    local.evidence = (0..ROLLING)
+    local.evidence = (0..ROLLOUT_VERSIONS)
         .map(|v| {
-            let old = local
+            let previous = local
                 .evidence
                 .get(v)
                 .map_or(vec![0; 5], |e| e.counts.clone());
-            let counts = old.into_iter().map(|c| c + fleet.random(10)).collect();
+            let counts = previous
+                .into_iter()
+                .map(|c| c + fleet.random_below(10))
+                .collect();
             VersionCounters {
                 version: name_hash(&format!("planner/{v}")),
                 counts,
@@ -187,70 +191,73 @@
 }
 
 /// What a held and released bill costs besides, at today's size.
-fn bills() {
+fn print_hold_cost() {
     let mut fleet = Fleet::new(1, 3, 3);
     fleet.start_all();
     fleet.run(Duration::from_secs(30));
-    let idle = {
-        let before = fleet.tally.bytes;
+    let idle_bytes = {
+        let before = fleet.stats.bytes;
         fleet.run(Duration::from_secs(30));
-        fleet.tally.bytes - before
+        fleet.stats.bytes - before
     };
-    let (before, frames) = (fleet.tally.bytes, fleet.tally.frames);
+    let (before, frames) = (fleet.stats.bytes, fleet.stats.frames);
     let count = 300;
     for id in 0..count {
         let record = Bytes::from(vec![7; 120]);
-        fleet.input(0, Input::Hold { id, record });
+        fleet.deliver_input(0, Input::Hold { id, record });
         fleet.run(ms(80));
-        fleet.input(0, Input::Release(vec![id]));
+        fleet.deliver_input(0, Input::Release(vec![id]));
         fleet.run(ms(20));
     }
-    let cost = (fleet.tally.bytes - before).saturating_sub(idle) as f64 / count as f64;
-    let frames = fleet.tally.frames - frames;
+    let bytes_per_hold =
+        (fleet.stats.bytes - before).saturating_sub(idle_bytes) as f64 / count as f64;
+    let frames = fleet.stats.frames - frames;
     println!(
-        "\na bill of 120 bytes, held by two and released: {cost:.0} bytes on all links together"
+        "\na bill of 120 bytes, held by two and released: {bytes_per_hold:.0} bytes on all links together"
     );
     println!("({frames} frames in 30 s with {count} bills, heartbeats included)\n");
 }
 
 /// How long a change takes at today's size when one node alone reaches the service, from the
 /// moment at which the others fail to, and once that node is found.
-fn outages() {
-    for (name, settle) in [("just now", ms(0)), ("10 s ago", Duration::from_secs(10))] {
-        let mut spread: Vec<Duration> = (0..20).map(|seed| outage(seed, settle)).collect();
-        spread.sort_unstable();
+fn print_outage_latencies() {
+    for (name, settle_time) in [("just now", ms(0)), ("10 s ago", Duration::from_secs(10))] {
+        let mut latencies: Vec<Duration> = (0..20)
+            .map(|seed| outage_latency(seed, settle_time))
+            .collect();
+        latencies.sort_unstable();
         println!(
             "9 nodes, service lost to all but one {name}: median {} ms, worst {} ms, 20 seeds",
-            spread[10].as_millis(),
-            spread[19].as_millis()
+            latencies[10].as_millis(),
+            latencies[19].as_millis()
         );
     }
     println!();
 }
 
-fn outage(seed: u64, settle: Duration) -> Duration {
+fn outage_latency(seed: u64, settle_time: Duration) -> Duration {
     let mut fleet = Fleet::new(seed, 3, 3);
     fleet.start_all();
     fleet.run(Duration::from_secs(10));
-    fleet.write(text(0));
+    fleet.write_config(config_text(0));
     fleet.run(Duration::from_secs(5));
-    let only = fleet.random(9) as usize;
-    fleet.service_for(|i| i == only);
-    fleet.run(settle);
-    let revision = fleet.write(text(1));
+    let only_hosts = fleet.random_below(9) as usize;
+    fleet.set_service_reachable(|i| i == only_hosts);
+    fleet.run(settle_time);
+    let revision = fleet.write_config(config_text(1));
     fleet
-        .run_until(Duration::from_secs(60), |f| f.all_hold(revision))
+        .run_until(Duration::from_secs(60), |f| f.all_at_revision(revision))
         .unwrap_or(Duration::MAX)
 }
 
-fn sockets_table(only: Option<usize>) {
+fn sockets_table(only_hosts: Option<usize>) {
     println!("duty over loopback sockets, all nodes on one thread, 30 s");
     println!(
         "{:>5} {:>7} {:>13} {:>9} {:>9} {:>9} {:>9}",
         "nodes", "domains", "CPU us/s/node", "KB/node", "median ms", "worst ms", "whole ms"
     );
     for (domains, hosts) in [(4, 8), (3, 9), (4, 16), (8, 32), (8, 64)] {
-        if only.is_some_and(|n| n != hosts) {
+        if only_hosts.is_some_and(|n| n != hosts) {
             continue;
         }
         let runtime = tokio::runtime::Builder::new_current_thread()
@@ -263,55 +270,55 @@
 }
 
 async fn sockets_row(domains: usize, hosts: usize) {
-    let before = resident();
+    let before = resident_bytes();
     let mut nodes: Vec<sockets::Node> = Vec::new();
     for i in 0..hosts {
         let seeds: Vec<SocketAddr> = nodes.iter().take(3).map(|n| n.address).collect();
-        let mut cfg = sockets::settings(
+        let mut cfg = sockets::mesh_config(
             &format!("host-{i}"),
             &format!("hall-{}", i % domains),
             &seeds,
         );
         cfg.intervals = Intervals::default();
-        nodes.push(sockets::start_with(cfg));
+        nodes.push(sockets::start_with_config(cfg));
     }
-    drain(&mut nodes, Duration::from_secs(10)).await;
-    let memory = resident().saturating_sub(before);
-    let mut spread = Vec::new();
-    let whole = change(&mut nodes, 1).await;
-    drain(&mut nodes, Duration::from_secs(5)).await;
+    drain_events(&mut nodes, Duration::from_secs(10)).await;
+    let memory_bytes = resident_bytes().saturating_sub(before);
+    let mut latencies = Vec::new();
+    let full_document = propagate_change(&mut nodes, 1).await;
+    drain_events(&mut nodes, Duration::from_secs(5)).await;
     let (start, cpu) = (Instant::now(), processor_time());
     for revision in 2..=8 {
-        spread.push(change(&mut nodes, revision).await);
-        drain(&mut nodes, Duration::from_secs(4)).await;
+        latencies.push(propagate_change(&mut nodes, revision).await);
+        drain_events(&mut nodes, Duration::from_secs(4)).await;
     }
-    let busy = (processor_time() - cpu).as_secs_f64() / start.elapsed().as_secs_f64();
-    spread.sort_unstable();
+    let cpu_fraction = (processor_time() - cpu).as_secs_f64() / start.elapsed().as_secs_f64();
+    latencies.sort_unstable();
     println!(
         "{hosts:>5} {domains:>7} {:>13.0} {:>9.0} {:>9} {:>9} {:>9}",
-        busy * 1e6 / hosts as f64,
-        memory as f64 / 1024.0 / hosts as f64,
-        spread[spread.len() / 2].as_millis(),
-        spread[spread.len() - 1].as_millis(),
-        whole.as_millis(),
+        cpu_fraction * 1e6 / hosts as f64,
+        memory_bytes as f64 / 1024.0 / hosts as f64,
+        latencies[latencies.len() / 2].as_millis(),
+        latencies[latencies.len() - 1].as_millis(),
+        full_document.as_millis(),
     );
 }
 
 /// Gives a change to one node and waits until every other one has it.
-async fn change(nodes: &mut [sockets::Node], revision: u64) -> Duration {
+async fn propagate_change(nodes: &mut [sockets::Node], revision: u64) -> Duration {
     let start = Instant::now();
-    let document = text(revision);
+    let document = config_text(revision);
     let adopted = Command::Adopted { revision, document };
     nodes[0].tx.send(adopted).await.expect("the duty runs");
     for node in &mut nodes[1..] {
-        let document = node.document(revision).await;
+        let document = node.wait_for_document(revision).await;
         let adopted = Command::Adopted { revision, document };
         node.tx.send(adopted).await.expect("the duty runs");
     }
     start.elapsed()
 }
 
-async fn drain(nodes: &mut [sockets::Node], span: Duration) {
+async fn drain_events(nodes: &mut [sockets::Node], span: Duration) {
     let end = Instant::now() + span;
     while Instant::now() < end {
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -324,9 +331,9 @@
 }
 
 /// Resident memory of this process in bytes.
-fn resident() -> usize {
-    let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    let pages = text
+fn resident_bytes() -> usize {
+    let config_text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
+    let pages = config_text
         .split_whitespace()
         .nth(1)
         .and_then(|p| p.parse::<usize>().ok());
@@ -335,8 +342,8 @@
 
 /// Processor time of this process, from the kernel in hundredths of a second.
 fn processor_time() -> Duration {
-    let text = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
-    let after = text.rsplit_once(')').map_or("", |(_, rest)| rest);
+    let config_text = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
+    let after = config_text.rsplit_once(')').map_or("", |(_, rest)| rest);
     let ticks = after
         .split_whitespace()
         .skip(11)
--- a/crates/oatdale-mesh/tests/addresses.rs
+++ b/crates/oatdale-mesh/tests/addresses.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-fn view(n: u8, domain: &str, region: &str, load: f32) -> PeerView {
+fn peer_view(n: u8, domain: &str, region: &str, load: f32) -> PeerView {
     PeerView {
         host: format!("host-{n}"),
         domain: domain.to_owned(),
@@ -19,71 +19,80 @@
     }
 }
 
-fn host(address: SocketAddr) -> u8 {
+fn host_number(address: SocketAddr) -> u8 {
     match address {
         SocketAddr::V4(a) => a.ip().octets()[3],
         SocketAddr::V6(_) => 0,
     }
 }
 
-fn order(peers: &[PeerView], domain: &str, seed: u64) -> Vec<u8> {
+fn ranked_hosts(peers: &[PeerView], domain: &str, seed: u64) -> Vec<u8> {
     addresses(peers, domain, 10, seed)
         .iter()
-        .map(|a| host(a.address))
+        .map(|a| host_number(a.address))
         .collect()
 }
 
 #[test]
 fn nearer_nodes_come_first() {
     let peers = [
-        view(1, "c", "north", 0.0),
-        view(2, "b", "south", 0.0),
-        view(3, "a", "south", 0.5),
+        peer_view(1, "c", "north", 0.0),
+        peer_view(2, "b", "south", 0.0),
+        peer_view(3, "a", "south", 0.5),
     ];
     for seed in 0..50 {
-        assert_eq!(order(&peers, "a", seed), [3, 2, 1]);
+        assert_eq!(ranked_hosts(&peers, "a", seed), [3, 2, 1]);
     }
 }
 
 /// A node has said that it stops, another is not heard of, a third has stopped accepting. A caller
 /// that keeps its answer for a while would run into a closed door.
 #[test]
-fn nodes_that_should_get_nobody_are_left_out() {
-    let mut peers = vec![view(1, "a", "south", 0.0); 4];
+fn leaving_suspected_and_non_accepting_nodes_are_excluded() {
+    let mut peers = vec![peer_view(1, "a", "south", 0.0); 4];
     for (n, peer) in peers.iter_mut().enumerate() {
-        *peer = view(n as u8 + 1, "a", "south", 0.0);
+        *peer = peer_view(n as u8 + 1, "a", "south", 0.0);
     }
     peers[1].state = PeerState::Left;
     peers[2].state = PeerState::Suspect;
     peers[3].accepting = false;
-    assert_eq!(order(&peers, "a", 7), [1]);
+    assert_eq!(ranked_hosts(&peers, "a", 7), [1]);
 }
 
 #[test]
 fn callers_spread_by_spare_capacity() {
-    let peers = [view(1, "a", "south", 0.75), view(2, "a", "south", 0.25)];
-    let first = (0..4000)
-        .filter(|seed| order(&peers, "a", *seed)[0] == 2)
+    let peers = [
+        peer_view(1, "a", "south", 0.75),
+        peer_view(2, "a", "south", 0.25),
+    ];
+    let ranked_first = (0..4000)
+        .filter(|seed| ranked_hosts(&peers, "a", *seed)[0] == 2)
         .count();
-    let share = first as f64 / 4000.0;
+    let share = ranked_first as f64 / 4000.0;
     assert!((share - 0.75).abs() < 0.03, "{share}");
 }
 
 /// All nodes of the caller's failure domain are full while the one next to it is idle. Sending
 /// everybody home would grow their queues.
 #[test]
-fn a_crowded_failure_domain_spills_over() {
-    let peers = [view(1, "a", "south", 0.95), view(2, "b", "south", 0.05)];
-    let first = (0..1000)
-        .filter(|seed| order(&peers, "a", *seed)[0] == 2)
+fn an_overloaded_failure_domain_spills_over() {
+    let peers = [
+        peer_view(1, "a", "south", 0.95),
+        peer_view(2, "b", "south", 0.05),
+    ];
+    let ranked_first = (0..1000)
+        .filter(|seed| ranked_hosts(&peers, "a", *seed)[0] == 2)
         .count();
-    assert!(first > 900, "{first}");
+    assert!(ranked_first > 900, "{ranked_first}");
 }
 
 #[test]
-fn a_caller_from_nowhere_gets_addresses_too() {
-    let peers = [view(1, "a", "south", 0.0), view(2, "b", "north", 0.0)];
-    assert_eq!(order(&peers, "elsewhere", 3).len(), 2);
+fn a_caller_in_an_unknown_failure_domain_gets_addresses() {
+    let peers = [
+        peer_view(1, "a", "south", 0.0),
+        peer_view(2, "b", "north", 0.0),
+    ];
+    assert_eq!(ranked_hosts(&peers, "elsewhere", 3).len(), 2);
     assert_eq!(addresses(&peers, "a", 1, 3).len(), 1);
     assert!(addresses(&[], "a", 5, 3).is_empty());
 }
--- a/crates/oatdale-mesh/tests/evidence.rs
+++ b/crates/oatdale-mesh/tests/evidence.rs
@@ -7,49 +7,49 @@
 use std::time::Duration;
 use support::fleet::{Fleet, ms};
 
-const LONG: Duration = Duration::from_secs(60);
-const VERSION: u32 = 9;
+const TIMEOUT: Duration = Duration::from_secs(60);
+const VERSION_HASH: u32 = 9;
 
-fn settled(seed: u64, domains: usize, each: usize) -> Fleet {
-    let mut fleet = Fleet::new(seed, domains, each);
+fn settled_fleet(seed: u64, domains: usize, hosts_per_domain: usize) -> Fleet {
+    let mut fleet = Fleet::new(seed, domains, hosts_per_domain);
     fleet.start_all();
     fleet
-        .run_until(LONG, Fleet::views_agree)
+        .run_until(TIMEOUT, Fleet::views_agree)
         .expect("all are seen");
     fleet.run(Duration::from_secs(5));
     fleet
 }
 
-fn count(fleet: &mut Fleet, i: usize, requests: u64, errors: u64) {
+fn report_counts(fleet: &mut Fleet, i: usize, requests: u64, errors: u64) {
     let counts = vec![requests, errors];
     fleet.nodes[i].app.local.evidence = vec![VersionCounters {
-        version: VERSION,
+        version: VERSION_HASH,
         counts,
     }];
-    fleet.tell_local(i);
+    fleet.send_local_state(i);
 }
 
-fn heard(fleet: &Fleet, i: usize) -> Vec<u64> {
+fn received_counts(fleet: &Fleet, i: usize) -> Vec<u64> {
     fleet.nodes[i]
         .app
         .evidence
-        .get(&VERSION)
+        .get(&VERSION_HASH)
         .cloned()
         .unwrap_or_default()
 }
 
 #[test]
-fn every_node_has_the_sum_of_all_others() {
-    for (domains, each) in [(3, 3), (4, 8)] {
-        let mut fleet = settled(1, domains, each);
-        let nodes = (domains * each) as u64;
-        for i in 0..domains * each {
-            count(&mut fleet, i, 100, 3);
+fn every_node_receives_the_sum_of_all_others() {
+    for (domains, hosts_per_domain) in [(3, 3), (4, 8)] {
+        let mut fleet = settled_fleet(1, domains, hosts_per_domain);
+        let nodes = (domains * hosts_per_domain) as u64;
+        for i in 0..domains * hosts_per_domain {
+            report_counts(&mut fleet, i, 100, 3);
         }
         fleet.run(Duration::from_secs(10));
-        for i in 0..domains * each {
+        for i in 0..domains * hosts_per_domain {
             assert_eq!(
-                heard(&fleet, i),
+                received_counts(&fleet, i),
                 [100 * (nodes - 1), 3 * (nodes - 1)],
                 "node {i}"
             );
@@ -60,47 +60,47 @@
 /// A version goes bad, and the node that saw most of its errors dies and returns with counters at
 /// zero. Were its errors forgotten, the version would look healthy again.
 #[test]
-fn what_a_dead_node_counted_still_counts() {
-    let mut fleet = settled(2, 3, 3);
-    count(&mut fleet, 0, 50, 40);
+fn counters_of_a_dead_node_stay_in_the_sums() {
+    let mut fleet = settled_fleet(2, 3, 3);
+    report_counts(&mut fleet, 0, 50, 40);
     fleet.run(Duration::from_secs(5));
     fleet.kill(0, true);
     fleet.run(Duration::from_secs(5));
     fleet.restart(0);
     fleet.run(Duration::from_secs(5));
-    count(&mut fleet, 0, 10, 1);
+    report_counts(&mut fleet, 0, 10, 1);
     fleet.run(Duration::from_secs(5));
-    assert!((1..9).all(|i| heard(&fleet, i) == [60, 41]));
+    assert!((1..9).all(|i| received_counts(&fleet, i) == [60, 41]));
     // The new process hears of what its predecessor counted from the others.
-    assert_eq!(heard(&fleet, 0), [50, 40]);
+    assert_eq!(received_counts(&fleet, 0), [50, 40]);
     assert!(
-        fleet.platform.broken.is_empty(),
+        fleet.platform.violations.is_empty(),
         "{:?}",
-        fleet.platform.broken
+        fleet.platform.violations
     );
 }
 
 /// A node stops a bad version while half of the fleet is cut off. When they meet again, none of
 /// that half may go on giving it new sessions.
 #[test]
-fn a_stop_reaches_nodes_that_were_cut_off_and_late_joiners() {
-    let mut fleet = settled(3, 3, 3);
+fn a_stop_reaches_partitioned_nodes_and_late_joiners() {
+    let mut fleet = settled_fleet(3, 3, 3);
     fleet.kill(8, false);
-    fleet.cut(|a, b| a.domain == 0 && b.domain != 0);
+    fleet.partition(|a, b| a.domain == 0 && b.domain != 0);
     let stop = Stop {
         version: "planner/2".into(),
         revision: 1,
         reason: "errors".into(),
     };
     fleet.nodes[1].app.local.stops = vec![stop];
-    fleet.tell_local(1);
+    fleet.send_local_state(1);
     fleet.run(ms(200));
-    let knows = |f: &Fleet, i: usize| i == 1 || f.nodes[i].app.stops.contains("planner/2");
-    assert!([1, 2, 4, 5, 7].into_iter().all(|i| knows(&fleet, i)));
-    assert!([0, 3, 6].into_iter().all(|i| !knows(&fleet, i)));
+    let has_stop = |f: &Fleet, i: usize| i == 1 || f.nodes[i].app.stops.contains("planner/2");
+    assert!([1, 2, 4, 5, 7].into_iter().all(|i| has_stop(&fleet, i)));
+    assert!([0, 3, 6].into_iter().all(|i| !has_stop(&fleet, i)));
     fleet.heal();
     fleet.restart(8);
     fleet
-        .run_until(LONG, |f| (0..9).all(|i| knows(f, i)))
+        .run_until(TIMEOUT, |f| (0..9).all(|i| has_stop(f, i)))
         .expect("all know");
 }
--- a/crates/oatdale-mesh/tests/history.rs
+++ b/crates/oatdale-mesh/tests/history.rs
@@ -11,20 +11,20 @@
 use oatdale_mesh::{HoldAck, Input};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use support::faults::Tally;
-use support::fleet::{Fleet, Slot, ms};
+use support::faults::RunStats;
+use support::fleet::{Fleet, SimNode, ms};
 
-const LONG: Duration = Duration::from_secs(90);
+const TIMEOUT: Duration = Duration::from_secs(90);
 const CUSTOMER: u32 = 42;
-const SHARE_BOUND: f32 = 1.1;
+const MAX_SHARE_SUM: f32 = 1.1;
 /// Within this time at most two hosts are lost: the stated bound of what bills survive.
 const LOSS_WINDOW: Duration = Duration::from_secs(20);
-const BOTH: HoldAck = HoldAck {
+const TWO_COPIES: HoldAck = HoldAck {
     copies: 2,
     wanted: 2,
 };
 
-fn seeds() -> Vec<u64> {
+fn history_seeds() -> Vec<u64> {
     let Ok(text) = std::env::var("OATDALE_SEEDS") else {
         return (0..12).chain([102]).collect();
     };
@@ -37,167 +37,168 @@
 }
 
 /// A request whose record was given to the mesh.
-struct Request {
+struct HeldRequest {
     owner: usize,
     /// Which life of the owner it belongs to.
-    life: usize,
+    generation: usize,
     record: Bytes,
 }
 
 struct History {
     fleet: Fleet,
     /// Lives that each node has had.
-    lives: Vec<usize>,
+    generations: Vec<usize>,
     /// Revisions that lives saw which are over.
-    revisions: Vec<(usize, Vec<u64>)>,
-    requests: BTreeMap<u128, Request>,
+    past_revisions: Vec<(usize, Vec<u64>)>,
+    requests: BTreeMap<u128, HeldRequest>,
     /// Not yet journalled by their owner.
-    open: BTreeSet<u128>,
+    unjournalled: BTreeSet<u128>,
     /// Confirmed by two holders, so the caller got its whole answer.
     answered: BTreeSet<u128>,
-    losses: Vec<Duration>,
-    greatest: f32,
+    loss_times: Vec<Duration>,
+    peak_sum: f32,
 }
 
 impl History {
     fn new(seed: u64) -> Self {
-        let shapes = [(3, 3), (3, 3), (2, 4), (4, 2), (4, 8)];
-        let (domains, each) = shapes[(seed % shapes.len() as u64) as usize];
-        let mut fleet = Fleet::new(seed, domains, each);
+        let fleet_shapes = [(3, 3), (3, 3), (2, 4), (4, 2), (4, 8)];
+        let (domains, hosts_per_domain) = fleet_shapes[(seed % fleet_shapes.len() as u64) as usize];
+        let mut fleet = Fleet::new(seed, domains, hosts_per_domain);
         fleet.start_all();
         fleet
-            .run_until(LONG, Fleet::views_agree)
+            .run_until(TIMEOUT, Fleet::views_agree)
             .expect("all are seen");
         for i in 0..fleet.nodes.len() {
             fleet.set_demand(i, vec![(CUSTOMER, 0.0)]);
         }
         fleet.run(Duration::from_secs(15));
-        fleet.write("change: 0\n");
+        fleet.write_config("change: 0\n");
         fleet.run(Duration::from_secs(2));
         History {
-            lives: vec![0; fleet.nodes.len()],
+            generations: vec![0; fleet.nodes.len()],
             fleet,
-            revisions: Vec::new(),
+            past_revisions: Vec::new(),
             requests: BTreeMap::new(),
-            open: BTreeSet::new(),
+            unjournalled: BTreeSet::new(),
             answered: BTreeSet::new(),
-            losses: Vec::new(),
-            greatest: 0.0,
+            loss_times: Vec::new(),
+            peak_sum: 0.0,
         }
     }
 
     fn step(&mut self) {
-        let span = ms(20 + self.fleet.random(200));
+        let span = ms(20 + self.fleet.random_below(200));
         self.fleet.run(span);
-        self.greatest = self.greatest.max(self.fleet.share_sum(CUSTOMER));
-        self.work();
-        match self.fleet.random(24) {
-            0 => self.lose(),
-            1 => self.restart(),
-            2 => self.pause(),
-            3 => self.cut(),
+        self.peak_sum = self.peak_sum.max(self.fleet.share_sum(CUSTOMER));
+        self.run_requests();
+        match self.fleet.random_below(24) {
+            0 => self.kill_random_node(),
+            1 => self.restart_random_node(),
+            2 => self.pause_or_resume(),
+            3 => self.partition_randomly(),
             4 => self.fleet.heal(),
-            5 => self.outage(),
-            6 => self.demand(),
-            7 => self.fleet.list_hosts(),
+            5 => self.change_service_reach(),
+            6 => self.change_demand(),
+            7 => self.fleet.publish_host_list(),
             8..12 => {
                 let revision = self.fleet.platform.revision;
-                self.fleet.write(format!("change: {revision}\n"));
+                self.fleet.write_config(format!("change: {revision}\n"));
             }
             _ => {}
         }
     }
 
     /// Requests end: their bills are held, and some time later journalled by their node.
-    fn work(&mut self) {
+    fn run_requests(&mut self) {
         for owner in self.running() {
-            if self.fleet.random(3) == 0 {
+            if self.fleet.random_below(3) == 0 {
                 let id = self.requests.len() as u128 + 1;
                 let record = Bytes::from(format!("closed by {owner}"));
-                self.fleet.input(
+                self.fleet.deliver_input(
                     owner,
                     Input::Hold {
                         id,
                         record: record.clone(),
                     },
                 );
-                let life = self.lives[owner];
+                let generation = self.generations[owner];
                 self.requests.insert(
                     id,
-                    Request {
+                    HeldRequest {
                         owner,
-                        life,
+                        generation,
                         record,
                     },
                 );
-                self.open.insert(id);
+                self.unjournalled.insert(id);
             }
         }
-        self.collect();
-        for id in self.open.clone() {
-            let Request { owner, record, .. } = &self.requests[&id];
+        self.collect_answered();
+        for id in self.unjournalled.clone() {
+            let HeldRequest { owner, record, .. } = &self.requests[&id];
             let (owner, record) = (*owner, record.clone());
             let acked = self.fleet.nodes[owner].app.acks.contains_key(&id);
-            if acked && !self.fleet.nodes[owner].paused && self.fleet.random(20) == 0 {
-                self.fleet.journal(owner, id, &record);
-                self.open.remove(&id);
+            if acked && !self.fleet.nodes[owner].paused && self.fleet.random_below(20) == 0 {
+                self.fleet.append_to_journal(owner, id, &record);
+                self.unjournalled.remove(&id);
             }
         }
     }
 
-    fn collect(&mut self) {
+    fn collect_answered(&mut self) {
         let nodes = &self.fleet.nodes;
         let answered =
-            |id: &&u128| nodes[self.requests[*id].owner].app.acks.get(*id) == Some(&BOTH);
-        self.answered.extend(self.open.iter().filter(answered));
+            |id: &&u128| nodes[self.requests[*id].owner].app.acks.get(*id) == Some(&TWO_COPIES);
+        self.answered
+            .extend(self.unjournalled.iter().filter(answered));
     }
 
     fn pick(&mut self, from: &[usize]) -> Option<usize> {
-        let at = self.fleet.random(from.len() as u64) as usize;
+        let at = self.fleet.random_below(from.len() as u64) as usize;
         from.get(at).copied()
     }
 
     fn running(&self) -> Vec<usize> {
         let nodes = &self.fleet.nodes;
         self.fleet
-            .up()
+            .live_nodes()
             .into_iter()
             .filter(|i| !nodes[*i].paused)
             .collect()
     }
 
-    fn lose(&mut self) {
+    fn kill_random_node(&mut self) {
         let now = self.fleet.now;
-        self.losses.retain(|at| now - *at < LOSS_WINDOW);
+        self.loss_times.retain(|at| now - *at < LOSS_WINDOW);
         let running = self.running();
-        if self.losses.len() >= 2 || running.len() < 4 {
+        if self.loss_times.len() >= 2 || running.len() < 4 {
             return;
         }
         let Some(i) = self.pick(&running) else { return };
-        self.losses.push(now);
-        self.collect();
-        self.end_life(i);
-        self.open.retain(|id| self.requests[id].owner != i);
-        let silent = self.fleet.random(2) == 0;
+        self.loss_times.push(now);
+        self.collect_answered();
+        self.end_generation(i);
+        self.unjournalled.retain(|id| self.requests[id].owner != i);
+        let silent = self.fleet.random_below(2) == 0;
         self.fleet.kill(i, silent);
         self.fleet.nodes[i].app.acks.clear();
     }
 
-    fn end_life(&mut self, i: usize) {
-        self.lives[i] += 1;
+    fn end_generation(&mut self, i: usize) {
+        self.generations[i] += 1;
         let seen = std::mem::take(&mut self.fleet.nodes[i].app.revisions);
-        self.revisions.push((i, seen));
+        self.past_revisions.push((i, seen));
     }
 
-    fn restart(&mut self) {
+    fn restart_random_node(&mut self) {
         let all = 0..self.fleet.nodes.len();
-        let down: Vec<usize> = all.filter(|i| !self.fleet.is_up(*i)).collect();
+        let down: Vec<usize> = all.filter(|i| !self.fleet.is_live(*i)).collect();
         if let Some(i) = self.pick(&down) {
             self.fleet.restart(i);
         }
     }
 
-    fn pause(&mut self) {
+    fn pause_or_resume(&mut self) {
         let paused = (0..self.fleet.nodes.len()).find(|i| self.fleet.nodes[*i].paused);
         let running = self.running();
         match paused {
@@ -210,107 +211,111 @@
         }
     }
 
-    fn cut(&mut self) {
-        let shift = self.fleet.random(6);
-        let by_domain = self.fleet.random(2) == 0;
-        let side = move |slot: &Slot| match by_domain {
-            true => (slot.domain as u64 >> (shift % 2)) & 1,
-            false => (slot.id().0 >> shift) & 1,
+    fn partition_randomly(&mut self) {
+        let shift = self.fleet.random_below(6);
+        let by_domain = self.fleet.random_below(2) == 0;
+        let side = move |node: &SimNode| match by_domain {
+            true => (node.domain as u64 >> (shift % 2)) & 1,
+            false => (node.id().0 >> shift) & 1,
         };
-        self.fleet.cut(move |a, b| side(a) != side(b));
+        self.fleet.partition(move |a, b| side(a) != side(b));
     }
 
-    fn outage(&mut self) {
-        match self.fleet.random(3) {
-            0 => self.fleet.service_for(|_| false),
+    fn change_service_reach(&mut self) {
+        match self.fleet.random_below(3) {
+            0 => self.fleet.set_service_reachable(|_| false),
             1 => {
-                let only = self.fleet.random(self.fleet.nodes.len() as u64) as usize;
-                self.fleet.service_for(|i| i == only);
+                let only = self.fleet.random_below(self.fleet.nodes.len() as u64) as usize;
+                self.fleet.set_service_reachable(|i| i == only);
             }
-            _ => self.fleet.service_for(|_| true),
+            _ => self.fleet.set_service_reachable(|_| true),
         }
     }
 
-    fn demand(&mut self) {
+    fn change_demand(&mut self) {
         for i in self.running() {
-            let demand = self.fleet.random(300) as f32 / 1000.0;
+            let demand = self.fleet.random_below(300) as f32 / 1000.0;
             self.fleet.set_demand(i, vec![(CUSTOMER, demand)]);
         }
     }
 
     /// All faults end; everyone must come to agree.
-    fn end(mut self, seed: u64) -> (Tally, f32, usize) {
-        self.collect();
+    fn heal_and_check(mut self, seed: u64) -> (RunStats, f32, usize) {
+        self.collect_answered();
         self.fleet.heal();
         for i in 0..self.fleet.nodes.len() {
             match () {
-                () if !self.fleet.is_up(i) => self.fleet.restart(i),
+                () if !self.fleet.is_live(i) => self.fleet.restart(i),
                 () if self.fleet.nodes[i].paused => self.fleet.resume(i),
                 () => {}
             }
         }
-        self.fleet.service_for(|_| true);
-        let revision = self.fleet.write("change: last\n");
-        let agree = |f: &Fleet| f.all_hold(revision) && f.views_agree();
-        let took = self.fleet.run_until(LONG, agree);
-        assert!(took.is_some(), "seed {seed}: {}", self.fleet.disagreement());
+        self.fleet.set_service_reachable(|_| true);
+        let revision = self.fleet.write_config("change: last\n");
+        let agree = |f: &Fleet| f.all_at_revision(revision) && f.views_agree();
+        let elapsed_time = self.fleet.run_until(TIMEOUT, agree);
+        assert!(
+            elapsed_time.is_some(),
+            "seed {seed}: {}",
+            self.fleet.disagreement()
+        );
         self.fleet.run(Duration::from_secs(45));
-        self.check(seed, revision);
-        (self.fleet.tally, self.greatest, self.answered.len())
+        self.check_invariants(seed, revision);
+        (self.fleet.stats, self.peak_sum, self.answered.len())
     }
 
-    fn check(&mut self, seed: u64, revision: u64) {
-        let broken = &self.fleet.platform.broken;
-        assert!(broken.is_empty(), "seed {seed}: {broken:?}");
-        assert!(self.fleet.all_hold(revision), "seed {seed}");
+    fn check_invariants(&mut self, seed: u64, revision: u64) {
+        let violations = &self.fleet.platform.violations;
+        assert!(violations.is_empty(), "seed {seed}: {violations:?}");
+        assert!(self.fleet.all_at_revision(revision), "seed {seed}");
         for id in &self.answered {
             // A bill whose owner has lived on since is the owner's to write.
             let request = &self.requests[id];
-            let owned = request.life == self.lives[request.owner];
-            let kept = owned || self.fleet.platform.journal.contains_key(id);
-            assert!(kept, "seed {seed}: the bill of request {id} is lost");
+            let owned = request.generation == self.generations[request.owner];
+            let preserved = owned || self.fleet.platform.journal.contains_key(id);
+            assert!(preserved, "seed {seed}: the bill of request {id} is lost");
         }
         for i in 0..self.fleet.nodes.len() {
-            self.end_life(i);
+            self.end_generation(i);
         }
-        for (i, seen) in &self.revisions {
+        for (i, seen) in &self.past_revisions {
             assert!(
                 seen.is_sorted_by(|a, b| a < b),
                 "seed {seed}: host {i} saw {seen:?}"
             );
         }
-        let greatest = self.greatest;
+        let peak_sum = self.peak_sum;
         assert!(
-            greatest <= SHARE_BOUND,
-            "seed {seed}: shares add up to {greatest}"
+            peak_sum <= MAX_SHARE_SUM,
+            "seed {seed}: shares add up to {peak_sum}"
         );
     }
 }
 
 #[test]
-fn histories_with_faults_keep_every_promise() {
-    let mut total = Tally::default();
-    let (mut greatest, mut bills) = (0.0f32, 0);
-    for seed in seeds() {
+fn histories_with_faults_keep_all_invariants() {
+    let mut total = RunStats::default();
+    let (mut peak_sum, mut bills) = (0.0f32, 0);
+    for seed in history_seeds() {
         let mut history = History::new(seed);
         for _ in 0..400 {
             history.step();
         }
-        let (tally, sum, answered) = history.end(seed);
+        let (stats, history_peak, answered) = history.heal_and_check(seed);
         for (name, count) in [
-            ("kills", tally.kills),
-            ("restarts", tally.restarts),
-            ("pauses", tally.pauses),
-            ("cuts", tally.cuts),
-            ("outages", tally.outages),
-            ("frames under way at faults", tally.under_way),
+            ("kills", stats.kills),
+            ("restarts", stats.restarts),
+            ("pauses", stats.pauses),
+            ("cuts", stats.partitions),
+            ("outages", stats.outages),
+            ("frames under way at faults", stats.in_flight_frames),
             ("answered requests", answered),
         ] {
             assert!(count > 0, "seed {seed}: no {name}, so nothing was shown");
         }
-        total.add(&tally);
-        greatest = greatest.max(sum);
+        total.add(&stats);
+        peak_sum = peak_sum.max(history_peak);
         bills += answered;
     }
-    println!("{total:?}, {bills} answered requests, greatest sum of shares {greatest:.3}");
+    println!("{total:?}, {bills} answered requests, greatest sum of shares {peak_sum:.3}");
 }
--- a/crates/oatdale-mesh/tests/holds.rs
+++ b/crates/oatdale-mesh/tests/holds.rs
@@ -8,24 +8,24 @@
 use std::time::Duration;
 use support::fleet::{Fleet, ms};
 
-const LONG: Duration = Duration::from_secs(60);
-const BOTH: HoldAck = HoldAck {
+const CONVERGENCE_TIME: Duration = Duration::from_secs(60);
+const TWO_COPIES: HoldAck = HoldAck {
     copies: 2,
     wanted: 2,
 };
 
-fn settled(seed: u64) -> Fleet {
+fn settled_fleet(seed: u64) -> Fleet {
     let mut fleet = Fleet::new(seed, 3, 3);
     fleet.start_all();
     fleet
-        .run_until(LONG, Fleet::views_agree)
+        .run_until(CONVERGENCE_TIME, Fleet::views_agree)
         .expect("all are seen");
     fleet.run(Duration::from_secs(5));
     fleet
 }
 
 fn hold(fleet: &mut Fleet, owner: usize, id: u128, record: &'static [u8]) {
-    fleet.input(
+    fleet.deliver_input(
         owner,
         Input::Hold {
             id,
@@ -46,21 +46,22 @@
 
 #[test]
 fn holders_are_in_other_failure_domains() {
-    let mut fleet = settled(1);
+    let mut fleet = settled_fleet(1);
     for owner in 0..9 {
         hold(&mut fleet, owner, 7, b"bill");
         fleet.run(ms(100));
-        assert_eq!(fleet.nodes[owner].app.acks[&7], BOTH);
-        let at: Vec<usize> = holders(&fleet)
+        assert_eq!(fleet.nodes[owner].app.acks[&7], TWO_COPIES);
+        let holder_domains: Vec<usize> = holders(&fleet)
             .iter()
             .map(|i| fleet.nodes[*i].domain)
             .collect();
-        assert_eq!(at.len(), 2);
+        assert_eq!(holder_domains.len(), 2);
         assert!(
-            at[0] != at[1] && !at.contains(&fleet.nodes[owner].domain),
-            "{at:?}"
+            holder_domains[0] != holder_domains[1]
+                && !holder_domains.contains(&fleet.nodes[owner].domain),
+            "{holder_domains:?}"
         );
-        fleet.input(owner, Input::Release(vec![7]));
+        fleet.deliver_input(owner, Input::Release(vec![7]));
         fleet.run(ms(100));
         assert!(holders(&fleet).is_empty());
     }
@@ -69,14 +70,14 @@
 /// A node and one of the two nodes that keep its bills lose their power together. The caller has
 /// its whole answer, so the bill must still be written.
 #[test]
-fn the_loss_of_the_owner_and_one_holder_keeps_the_bill() {
+fn a_bill_survives_the_loss_of_its_owner_and_one_holder() {
     for seed in 0..10 {
-        let mut fleet = settled(seed);
+        let mut fleet = settled_fleet(seed);
         hold(&mut fleet, 0, 1, b"opened");
         fleet.run(ms(50));
         hold(&mut fleet, 0, 1, b"closed");
         fleet.run(ms(50));
-        assert_eq!(fleet.nodes[0].app.acks[&1], BOTH);
+        assert_eq!(fleet.nodes[0].app.acks[&1], TWO_COPIES);
         let victim = holders(&fleet)[(seed % 2) as usize];
         fleet.kill(0, true);
         fleet.kill(victim, true);
@@ -89,8 +90,8 @@
 /// A host is replaced by a process of the same name before anyone suspects it. What the former
 /// process left with its holders is still a bill.
 #[test]
-fn a_restarted_owner_does_not_lose_its_former_bills() {
-    let mut fleet = settled(11);
+fn bills_of_a_previous_incarnation_are_journalled() {
+    let mut fleet = settled_fleet(11);
     hold(&mut fleet, 0, 1, b"closed");
     fleet.run(ms(50));
     fleet.kill(0, false);
@@ -104,15 +105,15 @@
 /// A holder dies while its owner goes on. Nobody notices at first, but the next loss would cost
 /// the bill: so the owner must give its records to another node by itself.
 #[test]
-fn an_owner_replaces_a_holder_that_is_lost() {
-    let mut fleet = settled(12);
+fn an_owner_replaces_a_lost_holder() {
+    let mut fleet = settled_fleet(12);
     hold(&mut fleet, 0, 1, b"closed");
     fleet.run(ms(50));
-    let first = holders(&fleet);
-    fleet.kill(first[0], true);
+    let original_holders = holders(&fleet);
+    fleet.kill(original_holders[0], true);
     fleet.run(Duration::from_secs(5));
     assert_eq!(holders(&fleet).len(), 2);
-    fleet.kill(first[1], true);
+    fleet.kill(original_holders[1], true);
     fleet.kill(0, true);
     fleet.run(Duration::from_secs(30));
     assert_eq!(fleet.platform.journal[&1], &b"closed"[..]);
@@ -121,13 +122,13 @@
 /// The link breaks just when the owner releases a record, so that the holder never hears of it.
 /// Its memory would fill up with records that the journal has long got.
 #[test]
-fn a_release_that_was_lost_is_made_up_for() {
-    let mut fleet = settled(13);
+fn a_lost_release_is_repeated_after_reconnection() {
+    let mut fleet = settled_fleet(13);
     hold(&mut fleet, 0, 1, b"closed");
     fleet.run(ms(50));
-    fleet.cut(|a, _| a.name == "host-0");
+    fleet.partition(|a, _| a.name == "host-0");
     fleet.run(Duration::from_secs(3));
-    fleet.input(0, Input::Release(vec![1]));
+    fleet.deliver_input(0, Input::Release(vec![1]));
     fleet.run(ms(500));
     fleet.heal();
     fleet.run(Duration::from_secs(4));
@@ -137,20 +138,20 @@
 /// In a larger fleet a holder is cut off and replaced, and its owner has no other reason for a link
 /// to it. What the journal got in the meantime must not stay in its memory for ever.
 #[test]
-fn a_replaced_holder_forgets_what_was_released() {
+fn a_replaced_holder_drops_released_records() {
     let mut fleet = Fleet::new(20, 4, 8);
     fleet.start_all();
     fleet
-        .run_until(LONG, Fleet::views_agree)
+        .run_until(CONVERGENCE_TIME, Fleet::views_agree)
         .expect("all are seen");
     fleet.run(Duration::from_secs(20));
     hold(&mut fleet, 0, 1, b"closed");
     fleet.run(ms(100));
-    let first = holders(&fleet)[0];
-    let name = fleet.nodes[first].name.clone();
-    fleet.cut(move |a, _| a.name == name);
+    let original_holder = holders(&fleet)[0];
+    let name = fleet.nodes[original_holder].name.clone();
+    fleet.partition(move |a, _| a.name == name);
     fleet.run(Duration::from_secs(5));
-    fleet.input(0, Input::Release(vec![1]));
+    fleet.deliver_input(0, Input::Release(vec![1]));
     fleet.run(ms(500));
     fleet.heal();
     fleet.run(Duration::from_secs(40));
@@ -164,11 +165,11 @@
 /// A node is stopped as planned with bills that the journal has not got yet, in the middle of an
 /// outage of the service.
 #[test]
-fn a_leaving_owner_leaves_its_bills_behind() {
-    let mut fleet = settled(14);
+fn bills_of_a_leaving_owner_are_journalled() {
+    let mut fleet = settled_fleet(14);
     hold(&mut fleet, 0, 1, b"closed");
     fleet.run(ms(50));
-    fleet.input(0, Input::Leave);
+    fleet.deliver_input(0, Input::Leave);
     fleet.run(ms(200));
     assert!(fleet.nodes[0].app.ended);
     fleet.kill(0, false);
@@ -179,12 +180,12 @@
 /// Both holders of a node are stopped as planned, one after the other, as in a roll-out of the
 /// product itself, and then the owner dies.
 #[test]
-fn holders_that_leave_pass_records_on() {
-    let mut fleet = settled(15);
+fn records_survive_holders_that_leave() {
+    let mut fleet = settled_fleet(15);
     hold(&mut fleet, 0, 1, b"closed");
     fleet.run(ms(50));
     for holder in holders(&fleet) {
-        fleet.input(holder, Input::Leave);
+        fleet.deliver_input(holder, Input::Leave);
         fleet.run(ms(500));
         fleet.kill(holder, false);
         fleet.run(ms(500));
@@ -197,19 +198,19 @@
 /// The owner dies, and then a holder is stopped as planned before the owner counts as gone. The
 /// record must not go down with the only node that would have journalled it.
 #[test]
-fn a_holder_that_leaves_hands_over_records_of_a_dead_owner() {
-    let mut fleet = settled(16);
+fn a_leaving_holder_hands_over_records_of_a_dead_owner() {
+    let mut fleet = settled_fleet(16);
     hold(&mut fleet, 0, 1, b"closed");
     fleet.run(ms(50));
-    let both = holders(&fleet);
+    let initial_holders = holders(&fleet);
     fleet.kill(0, true);
-    fleet.kill(both[0], true);
+    fleet.kill(initial_holders[0], true);
     fleet.run(Duration::from_secs(3));
-    fleet.input(both[1], Input::Leave);
+    fleet.deliver_input(initial_holders[1], Input::Leave);
     fleet
-        .run_until(LONG, |f| f.nodes[both[1]].app.ended)
+        .run_until(CONVERGENCE_TIME, |f| f.nodes[initial_holders[1]].app.ended)
         .expect("it leaves");
-    fleet.kill(both[1], false);
+    fleet.kill(initial_holders[1], false);
     fleet.run(Duration::from_secs(30));
     assert_eq!(fleet.platform.journal[&1], &b"closed"[..]);
 }
@@ -217,7 +218,7 @@
 /// A node alone in the world can't have its bills kept. It must say so at once, and not hold the
 /// end of every answer back.
 #[test]
-fn a_lone_node_is_told_at_once() {
+fn a_hold_without_peers_is_answered_at_once() {
     let mut fleet = Fleet::new(17, 1, 1);
     fleet.start_all();
     fleet.run(Duration::from_secs(3));
@@ -234,8 +235,8 @@
 /// The owner is cut off from everyone. Its answers must not wait for holders for ever.
 #[test]
 fn a_hold_ends_after_its_timeout() {
-    let mut fleet = settled(18);
-    fleet.cut(|a, _| a.name == "host-0");
+    let mut fleet = settled_fleet(18);
+    fleet.partition(|a, _| a.name == "host-0");
     hold(&mut fleet, 0, 1, b"closed");
     fleet.run(ms(600));
     assert_eq!(
@@ -250,8 +251,8 @@
 /// A node is paused for so long that its holders journal its records, and returns. Both must end
 /// with nothing held.
 #[test]
-fn a_paused_owner_that_returns_keeps_no_ghosts() {
-    let mut fleet = settled(19);
+fn no_record_stays_held_after_a_paused_owner_resumes() {
+    let mut fleet = settled_fleet(19);
     hold(&mut fleet, 0, 1, b"opened");
     fleet.run(ms(50));
     fleet.pause(0);
@@ -259,7 +260,7 @@
     assert_eq!(fleet.platform.journal[&1], &b"opened"[..]);
     fleet.resume(0);
     fleet.run(ms(500));
-    fleet.journal(0, 1, &Bytes::from_static(b"closed"));
+    fleet.append_to_journal(0, 1, &Bytes::from_static(b"closed"));
     fleet.run(Duration::from_secs(10));
     assert_eq!(fleet.platform.journal[&1], &b"opened"[..]);
     assert!(holders(&fleet).is_empty());
@@ -269,17 +270,17 @@
 /// record and it is released. Were the waiting request not answered by that, it would wait for
 /// ever: its caller would never see the end of an answer that is there and paid for.
 #[test]
-fn a_release_answers_a_hold_that_still_waits() {
-    let mut fleet = settled(3);
+fn a_release_answers_a_pending_hold() {
+    let mut fleet = settled_fleet(3);
     hold(&mut fleet, 0, 1, b"opened");
     fleet.run(ms(100));
     let holder = holders(&fleet)[0];
     fleet.pause(holder);
-    fleet.input(0, Input::Release(vec![1]));
+    fleet.deliver_input(0, Input::Release(vec![1]));
     hold(&mut fleet, 0, 2, b"closed");
     fleet.run(ms(100));
     assert!(!fleet.nodes[0].app.acks.contains_key(&2), "it was not slow");
-    fleet.input(0, Input::Release(vec![2]));
-    fleet.run(LONG);
+    fleet.deliver_input(0, Input::Release(vec![2]));
+    fleet.run(CONVERGENCE_TIME);
     assert!(fleet.nodes[0].app.acks.contains_key(&2), "it still waits");
 }
--- a/crates/oatdale-mesh/tests/hostile.rs
+++ b/crates/oatdale-mesh/tests/hostile.rs
@@ -5,7 +5,7 @@
 
 use futures::{SinkExt, StreamExt};
 use oatdale_mesh::{Event, MAX_FRAME, PeerState};
-use sockets::{Node, settings, start, start_with};
+use sockets::{Node, mesh_config, start, start_with_config};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, copy};
@@ -15,9 +15,9 @@
 use tokio_tungstenite::tungstenite::Message;
 use tokio_tungstenite::{WebSocketStream, client_async};
 
-const BOUND: Duration = Duration::from_secs(20);
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(20);
 
-async fn raw(address: SocketAddr) -> WebSocketStream<TcpStream> {
+async fn connect_websocket(address: SocketAddr) -> WebSocketStream<TcpStream> {
     let stream = TcpStream::connect(address).await.expect("it listens");
     let url = format!("ws://{address}/mesh");
     client_async(url, stream)
@@ -27,7 +27,7 @@
 }
 
 /// The node ends the connection; `None` or an error is what a client sees of that.
-async fn is_closed(socket: &mut WebSocketStream<TcpStream>) {
+async fn wait_for_close(socket: &mut WebSocketStream<TcpStream>) {
     let closed = async {
         while let Some(Ok(message)) = socket.next().await {
             if message.is_close() {
@@ -35,40 +35,41 @@
             }
         }
     };
-    timeout(BOUND, closed)
+    timeout(CLOSE_TIMEOUT, closed)
         .await
         .expect("the node closes the connection");
 }
 
-async fn sees(node: &mut Node, host: &str) {
+async fn wait_until_alive(node: &mut Node, host: &str) {
     let alive = |e: &Event| match e {
         Event::Peers(list) => list
             .iter()
             .any(|p| p.host == host && p.state == PeerState::Alive),
         _ => false,
     };
-    node.until(alive).await;
+    node.wait_for_event(alive).await;
 }
 
 /// The node still works for others after what a hostile peer did.
-async fn still_serves(node: &mut Node) {
+async fn assert_still_serves(node: &mut Node) {
     let mut other = start("other", "hall-2", &[node.address]).await;
     node.adopt(5, b"text").await;
-    assert_eq!(other.document(5).await, &b"text"[..]);
-    sees(node, "other").await;
+    assert_eq!(other.wait_for_document(5).await, &b"text"[..]);
+    wait_until_alive(node, "other").await;
 }
 
 /// Somebody on the network starts a node with a key of their own. Were it taken in, it could serve
 /// callers or spread a configuration of its own.
 #[tokio::test]
-async fn a_node_with_another_key_is_refused() {
+async fn a_node_with_a_wrong_key_is_refused() {
     let mut node = start("good", "hall-1", &[]).await;
-    let mut cfg = settings("bad", "hall-2", &[node.address]);
+    let mut cfg = mesh_config("bad", "hall-2", &[node.address]);
     cfg.key = vec![9; 32];
-    let mut bad = start_with(cfg);
+    let mut bad = start_with_config(cfg);
     bad.adopt(9, b"forged").await;
-    bad.until(|e| matches!(e, Event::Joined { .. })).await;
-    still_serves(&mut node).await;
+    bad.wait_for_event(|e| matches!(e, Event::Joined { .. }))
+        .await;
+    assert_still_serves(&mut node).await;
     while let Ok(event) = node.rx.try_recv() {
         assert!(!matches!(event, Event::Document { revision: 9, .. }));
         let Event::Peers(list) = event else { continue };
@@ -77,8 +78,8 @@
 }
 
 #[test]
-fn a_short_key_is_refused_at_the_start() {
-    let mut cfg = settings("a", "hall-1", &[]);
+fn a_short_key_is_refused_by_the_settings_check() {
+    let mut cfg = mesh_config("a", "hall-1", &[]);
     cfg.key = vec![1; 31];
     let message = cfg.check().expect_err("31 bytes are too few").to_string();
     assert_eq!(
@@ -91,24 +92,24 @@
 async fn garbage_instead_of_a_hello_is_refused() {
     let mut node = start("good", "hall-1", &[]).await;
     for garbage in [vec![], vec![0xff; 100], b"hello".to_vec(), vec![0x9f; 3000]] {
-        let mut socket = raw(node.address).await;
+        let mut socket = connect_websocket(node.address).await;
         socket
             .send(Message::Binary(garbage.into()))
             .await
             .expect("it is open");
-        is_closed(&mut socket).await;
+        wait_for_close(&mut socket).await;
     }
-    let mut socket = raw(node.address).await;
+    let mut socket = connect_websocket(node.address).await;
     socket
         .send(Message::Text("hello".into()))
         .await
         .expect("it is open");
-    is_closed(&mut socket).await;
-    still_serves(&mut node).await;
+    wait_for_close(&mut socket).await;
+    assert_still_serves(&mut node).await;
 }
 
 #[tokio::test]
-async fn bytes_that_are_no_websocket_are_refused() {
+async fn a_request_that_is_no_websocket_upgrade_is_refused() {
     let mut node = start("good", "hall-1", &[]).await;
     let mut stream = TcpStream::connect(node.address).await.expect("it listens");
     stream
@@ -116,10 +117,10 @@
         .await
         .expect("it is open");
     let mut buf = Vec::new();
-    let _ = timeout(BOUND, stream.read_to_end(&mut buf))
+    let _ = timeout(CLOSE_TIMEOUT, stream.read_to_end(&mut buf))
         .await
         .expect("it is closed");
-    still_serves(&mut node).await;
+    assert_still_serves(&mut node).await;
 }
 
 /// A hello of megabytes would cost memory before anybody has proved anything.
@@ -127,11 +128,11 @@
 async fn an_oversize_hello_is_refused() {
     let mut node = start("good", "hall-1", &[]).await;
     for size in [5000, MAX_FRAME + 100, 4 * 1024 * 1024] {
-        let mut socket = raw(node.address).await;
+        let mut socket = connect_websocket(node.address).await;
         let _ = socket.send(Message::Binary(vec![0; size].into())).await;
-        is_closed(&mut socket).await;
+        wait_for_close(&mut socket).await;
     }
-    still_serves(&mut node).await;
+    assert_still_serves(&mut node).await;
 }
 
 /// Connections that are opened and then say nothing must not stay for ever.
@@ -140,17 +141,17 @@
     let mut node = start("good", "hall-1", &[]).await;
     let mut sockets = Vec::new();
     for _ in 0..20 {
-        sockets.push(raw(node.address).await);
+        sockets.push(connect_websocket(node.address).await);
     }
     for socket in &mut sockets {
-        is_closed(socket).await;
+        wait_for_close(socket).await;
     }
-    still_serves(&mut node).await;
+    assert_still_serves(&mut node).await;
 }
 
 /// What a relay between two nodes does to the bytes that it passes on.
 #[derive(Clone, Copy, PartialEq)]
-enum Relay {
+enum RelayMode {
     Pass,
     /// Flip a bit in whatever comes next.
     Corrupt,
@@ -159,42 +160,42 @@
 }
 
 /// Stands between a node and the one that it thinks it dials.
-async fn relay(to: SocketAddr) -> (SocketAddr, watch::Sender<Relay>) {
+async fn start_relay(to: SocketAddr) -> (SocketAddr, watch::Sender<RelayMode>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("it is bound");
-    let (tx, mode) = watch::channel(Relay::Pass);
+    let (tx, mode) = watch::channel(RelayMode::Pass);
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            tokio::spawn(pass(stream, to, mode.clone()));
+            tokio::spawn(relay_connection(stream, to, mode.clone()));
         }
     });
     (address, tx)
 }
 
-async fn pass(near: TcpStream, to: SocketAddr, mut mode: watch::Receiver<Relay>) {
-    let Ok(far) = TcpStream::connect(to).await else {
+async fn relay_connection(client: TcpStream, to: SocketAddr, mut mode: watch::Receiver<RelayMode>) {
+    let Ok(server) = TcpStream::connect(to).await else {
         return;
     };
-    let (mut near_rx, mut near_tx) = near.into_split();
-    let (mut far_rx, mut far_tx) = far.into_split();
-    tokio::spawn(async move { copy(&mut far_rx, &mut near_tx).await });
+    let (mut client_rx, mut client_tx) = client.into_split();
+    let (mut server_rx, mut server_tx) = server.into_split();
+    tokio::spawn(async move { copy(&mut server_rx, &mut client_tx).await });
     let mut buf = [0; 4096];
     loop {
-        if *mode.borrow() == Relay::Stall {
-            let _ = mode.wait_for(|m| *m != Relay::Stall).await;
+        if *mode.borrow() == RelayMode::Stall {
+            let _ = mode.wait_for(|m| *m != RelayMode::Stall).await;
             return;
         }
         let n = tokio::select! {
-            n = near_rx.read(&mut buf) => n.unwrap_or(0),
+            n = client_rx.read(&mut buf) => n.unwrap_or(0),
             _ = mode.changed() => continue,
         };
         if n == 0 {
             return;
         }
-        if *mode.borrow() == Relay::Corrupt {
+        if *mode.borrow() == RelayMode::Corrupt {
             buf[n - 1] ^= 1;
         }
-        if far_tx.write_all(&buf[..n]).await.is_err() {
+        if server_tx.write_all(&buf[..n]).await.is_err() {
             return;
         }
     }
@@ -202,38 +203,38 @@
 
 /// Two nodes that reach each other only through a relay: the second is told a wrong address of
 /// itself, so that nobody dials it but through the relay.
-async fn two_through_a_relay() -> (Node, Node, watch::Sender<Relay>) {
-    let hidden = settings("hidden", "hall-1", &[]);
-    let (address, mode) = relay(hidden.advertise).await;
+async fn start_pair_through_relay() -> (Node, Node, watch::Sender<RelayMode>) {
+    let hidden = mesh_config("hidden", "hall-1", &[]);
+    let (address, mode) = start_relay(hidden.advertise).await;
     let mut hidden = hidden;
     hidden.advertise = address;
-    let mut dialer = settings("a-dialer", "hall-2", &[address]);
+    let mut dialer = mesh_config("a-dialer", "hall-2", &[address]);
     // An address that nobody listens on, so that only this node dials.
     dialer.advertise = SocketAddr::from(([127, 0, 0, 1], 1));
-    let mut nodes = (start_with(hidden), start_with(dialer));
-    sees(&mut nodes.0, "a-dialer").await;
-    sees(&mut nodes.1, "hidden").await;
+    let mut nodes = (start_with_config(hidden), start_with_config(dialer));
+    wait_until_alive(&mut nodes.0, "a-dialer").await;
+    wait_until_alive(&mut nodes.1, "hidden").await;
     (nodes.0, nodes.1, mode)
 }
 
 /// Somebody between two nodes changes what they say. The receiver must notice and act on none of
 /// it; a fresh connection goes on.
 #[tokio::test]
-async fn a_frame_that_was_changed_ends_the_connection_and_is_not_acted_on() {
-    let (mut hidden, dialer, mode) = two_through_a_relay().await;
-    mode.send_replace(Relay::Corrupt);
+async fn a_tampered_frame_is_not_applied() {
+    let (mut hidden, dialer, mode) = start_pair_through_relay().await;
+    mode.send_replace(RelayMode::Corrupt);
     dialer.adopt(6, b"true text").await;
     tokio::time::sleep(Duration::from_millis(300)).await;
-    mode.send_replace(Relay::Pass);
-    assert_eq!(hidden.document(6).await, &b"true text"[..]);
+    mode.send_replace(RelayMode::Pass);
+    assert_eq!(hidden.wait_for_document(6).await, &b"true text"[..]);
 }
 
 /// A peer stops reading and leaves the connection open, as a process that is stopped. What is
 /// meant for it must not pile up, and it must be found again when it is back.
 #[tokio::test]
-async fn a_peer_that_stops_reading_is_dropped_and_found_again() {
-    let (mut hidden, mut dialer, mode) = two_through_a_relay().await;
-    mode.send_replace(Relay::Stall);
+async fn a_peer_that_stops_reading_is_dropped_and_reconnects() {
+    let (mut hidden, mut dialer, mode) = start_pair_through_relay().await;
+    mode.send_replace(RelayMode::Stall);
     for id in 0..4000u128 {
         let (reply, _) = tokio::sync::oneshot::channel();
         let record = bytes::Bytes::from(vec![1; 8000]);
@@ -245,9 +246,9 @@
         Event::Peers(list) => list.iter().any(|p| p.state == PeerState::Suspect),
         _ => false,
     };
-    hidden.until(suspected).await;
-    mode.send_replace(Relay::Pass);
+    hidden.wait_for_event(suspected).await;
+    mode.send_replace(RelayMode::Pass);
     dialer.adopt(7, b"text").await;
-    assert_eq!(hidden.document(7).await, &b"text"[..]);
-    sees(&mut dialer, "hidden").await;
+    assert_eq!(hidden.wait_for_document(7).await, &b"text"[..]);
+    wait_until_alive(&mut dialer, "hidden").await;
 }
--- a/crates/oatdale-mesh/tests/membership.rs
+++ b/crates/oatdale-mesh/tests/membership.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 use support::fleet::{Fleet, ms};
 
-const LONG: Duration = Duration::from_secs(60);
+const CONVERGENCE_TIME: Duration = Duration::from_secs(60);
 
-fn states(fleet: &Fleet, at: usize, of: usize) -> Option<PeerState> {
-    let name = &fleet.nodes[of].name;
-    fleet.nodes[at]
+fn peer_state(fleet: &Fleet, observer: usize, subject: usize) -> Option<PeerState> {
+    let name = &fleet.nodes[subject].name;
+    fleet.nodes[observer]
         .app
         .peers
         .iter()
@@ -23,10 +23,10 @@
 fn nine_nodes_find_each_other() {
     let mut fleet = Fleet::new(1, 3, 3);
     fleet.start_all();
-    let took = fleet
-        .run_until(LONG, Fleet::views_agree)
+    let elapsed_time = fleet
+        .run_until(CONVERGENCE_TIME, Fleet::views_agree)
         .expect("all are seen");
-    assert!(took < Duration::from_secs(3), "{took:?}");
+    assert!(elapsed_time < Duration::from_secs(3), "{elapsed_time:?}");
     fleet.run(Duration::from_secs(5));
     assert!(
         fleet
@@ -41,44 +41,44 @@
     let mut fleet = Fleet::new(2, 3, 3);
     let seed = fleet.nodes[0].address;
     for i in 0..9 {
-        fleet.start_with(i, vec![seed]);
+        fleet.start_with_seeds(i, vec![seed]);
     }
     fleet
-        .run_until(LONG, Fleet::views_agree)
+        .run_until(CONVERGENCE_TIME, Fleet::views_agree)
         .expect("all are seen");
 }
 
 #[test]
-fn a_larger_fleet_keeps_few_links() {
+fn a_large_fleet_keeps_few_links_per_node() {
     let mut fleet = Fleet::new(3, 8, 8);
     fleet.start_all();
     fleet
-        .run_until(LONG, Fleet::views_agree)
+        .run_until(CONVERGENCE_TIME, Fleet::views_agree)
         .expect("all are seen");
-    fleet.run(LONG);
+    fleet.run(CONVERGENCE_TIME);
     assert!(fleet.views_agree());
-    let most = fleet
+    let most_links = fleet
         .nodes
         .iter()
         .map(|n| n.member.as_ref().expect("up").linked().count())
         .max();
-    assert!(most.expect("nodes") < 40, "{most:?}");
+    assert!(most_links.expect("nodes") < 40, "{most_links:?}");
 }
 
 /// A fleet comes up by one seed. The first nodes that a joiner knows are among those that keep its
 /// bills; were they kept for good, a few old nodes would hold the bills of the whole fleet.
 #[test]
-fn a_seed_is_not_left_with_the_whole_fleet() {
+fn a_single_seed_does_not_keep_links_to_the_whole_fleet() {
     let mut fleet = Fleet::new(12, 8, 8);
     let seed = fleet.nodes[0].address;
     for i in 0..64 {
-        fleet.start_with(i, vec![seed]);
+        fleet.start_with_seeds(i, vec![seed]);
         fleet.run(ms(20));
     }
     fleet
-        .run_until(LONG, Fleet::views_agree)
+        .run_until(CONVERGENCE_TIME, Fleet::views_agree)
         .expect("all are seen");
-    fleet.run(LONG);
+    fleet.run(CONVERGENCE_TIME);
     let links = fleet.nodes[0].member.as_ref().expect("up").linked().count();
     assert!(links < 30, "{links}");
 }
@@ -86,57 +86,57 @@
 /// A host loses its power and nothing tells its peers. Until they notice, callers may be sent to
 /// an address where nobody answers.
 #[test]
-fn a_host_without_power_is_suspected_and_forgotten_once_unlisted() {
+fn a_failed_host_is_suspected_and_removed_once_unlisted() {
     let mut fleet = Fleet::new(4, 3, 3);
     fleet.start_all();
     fleet
-        .run_until(LONG, Fleet::views_agree)
+        .run_until(CONVERGENCE_TIME, Fleet::views_agree)
         .expect("all are seen");
-    fleet.list_hosts();
+    fleet.publish_host_list();
     fleet.kill(8, true);
     fleet.run(Duration::from_secs(4));
-    assert!((0..8).all(|i| states(&fleet, i, 8) == Some(PeerState::Suspect)));
-    fleet.list_hosts();
+    assert!((0..8).all(|i| peer_state(&fleet, i, 8) == Some(PeerState::Suspect)));
+    fleet.publish_host_list();
     fleet.run(Duration::from_secs(8));
-    assert!((0..8).all(|i| states(&fleet, i, 8).is_none()));
+    assert!((0..8).all(|i| peer_state(&fleet, i, 8).is_none()));
 }
 
 /// A host is restarted, and is cut off before the platform's list, which is late, names it again.
 /// It still works, so it must not count as gone.
 #[test]
-fn a_list_that_is_older_than_a_process_says_nothing_of_it() {
+fn a_host_list_older_than_a_process_does_not_remove_it() {
     let mut fleet = Fleet::new(10, 3, 3);
     fleet.start_all();
     fleet
-        .run_until(LONG, Fleet::views_agree)
+        .run_until(CONVERGENCE_TIME, Fleet::views_agree)
         .expect("all are seen");
     fleet.kill(8, false);
     fleet.run(ms(500));
-    fleet.list_hosts();
+    fleet.publish_host_list();
     fleet.restart(8);
     fleet.run(Duration::from_secs(3));
-    fleet.cut(|a, _| a.name == "host-8");
+    fleet.partition(|a, _| a.name == "host-8");
     fleet.run(Duration::from_secs(20));
-    assert!((0..8).all(|i| states(&fleet, i, 8) == Some(PeerState::Suspect)));
+    assert!((0..8).all(|i| peer_state(&fleet, i, 8) == Some(PeerState::Suspect)));
 }
 
 /// A node stops for ten seconds, as under a debugger or a stalled hypervisor, and goes on. If it
 /// judged the others by its own stopped clock it would suspect them all.
 #[test]
-fn a_paused_node_suspects_nobody_when_it_returns() {
+fn a_resumed_node_suspects_nobody() {
     let mut fleet = Fleet::new(5, 3, 3);
     fleet.start_all();
     fleet
-        .run_until(LONG, Fleet::views_agree)
+        .run_until(CONVERGENCE_TIME, Fleet::views_agree)
         .expect("all are seen");
     fleet.pause(0);
     fleet.run(Duration::from_secs(10));
-    assert_eq!(states(&fleet, 1, 0), Some(PeerState::Suspect));
+    assert_eq!(peer_state(&fleet, 1, 0), Some(PeerState::Suspect));
     fleet.resume(0);
     fleet.run(ms(60));
-    assert!((1..9).all(|i| states(&fleet, 0, i) == Some(PeerState::Alive)));
+    assert!((1..9).all(|i| peer_state(&fleet, 0, i) == Some(PeerState::Alive)));
     fleet
-        .run_until(LONG, Fleet::views_agree)
+        .run_until(CONVERGENCE_TIME, Fleet::views_agree)
         .expect("it is seen again");
 }
 
@@ -147,7 +147,7 @@
     let mut fleet = Fleet::new(6, 3, 3);
     fleet.start_all();
     fleet
-        .run_until(LONG, Fleet::views_agree)
+        .run_until(CONVERGENCE_TIME, Fleet::views_agree)
         .expect("all are seen");
     fleet.kill(4, true);
     fleet.run(ms(500));
@@ -169,26 +169,26 @@
 /// A host comes back with its clock set to the past, so that its new process seems older than the
 /// one that died. Were it refused for good, the host would be lost until its clock is right.
 #[test]
-fn a_restart_with_an_earlier_clock_is_taken_in() {
+fn a_restart_with_an_earlier_clock_is_accepted() {
     let mut fleet = Fleet::new(7, 3, 3);
     fleet.run(Duration::from_secs(100));
     fleet.start_all();
     fleet
-        .run_until(LONG, Fleet::views_agree)
+        .run_until(CONVERGENCE_TIME, Fleet::views_agree)
         .expect("all are seen");
     fleet.kill(4, false);
     fleet.run(ms(500));
-    fleet.clock_back = Duration::from_secs(50);
+    fleet.clock_lag = Duration::from_secs(50);
     fleet.restart(4);
     fleet
-        .run_until(LONG, Fleet::views_agree)
+        .run_until(CONVERGENCE_TIME, Fleet::views_agree)
         .expect("it is seen again");
 }
 
 /// A host stands still, the platform starts another under its name, and the first one wakes up.
 /// Two processes would serve callers under one name and fight over every link.
 #[test]
-fn a_process_that_was_replaced_while_it_was_paused_ends() {
+fn a_process_replaced_while_paused_ends_on_resume() {
     let mut fleet = Fleet::new(11, 3, 3);
     for i in 0..8 {
         fleet.start(i);
@@ -219,42 +219,42 @@
 }
 
 #[test]
-fn a_node_that_leaves_is_out_of_the_addresses_at_once() {
+fn a_leaving_node_is_seen_as_left_at_once() {
     let mut fleet = Fleet::new(8, 3, 3);
     fleet.start_all();
     fleet
-        .run_until(LONG, Fleet::views_agree)
+        .run_until(CONVERGENCE_TIME, Fleet::views_agree)
         .expect("all are seen");
-    fleet.input(3, Input::Leave);
+    fleet.deliver_input(3, Input::Leave);
     fleet.run(ms(100));
     assert!(
         (0..9)
             .filter(|i| *i != 3)
-            .all(|i| states(&fleet, i, 3) == Some(PeerState::Left))
+            .all(|i| peer_state(&fleet, i, 3) == Some(PeerState::Left))
     );
     assert!(fleet.nodes[3].app.ended);
 }
 
 /// Two regions lose each other for minutes and find each other again. Nobody restarts anything.
 #[test]
-fn halves_find_each_other_after_a_long_cut() {
+fn halves_reconnect_after_a_long_partition() {
     let mut fleet = Fleet::new(9, 3, 3);
     fleet.intervals.forget = Duration::from_secs(30);
     fleet.start_all();
     fleet
-        .run_until(LONG, Fleet::views_agree)
+        .run_until(CONVERGENCE_TIME, Fleet::views_agree)
         .expect("all are seen");
-    fleet.cut(|a, b| a.domain == 0 && b.domain != 0);
+    fleet.partition(|a, b| a.domain == 0 && b.domain != 0);
     fleet.run(Duration::from_secs(120));
-    assert_eq!(states(&fleet, 0, 1), None);
+    assert_eq!(peer_state(&fleet, 0, 1), None);
     fleet.heal();
     fleet
-        .run_until(LONG, Fleet::views_agree)
+        .run_until(CONVERGENCE_TIME, Fleet::views_agree)
         .expect("all are seen again");
 }
 
 #[test]
-fn names_that_differ_have_ids_that_differ() {
+fn different_names_have_different_host_ids() {
     assert_ne!(HostId::of("a"), HostId::of("b"));
 }
 
@@ -262,14 +262,14 @@
 // at all, is read meanwhile. Were the list to replace the seeds, the node would stay alone for
 // ever: callers would get a second set of limits, and its bills would have no holders.
 #[test]
-fn an_empty_list_does_not_hide_the_seeds() {
+fn an_empty_host_list_does_not_replace_the_seeds() {
     let mut fleet = Fleet::new(4, 2, 1);
     let seed = fleet.nodes[0].address;
-    fleet.start_with(1, vec![seed]);
-    fleet.input(1, Input::Hosts(Vec::new()));
+    fleet.start_with_seeds(1, vec![seed]);
+    fleet.deliver_input(1, Input::Hosts(Vec::new()));
     fleet.run(Duration::from_secs(2));
-    fleet.start_with(0, Vec::new());
+    fleet.start_with_seeds(0, Vec::new());
     fleet
-        .run_until(LONG, Fleet::views_agree)
+        .run_until(CONVERGENCE_TIME, Fleet::views_agree)
         .expect("they find each other");
 }
--- a/crates/oatdale-mesh/tests/reach.rs
+++ b/crates/oatdale-mesh/tests/reach.rs
@@ -8,17 +8,17 @@
 use std::time::Duration;
 use support::fleet::Fleet;
 
-const LONG: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 /// How many peers each node deals work out to, all of them linked.
-fn dealt_out_to(domains: usize, each: usize) -> usize {
-    let mut fleet = Fleet::new(3, domains, each);
+fn fewest_reachable_peers(domains: usize, hosts_per_domain: usize) -> usize {
+    let mut fleet = Fleet::new(3, domains, hosts_per_domain);
     fleet.start_all();
     fleet
-        .run_until(LONG, Fleet::views_agree)
+        .run_until(TIMEOUT, Fleet::views_agree)
         .expect("all are seen");
     fleet.run(Duration::from_secs(30));
-    let mut least = usize::MAX;
+    let mut fewest_peers = usize::MAX;
     for node in &fleet.nodes {
         let member = node.member.as_ref().expect("up");
         let linked: BTreeSet<HostId> = member.linked().collect();
@@ -31,20 +31,20 @@
                 peer.host
             );
         }
-        least = least.min(peers.len());
+        fewest_peers = fewest_peers.min(peers.len());
     }
-    least
+    fewest_peers
 }
 
 #[test]
-fn in_a_small_fleet_work_goes_to_all() {
-    assert_eq!(dealt_out_to(3, 3), 8);
+fn all_peers_are_reachable_in_a_small_fleet() {
+    assert_eq!(fewest_reachable_peers(3, 3), 8);
 }
 
 // A fleet has grown beyond a full mesh. If journal records were still dealt out over all nodes, most
 // would be sent to nodes without a link, and each node would append for itself: at 64 nodes the
 // key-value service then throttles, and confirmations are refused.
 #[test]
-fn in_a_large_fleet_work_goes_to_the_own_domain() {
-    assert_eq!(dealt_out_to(4, 8), 7);
+fn only_peers_of_the_same_domain_are_reachable_in_a_large_fleet() {
+    assert_eq!(fewest_reachable_peers(4, 8), 7);
 }
--- a/crates/oatdale-mesh/tests/seeds.rs
+++ b/crates/oatdale-mesh/tests/seeds.rs
@@ -4,21 +4,21 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const SEED: &str = "127.0.0.1:7000";
+const SEED_ADDRESS: &str = "127.0.0.1:7000";
 
 fn member() -> Member {
-    let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
+    let localhost = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
     let card = Card {
         host: "entry-1".to_owned(),
         domain: "north".to_owned(),
         region: "home".to_owned(),
         incarnation: 1,
-        address: at(7001),
-        caller: at(7002),
+        address: localhost(7001),
+        caller: localhost(7002),
     };
     let cfg = MemberConfig {
         card,
-        seeds: vec![SEED.parse().unwrap()],
+        seeds: vec![SEED_ADDRESS.parse().unwrap()],
         holders: 2,
         intervals: Intervals::default(),
     };
@@ -30,10 +30,10 @@
 // peers of its settings and stay alone for ever: its configuration would age and its bills would
 // have no holder.
 #[test]
-fn an_empty_list_of_hosts_leaves_the_seeds_of_the_settings() {
+fn an_empty_host_list_keeps_the_configured_seeds() {
     let mut member = member();
     let _ = member.handle(Input::Hosts(Vec::new()), Duration::from_millis(1));
     let outputs = member.handle(Input::Tick, Duration::from_millis(50));
-    let dials = |o: &Output| matches!(o, Output::Dial(a) if a.to_string() == SEED);
-    assert!(outputs.iter().any(dials), "the seed is not dialed");
+    let dials_seed = |o: &Output| matches!(o, Output::Dial(a) if a.to_string() == SEED_ADDRESS);
+    assert!(outputs.iter().any(dials_seed), "the seed is not dialed");
 }
--- a/crates/oatdale-mesh/tests/shares.rs
+++ b/crates/oatdale-mesh/tests/shares.rs
@@ -6,18 +6,18 @@
 use std::time::Duration;
 use support::fleet::{Fleet, ms};
 
-const LONG: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 const CUSTOMER: u32 = 42;
 /// What the sum may reach while views differ, whatever happens.
-const BOUND: f32 = 1.1;
+const MAX_SHARE_SUM: f32 = 1.1;
 
-fn settled(seed: u64, domains: usize, each: usize) -> Fleet {
-    let mut fleet = Fleet::new(seed, domains, each);
+fn settled_fleet(seed: u64, domains: usize, hosts_per_domain: usize) -> Fleet {
+    let mut fleet = Fleet::new(seed, domains, hosts_per_domain);
     fleet.start_all();
     fleet
-        .run_until(LONG, Fleet::views_agree)
+        .run_until(TIMEOUT, Fleet::views_agree)
         .expect("all are seen");
-    for i in 0..domains * each {
+    for i in 0..domains * hosts_per_domain {
         fleet.set_demand(i, vec![(CUSTOMER, 0.0)]);
     }
     fleet.run(Duration::from_secs(15));
@@ -25,8 +25,8 @@
 }
 
 #[test]
-fn an_idle_customer_has_an_even_part_everywhere() {
-    let fleet = settled(1, 3, 3);
+fn an_idle_customer_has_equal_shares_on_all_nodes() {
+    let fleet = settled_fleet(1, 3, 3);
     for node in &fleet.nodes {
         let share = node.app.shares[&CUSTOMER];
         assert!((share - 1.0 / 9.0).abs() < 0.01, "{share}");
@@ -34,18 +34,18 @@
 }
 
 #[test]
-fn parts_follow_demand_and_the_sum_holds_meanwhile() {
-    for (domains, each) in [(3, 3), (2, 4), (4, 8)] {
-        let mut fleet = settled(2, domains, each);
-        let count = domains * each;
-        for busy in [0, 3, count - 1] {
+fn shares_follow_demand_within_the_bound() {
+    for (domains, hosts_per_domain) in [(3, 3), (2, 4), (4, 8)] {
+        let mut fleet = settled_fleet(2, domains, hosts_per_domain);
+        let count = domains * hosts_per_domain;
+        for busy_node in [0, 3, count - 1] {
             for i in 0..count {
-                let demand = if i == busy { 2.0 } else { 0.01 };
+                let demand = if i == busy_node { 2.0 } else { 0.01 };
                 fleet.set_demand(i, vec![(CUSTOMER, demand)]);
             }
-            let greatest = fleet.greatest_sum(Duration::from_secs(15), CUSTOMER);
-            assert!(greatest <= BOUND, "{greatest} at {count} nodes");
-            let share = fleet.nodes[busy].app.shares[&CUSTOMER];
+            let peak_sum = fleet.peak_share_sum(Duration::from_secs(15), CUSTOMER);
+            assert!(peak_sum <= MAX_SHARE_SUM, "{peak_sum} at {count} nodes");
+            let share = fleet.nodes[busy_node].app.shares[&CUSTOMER];
             assert!(share > 0.65, "{share} at {count} nodes");
         }
     }
@@ -54,17 +54,17 @@
 /// Regions lose each other while callers move from one to the other. Were each half to split the
 /// whole limit, a customer could use it twice.
 #[test]
-fn a_cut_does_not_double_the_limit() {
-    let mut fleet = settled(3, 3, 3);
-    fleet.cut(|a, b| a.domain == 0 && b.domain != 0);
+fn a_partition_does_not_double_the_limit() {
+    let mut fleet = settled_fleet(3, 3, 3);
+    fleet.partition(|a, b| a.domain == 0 && b.domain != 0);
     for i in 0..9 {
         fleet.set_demand(i, vec![(CUSTOMER, 1.0)]);
     }
-    let greatest = fleet.greatest_sum(Duration::from_secs(120), CUSTOMER);
-    assert!(greatest <= BOUND, "{greatest}");
+    let peak_sum = fleet.peak_share_sum(Duration::from_secs(120), CUSTOMER);
+    assert!(peak_sum <= MAX_SHARE_SUM, "{peak_sum}");
     fleet.heal();
-    let greatest = fleet.greatest_sum(Duration::from_secs(20), CUSTOMER);
-    assert!(greatest <= BOUND, "{greatest}");
+    let peak_sum = fleet.peak_share_sum(Duration::from_secs(20), CUSTOMER);
+    assert!(peak_sum <= MAX_SHARE_SUM, "{peak_sum}");
 }
 
 /// A whole fleet starts at once and no node knows another yet. Each would take the whole limit.
@@ -75,26 +75,26 @@
     for i in 0..9 {
         fleet.set_demand(i, vec![(CUSTOMER, 1.0)]);
     }
-    let greatest = fleet.greatest_sum(Duration::from_secs(20), CUSTOMER);
-    assert!(greatest <= BOUND, "{greatest}");
+    let peak_sum = fleet.peak_share_sum(Duration::from_secs(20), CUSTOMER);
+    assert!(peak_sum <= MAX_SHARE_SUM, "{peak_sum}");
 }
 
 /// Nodes are killed and replaced one after the other under full demand, as on any day.
 #[test]
-fn restarts_keep_the_sum() {
-    let mut fleet = settled(5, 3, 3);
+fn restarts_keep_the_share_sum_within_the_bound() {
+    let mut fleet = settled_fleet(5, 3, 3);
     for i in 0..9 {
         fleet.set_demand(i, vec![(CUSTOMER, 0.3)]);
     }
-    let mut greatest = fleet.greatest_sum(Duration::from_secs(10), CUSTOMER);
+    let mut peak_sum = fleet.peak_share_sum(Duration::from_secs(10), CUSTOMER);
     for i in 0..9 {
         fleet.kill(i, i % 2 == 0);
-        greatest = greatest.max(fleet.greatest_sum(ms(700), CUSTOMER));
+        peak_sum = peak_sum.max(fleet.peak_share_sum(ms(700), CUSTOMER));
         fleet.restart(i);
         fleet.set_demand(i, vec![(CUSTOMER, 0.3)]);
-        greatest = greatest.max(fleet.greatest_sum(Duration::from_secs(2), CUSTOMER));
+        peak_sum = peak_sum.max(fleet.peak_share_sum(Duration::from_secs(2), CUSTOMER));
     }
-    assert!(greatest <= BOUND, "{greatest}");
+    assert!(peak_sum <= MAX_SHARE_SUM, "{peak_sum}");
     fleet.run(Duration::from_secs(15));
     let sum = fleet.share_sum(CUSTOMER);
     assert!(sum > 0.9, "{sum}");
@@ -103,8 +103,8 @@
 /// A node is paused for longer than parts take to rise, and its callers go elsewhere meanwhile.
 /// When it returns it still believes in the old demand; it must not take what others have now.
 #[test]
-fn a_node_that_returns_from_a_pause_keeps_its_old_part() {
-    let mut fleet = settled(7, 2, 4);
+fn a_resumed_node_keeps_its_previous_share() {
+    let mut fleet = settled_fleet(7, 2, 4);
     for i in 0..8 {
         fleet.set_demand(i, vec![(CUSTOMER, 0.01)]);
     }
@@ -116,16 +116,16 @@
     fleet.set_demand(1, vec![(CUSTOMER, 3.0)]);
     fleet.run(Duration::from_secs(12));
     fleet.resume(1);
-    let greatest = fleet.greatest_sum(Duration::from_secs(10), CUSTOMER);
-    assert!(greatest <= BOUND, "{greatest}");
+    let peak_sum = fleet.peak_share_sum(Duration::from_secs(10), CUSTOMER);
+    assert!(peak_sum <= MAX_SHARE_SUM, "{peak_sum}");
 }
 
 /// A node starts and is cut off again before it has computed anything from what it met. Hosts
 /// that it knows by name only go on using their parts.
 #[test]
-fn a_joiner_that_is_cut_off_at_once_does_not_take_what_others_use() {
+fn a_joiner_partitioned_at_once_does_not_take_shares_in_use() {
     for after in [60, 120, 300, 700, 1500] {
-        let mut fleet = settled(8, 2, 4);
+        let mut fleet = settled_fleet(8, 2, 4);
         fleet.kill(5, false);
         fleet.run(Duration::from_secs(3));
         fleet.restart(5);
@@ -133,26 +133,26 @@
             fleet.set_demand(i, vec![(CUSTOMER, 0.4)]);
         }
         fleet.run(ms(after));
-        fleet.cut(|a, _| a.name == "host-5");
-        let greatest = fleet.greatest_sum(Duration::from_secs(40), CUSTOMER);
-        assert!(greatest <= BOUND, "{greatest} after {after} ms");
+        fleet.partition(|a, _| a.name == "host-5");
+        let peak_sum = fleet.peak_share_sum(Duration::from_secs(40), CUSTOMER);
+        assert!(peak_sum <= MAX_SHARE_SUM, "{peak_sum} after {after} ms");
     }
 }
 
 /// A host loses its power for good. Its part is of use to nobody until the platform's list drops
 /// the host; then the others must have it.
 #[test]
-fn the_part_of_a_lost_host_returns() {
-    let mut fleet = settled(6, 3, 3);
+fn the_share_of_a_lost_host_is_redistributed() {
+    let mut fleet = settled_fleet(6, 3, 3);
     for i in 0..9 {
         fleet.set_demand(i, vec![(CUSTOMER, 0.5)]);
     }
     fleet.run(Duration::from_secs(10));
-    fleet.list_hosts();
+    fleet.publish_host_list();
     fleet.kill(8, true);
     fleet.run(Duration::from_secs(10));
     assert!(fleet.share_sum(CUSTOMER) < 0.95);
-    fleet.list_hosts();
+    fleet.publish_host_list();
     fleet.run(Duration::from_secs(20));
     assert!(fleet.share_sum(CUSTOMER) > 0.95);
 }
--- a/crates/oatdale-mesh/tests/spec.rs
+++ b/crates/oatdale-mesh/tests/spec.rs
@@ -6,26 +6,26 @@
 use oatdale_check::{Spec, explore};
 use oatdale_mesh::{newer, settled};
 
-const NODES: usize = 3;
-const LAST: u8 = 3;
-const BOUND: usize = 20_000_000;
+const NODE_COUNT: usize = 3;
+const MAX_REVISION: u8 = 3;
+const MAX_STATES: usize = 20_000_000;
 
 /// What is wrong on purpose; each must be found.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Break {
-    Nothing,
+enum Mutation {
+    Unmodified,
     /// Takes any revision that is offered, as a node that only compares for difference.
-    TakesAny,
+    AcceptsAnyRevision,
     /// A joiner takes the first answer.
-    FirstAnswer,
+    AcceptsFirstAnswer,
     /// A restarted node serves before it has asked anyone.
-    ServesAtOnce,
+    ServesBeforeJoin,
     /// Writes without comparing with what the operator saw.
-    BlindWrite,
+    UnconditionalWrite,
 }
 
 struct SpreadSpec {
-    broken: Break,
+    mutation: Mutation,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
@@ -33,7 +33,7 @@
     Down,
     /// Started; the answers that it got so far, by peer.
     Joining {
-        answers: [Option<u8>; NODES],
+        answers: [Option<u8>; NODE_COUNT],
     },
     /// In force there.
     Serving {
@@ -47,46 +47,46 @@
     /// What the service holds, and who wrote it.
     stored: (u8, u8),
     /// Whether the service answers.
-    up: bool,
+    service_up: bool,
     /// What each operator has read and wants to replace.
-    seen: [Option<u8>; 2],
+    read: [Option<u8>; 2],
     /// Writes that operators were told are accepted.
     accepted: [u8; 2],
-    nodes: [Node; NODES],
+    nodes: [Node; NODE_COUNT],
     /// Offers under way: from whom (by revision when sent) to whom. Late and in any order.
-    offers: [[Option<u8>; NODES]; NODES],
+    offers: [[Option<u8>; NODE_COUNT]; NODE_COUNT],
     /// Node 0 can't reach the others while true.
-    cut: bool,
-    restarts: u8,
-    cuts: u8,
-    outages: u8,
+    partitioned: bool,
+    remaining_restarts: u8,
+    remaining_partitions: u8,
+    remaining_outages: u8,
     /// The highest revision that each life of a node had in force; 0 after its restart.
-    reached: [u8; NODES],
+    highest_revision: [u8; NODE_COUNT],
     /// Set when a node went back.
-    fell: bool,
+    revision_decreased: bool,
     /// Set when a joiner came to serve less than every peer that it could ask has.
-    joined_low: bool,
+    joined_stale: bool,
 }
 
 impl State {
-    fn linked(&self, a: usize, b: usize) -> bool {
-        a != b && !(self.cut && (a == 0 || b == 0))
+    fn connected(&self, a: usize, b: usize) -> bool {
+        a != b && !(self.partitioned && (a == 0 || b == 0))
     }
 
-    fn serving(&self, i: usize) -> Option<u8> {
+    fn serving_revision(&self, i: usize) -> Option<u8> {
         match self.nodes[i] {
             Node::Serving { revision } => Some(revision),
             _ => None,
         }
     }
 
-    fn enforce(&mut self, i: usize, revision: u8) {
-        self.fell |= revision < self.reached[i];
-        self.reached[i] = revision;
+    fn apply_revision(&mut self, i: usize, revision: u8) {
+        self.revision_decreased |= revision < self.highest_revision[i];
+        self.highest_revision[i] = revision;
         self.nodes[i] = Node::Serving { revision };
         // A node offers what it has taken to all it has a link to.
-        for to in 0..NODES {
-            if self.linked(i, to) && !matches!(self.nodes[to], Node::Down) {
+        for to in 0..NODE_COUNT {
+            if self.connected(i, to) && !matches!(self.nodes[to], Node::Down) {
                 self.offers[i][to] = Some(revision);
             }
         }
@@ -95,121 +95,138 @@
     /// The least that a joiner may serve: the highest of the peers that it can ask, provided that
     /// all of them have been asked or the wait is over for those that are cut off.
     fn highest_reachable(&self, i: usize) -> u8 {
-        let peers = (0..NODES).filter(|p| self.linked(i, *p));
-        peers.filter_map(|p| self.serving(p)).max().unwrap_or(0)
+        let peers = (0..NODE_COUNT).filter(|p| self.connected(i, *p));
+        peers
+            .filter_map(|p| self.serving_revision(p))
+            .max()
+            .unwrap_or(0)
     }
 }
 
 impl SpreadSpec {
-    fn takes(&self, held: u8, offered: u8) -> bool {
-        match self.broken {
-            Break::TakesAny => offered != held,
-            _ => newer(u64::from(held), u64::from(offered)),
+    fn accepts(&self, current: u8, offered: u8) -> bool {
+        match self.mutation {
+            Mutation::AcceptsAnyRevision => offered != current,
+            _ => newer(u64::from(current), u64::from(offered)),
         }
     }
 
-    fn operators(&self, s: &State, next: &mut Vec<(String, State)>) {
+    fn operator_steps(&self, s: &State, successors: &mut Vec<(String, State)>) {
         for op in 0..2 {
-            if s.up && s.seen[op].is_none() {
+            if s.service_up && s.read[op].is_none() {
                 let mut n = s.clone();
-                n.seen[op] = Some(s.stored.0);
-                next.push((format!("operator {op} reads {}", s.stored.0), n));
+                n.read[op] = Some(s.stored.0);
+                successors.push((format!("operator {op} reads {}", s.stored.0), n));
             }
-            let Some(seen) = s.seen[op] else { continue };
-            let swaps = s.stored.0 == seen || self.broken == Break::BlindWrite;
-            if s.up && seen < LAST {
+            let Some(read) = s.read[op] else { continue };
+            let write_succeeds =
+                s.stored.0 == read || self.mutation == Mutation::UnconditionalWrite;
+            if s.service_up && read < MAX_REVISION {
                 let mut n = s.clone();
-                n.seen[op] = None;
-                if swaps {
-                    n.stored = (seen + 1, op as u8);
-                    n.accepted[op] = seen + 1;
+                n.read[op] = None;
+                if write_succeeds {
+                    n.stored = (read + 1, op as u8);
+                    n.accepted[op] = read + 1;
                 }
-                next.push((format!("operator {op} writes {}", seen + 1), n));
+                successors.push((format!("operator {op} writes {}", read + 1), n));
             }
         }
     }
 
-    fn faults(&self, s: &State, next: &mut Vec<(String, State)>) {
-        if s.outages > 0 || !s.up {
+    fn fault_steps(&self, s: &State, successors: &mut Vec<(String, State)>) {
+        if s.remaining_outages > 0 || !s.service_up {
             let mut n = s.clone();
-            n.up = !s.up;
-            n.outages -= u8::from(s.up);
-            next.push((format!("service up: {}", n.up), n));
+            n.service_up = !s.service_up;
+            n.remaining_outages -= u8::from(s.service_up);
+            successors.push((format!("service up: {}", n.service_up), n));
         }
-        if s.cuts > 0 || s.cut {
+        if s.remaining_partitions > 0 || s.partitioned {
             let mut n = s.clone();
-            n.cut = !s.cut;
-            n.cuts -= u8::from(n.cut);
-            next.push((format!("node 0 cut off: {}", n.cut), n));
+            n.partitioned = !s.partitioned;
+            n.remaining_partitions -= u8::from(n.partitioned);
+            successors.push((format!("node 0 cut off: {}", n.partitioned), n));
         }
-        for i in 0..NODES {
+        for i in 0..NODE_COUNT {
             match s.nodes[i] {
                 Node::Down => {
                     let mut n = s.clone();
                     n.nodes[i] = Node::Joining {
-                        answers: [None; NODES],
+                        answers: [None; NODE_COUNT],
                     };
-                    if self.broken == Break::ServesAtOnce {
+                    if self.mutation == Mutation::ServesBeforeJoin {
                         n.nodes[i] = Node::Serving { revision: 0 };
-                        n.joined_low |= s.highest_reachable(i) > 0;
+                        n.joined_stale |= s.highest_reachable(i) > 0;
                     }
-                    next.push((format!("node {i} starts"), n));
+                    successors.push((format!("node {i} starts"), n));
                 }
-                Node::Serving { .. } if s.restarts > 0 => {
+                Node::Serving { .. } if s.remaining_restarts > 0 => {
                     let mut n = s.clone();
-                    n.restarts -= 1;
+                    n.remaining_restarts -= 1;
                     n.nodes[i] = Node::Down;
-                    n.reached[i] = 0;
-                    for other in 0..NODES {
+                    n.highest_revision[i] = 0;
+                    for other in 0..NODE_COUNT {
                         n.offers[i][other] = None;
                         n.offers[other][i] = None;
                     }
-                    next.push((format!("node {i} dies"), n));
+                    successors.push((format!("node {i} dies"), n));
                 }
                 Node::Serving { .. } | Node::Joining { .. } => {}
             }
         }
     }
 
-    fn messages(&self, s: &State, next: &mut Vec<(String, State)>) {
-        for to in 0..NODES {
-            if s.up && !matches!(s.nodes[to], Node::Down) {
-                self.watch(s, to, next);
+    fn message_steps(&self, s: &State, successors: &mut Vec<(String, State)>) {
+        for to in 0..NODE_COUNT {
+            if s.service_up && !matches!(s.nodes[to], Node::Down) {
+                self.watch_steps(s, to, successors);
             }
-            for from in (0..NODES).filter(|from| s.linked(*from, to)) {
-                self.offer(s, from, to, next);
-                self.ask(s, from, to, next);
+            for from in (0..NODE_COUNT).filter(|from| s.connected(*from, to)) {
+                self.offer_steps(s, from, to, successors);
+                self.answer_steps(s, from, to, successors);
             }
-            self.settle(s, to, next);
+            self.join_steps(s, to, successors);
         }
     }
 
     /// A watch fires, or a starting node reads the key.
-    fn watch(&self, s: &State, to: usize, next: &mut Vec<(String, State)>) {
-        let held = s.serving(to).unwrap_or(0);
-        if s.stored.0 > 0 && self.takes(held, s.stored.0) {
+    fn watch_steps(&self, s: &State, to: usize, successors: &mut Vec<(String, State)>) {
+        let current = s.serving_revision(to).unwrap_or(0);
+        if s.stored.0 > 0 && self.accepts(current, s.stored.0) {
             let mut n = s.clone();
-            n.enforce(to, s.stored.0);
-            next.push((format!("node {to} reads {}", s.stored.0), n));
+            n.apply_revision(to, s.stored.0);
+            successors.push((format!("node {to} reads {}", s.stored.0), n));
         }
     }
 
     /// An offer arrives, maybe late.
-    fn offer(&self, s: &State, from: usize, to: usize, next: &mut Vec<(String, State)>) {
-        let (Some(offered), Some(held)) = (s.offers[from][to], s.serving(to)) else {
+    fn offer_steps(
+        &self,
+        s: &State,
+        from: usize,
+        to: usize,
+        successors: &mut Vec<(String, State)>,
+    ) {
+        let (Some(offered), Some(current)) = (s.offers[from][to], s.serving_revision(to)) else {
             return;
         };
         let mut n = s.clone();
         n.offers[from][to] = None;
-        if self.takes(held, offered) {
-            n.enforce(to, offered);
+        if self.accepts(current, offered) {
+            n.apply_revision(to, offered);
         }
-        next.push((format!("node {to} hears {offered} from {from}"), n));
+        successors.push((format!("node {to} hears {offered} from {from}"), n));
     }
 
     /// A joiner gets a peer's answer.
-    fn ask(&self, s: &State, from: usize, to: usize, next: &mut Vec<(String, State)>) {
-        let (Node::Joining { answers }, Some(revision)) = (s.nodes[to], s.serving(from)) else {
+    fn answer_steps(
+        &self,
+        s: &State,
+        from: usize,
+        to: usize,
+        successors: &mut Vec<(String, State)>,
+    ) {
+        let (Node::Joining { answers }, Some(revision)) = (s.nodes[to], s.serving_revision(from))
+        else {
             return;
         };
         if answers[from] != Some(revision) {
@@ -217,21 +234,22 @@
             let mut answers = answers;
             answers[from] = Some(revision);
             n.nodes[to] = Node::Joining { answers };
-            next.push((format!("joiner {to} is told {revision} by {from}"), n));
+            successors.push((format!("joiner {to} is told {revision} by {from}"), n));
         }
     }
 
     /// A joiner has asked enough, or waited for peers that can't answer.
-    fn settle(&self, s: &State, i: usize, next: &mut Vec<(String, State)>) {
+    fn join_steps(&self, s: &State, i: usize, successors: &mut Vec<(String, State)>) {
         let Node::Joining { answers } = s.nodes[i] else {
             return;
         };
-        let got = answers.iter().flatten().count();
-        let can = (0..NODES).filter(|p| s.linked(i, *p) && s.serving(*p).is_some());
-        let waited = can.clone().all(|p| answers[p].is_some());
-        let enough = match self.broken {
-            Break::FirstAnswer => got > 0,
-            _ => settled(got, NODES - 1, waited),
+        let answer_count = answers.iter().flatten().count();
+        let reachable =
+            (0..NODE_COUNT).filter(|p| s.connected(i, *p) && s.serving_revision(*p).is_some());
+        let all_answered = reachable.clone().all(|p| answers[p].is_some());
+        let enough = match self.mutation {
+            Mutation::AcceptsFirstAnswer => answer_count > 0,
+            _ => settled(answer_count, NODE_COUNT - 1, all_answered),
         };
         let Some(best) = answers
             .iter()
@@ -244,14 +262,14 @@
         };
         // Peers that changed since they answered offer the newer one; what counts is whether one
         // that could be asked was left out.
-        let left_out = can
+        let newest_unasked = reachable
             .filter(|p| answers[*p].is_none())
-            .filter_map(|p| s.serving(p))
+            .filter_map(|p| s.serving_revision(p))
             .max();
         let mut n = s.clone();
-        n.joined_low |= left_out.is_some_and(|l| l > best);
-        n.enforce(i, best);
-        next.push((format!("joiner {i} serves {best}"), n));
+        n.joined_stale |= newest_unasked.is_some_and(|l| l > best);
+        n.apply_revision(i, best);
+        successors.push((format!("joiner {i} serves {best}"), n));
     }
 }
 
@@ -261,40 +279,40 @@
     fn initial(&self) -> Vec<State> {
         vec![State {
             stored: (1, 0),
-            up: true,
-            seen: [None; 2],
+            service_up: true,
+            read: [None; 2],
             accepted: [0; 2],
-            nodes: [Node::Serving { revision: 1 }; NODES],
-            offers: [[None; NODES]; NODES],
-            cut: false,
-            restarts: 1,
-            cuts: 1,
-            outages: 1,
-            reached: [1; NODES],
-            fell: false,
-            joined_low: false,
+            nodes: [Node::Serving { revision: 1 }; NODE_COUNT],
+            offers: [[None; NODE_COUNT]; NODE_COUNT],
+            partitioned: false,
+            remaining_restarts: 1,
+            remaining_partitions: 1,
+            remaining_outages: 1,
+            highest_revision: [1; NODE_COUNT],
+            revision_decreased: false,
+            joined_stale: false,
         }]
     }
 
     fn steps(&self, s: &State) -> Vec<(String, State)> {
-        let mut next = Vec::new();
-        self.operators(s, &mut next);
-        self.faults(s, &mut next);
-        self.messages(s, &mut next);
-        next
+        let mut successors = Vec::new();
+        self.operator_steps(s, &mut successors);
+        self.fault_steps(s, &mut successors);
+        self.message_steps(s, &mut successors);
+        successors
     }
 
     fn invariant(&self, s: &State) -> Result<(), String> {
-        let lost = s.accepted[0] > 0 && s.accepted[0] == s.accepted[1];
+        let double_accept = s.accepted[0] > 0 && s.accepted[0] == s.accepted[1];
         match () {
-            () if s.fell => Err("a node went back to an older revision".to_owned()),
-            () if s.joined_low => {
+            () if s.revision_decreased => Err("a node went back to an older revision".to_owned()),
+            () if s.joined_stale => {
                 Err("a joiner serves less than a peer that it could ask".to_owned())
             }
-            () if lost => {
+            () if double_accept => {
                 Err("two operators were told that the same revision is theirs".to_owned())
             }
-            () if s.nodes.iter().any(|n| ahead(n, s.stored.0)) => {
+            () if s.nodes.iter().any(|n| is_ahead_of_store(n, s.stored.0)) => {
                 Err("a node serves what was never stored".to_owned())
             }
             () => Ok(()),
@@ -302,17 +320,17 @@
     }
 }
 
-fn ahead(node: &Node, stored: u8) -> bool {
+fn is_ahead_of_store(node: &Node, stored: u8) -> bool {
     matches!(node, Node::Serving { revision } if *revision > stored)
 }
 
 #[test]
-fn the_spread_keeps_its_invariants_in_every_state() {
+fn config_spread_keeps_its_invariants_in_every_state() {
     let states = explore(
         &SpreadSpec {
-            broken: Break::Nothing,
+            mutation: Mutation::Unmodified,
         },
-        BOUND,
+        MAX_STATES,
     );
     let states = states.unwrap_or_else(|found| panic!("{found}"));
     println!("{states} states of the spread");
@@ -322,26 +340,29 @@
 /// Each mistake is one that somebody could make in the code; the specification must see what users
 /// would: a withdrawn version that serves again, or an operator's change that is lost.
 #[test]
-fn each_deliberate_break_is_found() {
+fn each_mutation_is_found() {
     let cases = [
-        (Break::TakesAny, "a node went back to an older revision"),
         (
-            Break::FirstAnswer,
+            Mutation::AcceptsAnyRevision,
+            "a node went back to an older revision",
+        ),
+        (
+            Mutation::AcceptsFirstAnswer,
             "a joiner serves less than a peer that it could ask",
         ),
         (
-            Break::ServesAtOnce,
+            Mutation::ServesBeforeJoin,
             "a joiner serves less than a peer that it could ask",
         ),
         (
-            Break::BlindWrite,
+            Mutation::UnconditionalWrite,
             "two operators were told that the same revision is theirs",
         ),
     ];
-    for (broken, promise) in cases {
-        let found = explore(&SpreadSpec { broken }, BOUND).expect_err("the break is found");
-        println!("{broken:?}: {found}");
-        assert_eq!(found.broken, promise);
+    for (mutation, violation) in cases {
+        let found = explore(&SpreadSpec { mutation }, MAX_STATES).expect_err("the break is found");
+        println!("{mutation:?}: {found}");
+        assert_eq!(found.broken, violation);
         assert!(found.steps.len() <= 12, "{found}");
     }
 }
--- a/crates/oatdale-mesh/tests/support/app.rs
+++ b/crates/oatdale-mesh/tests/support/app.rs
@@ -9,14 +9,14 @@
 
 /// What a node saw since its start.
 #[derive(Default)]
-pub(crate) struct App {
+pub(crate) struct AppState {
     /// Revisions in the order in which they came into force.
     pub(crate) revisions: Vec<u64>,
     pub(crate) document: Bytes,
     /// The last revision that the mesh told.
-    pub(crate) told: u64,
+    pub(crate) last_document_revision: u64,
     pub(crate) joined: bool,
-    pub(crate) watches: bool,
+    pub(crate) watches_key: bool,
     pub(crate) peers: Vec<PeerView>,
     pub(crate) shares: BTreeMap<u32, f32>,
     pub(crate) acks: BTreeMap<u128, HoldAck>,
@@ -30,36 +30,39 @@
 #[derive(Default)]
 pub(crate) struct Platform {
     pub(crate) revision: u64,
-    pub(crate) text: Bytes,
+    pub(crate) stored_document: Bytes,
     /// Nodes that can't reach it.
-    pub(crate) out_of_reach: BTreeSet<usize>,
+    pub(crate) unreachable_from: BTreeSet<usize>,
     /// The first record of each id stays.
     pub(crate) journal: BTreeMap<u128, Bytes>,
     /// Broken promises, as they are noticed.
-    pub(crate) broken: Vec<String>,
+    pub(crate) violations: Vec<String>,
 }
 
 impl Fleet {
     /// An operator writes the next revision; nodes that watch learn of it a little later.
-    pub(crate) fn write(&mut self, text: impl Into<Bytes>) -> u64 {
+    pub(crate) fn write_config(&mut self, text: impl Into<Bytes>) -> u64 {
         self.platform.revision += 1;
-        self.platform.text = text.into();
-        for i in self.up() {
-            if self.nodes[i].app.watches {
-                self.read_service(i);
+        self.platform.stored_document = text.into();
+        for i in self.live_nodes() {
+            if self.nodes[i].app.watches_key {
+                self.read_config(i);
             }
         }
         self.platform.revision
     }
 
     /// A read of the key, or a watch that fires.
-    pub(crate) fn read_service(&mut self, i: usize) {
-        let (revision, document) = (self.platform.revision, self.platform.text.clone());
-        let reached = !self.platform.out_of_reach.contains(&i);
+    pub(crate) fn read_config(&mut self, i: usize) {
+        let (revision, document) = (
+            self.platform.revision,
+            self.platform.stored_document.clone(),
+        );
+        let can_reach = !self.platform.unreachable_from.contains(&i);
         let before = self.nodes[i].app.local.service_up;
-        if reached && revision > 0 {
-            let after = ms(3 + self.random(10));
-            self.later(
+        if can_reach && revision > 0 {
+            let after = ms(3 + self.random_below(10));
+            self.schedule_input(
                 i,
                 after,
                 Input::Adopted {
@@ -67,46 +70,46 @@
                     document: document.clone(),
                 },
             );
-            self.force(i, revision, &document);
+            self.put_in_force(i, revision, &document);
         }
-        if before != Some(reached) {
-            self.nodes[i].app.local.service_up = Some(reached);
-            self.tell_local(i);
+        if before != Some(can_reach) {
+            self.nodes[i].app.local.service_up = Some(can_reach);
+            self.send_local_state(i);
         }
     }
 
-    pub(crate) fn tell_local(&mut self, i: usize) {
+    pub(crate) fn send_local_state(&mut self, i: usize) {
         let mut local = self.nodes[i].app.local.clone();
         local.accepting = true;
-        self.later(i, ms(1), Input::Local(local));
+        self.schedule_input(i, ms(1), Input::Local(local));
     }
 
     /// The service can be reached by these nodes only.
-    pub(crate) fn service_for(&mut self, reach: impl Fn(usize) -> bool) {
-        self.tally.outages += 1;
-        self.platform.out_of_reach = (0..self.nodes.len()).filter(|i| !reach(*i)).collect();
-        for i in self.up() {
-            if self.nodes[i].app.watches {
-                self.read_service(i);
+    pub(crate) fn set_service_reachable(&mut self, reachable: impl Fn(usize) -> bool) {
+        self.stats.outages += 1;
+        self.platform.unreachable_from = (0..self.nodes.len()).filter(|i| !reachable(*i)).collect();
+        for i in self.live_nodes() {
+            if self.nodes[i].app.watches_key {
+                self.read_config(i);
             }
         }
     }
 
     /// The platform's list of hosts, as it is now.
-    pub(crate) fn list_hosts(&mut self) {
-        let listed = self.up().into_iter().map(|i| self.nodes[i].address);
+    pub(crate) fn publish_host_list(&mut self) {
+        let listed = self.live_nodes().into_iter().map(|i| self.nodes[i].address);
         let list: Vec<ListedHost> = listed
             .map(|address| ListedHost {
                 address,
                 leaving: false,
             })
             .collect();
-        for i in self.up() {
-            self.input(i, Input::Hosts(list.clone()));
+        for i in self.live_nodes() {
+            self.deliver_input(i, Input::Hosts(list.clone()));
         }
     }
 
-    fn force(&mut self, i: usize, revision: u64, document: &Bytes) {
+    fn put_in_force(&mut self, i: usize, revision: u64, document: &Bytes) {
         let app = &mut self.nodes[i].app;
         if app.revisions.last().is_none_or(|last| *last < revision) {
             app.revisions.push(revision);
@@ -118,22 +121,22 @@
         match event {
             Event::Joined { .. } => self.nodes[i].app.joined = true,
             Event::Document { revision, document } => {
-                let last = self.nodes[i].app.told;
+                let last = self.nodes[i].app.last_document_revision;
                 if revision <= last {
                     self.platform
-                        .broken
+                        .violations
                         .push(format!("{i}: told {revision} after {last}"));
                 }
-                self.nodes[i].app.told = revision;
-                self.force(i, revision, &document);
-                self.later(i, ms(1), Input::Adopted { revision, document });
+                self.nodes[i].app.last_document_revision = revision;
+                self.put_in_force(i, revision, &document);
+                self.schedule_input(i, ms(1), Input::Adopted { revision, document });
             }
             Event::Peers(peers) => self.nodes[i].app.peers = peers,
             Event::Demand(list) => {
                 let shares = list.iter().map(|s| (s.customer, s.share)).collect();
                 self.nodes[i].app.shares = shares;
             }
-            Event::Evidence(list) => self.evidence(i, &list),
+            Event::Evidence(list) => self.record_evidence(i, &list),
             Event::Stops(list) => {
                 self.nodes[i].app.stops = list.into_iter().map(|s| s.version).collect();
             }
@@ -142,12 +145,12 @@
                 for (id, record) in list {
                     self.platform.journal.entry(id).or_insert(record);
                 }
-                self.later(i, ms(20), Input::Release(ids));
+                self.schedule_input(i, ms(20), Input::Release(ids));
             }
             Event::WatchKey(watch) => {
-                self.nodes[i].app.watches = watch;
+                self.nodes[i].app.watches_key = watch;
                 if watch {
-                    self.read_service(i);
+                    self.read_config(i);
                 }
             }
             Event::Superseded { .. } | Event::LeaveDone => self.nodes[i].app.ended = true,
@@ -155,56 +158,58 @@
         }
     }
 
-    fn evidence(&mut self, i: usize, list: &[oatdale_mesh::VersionCounters]) {
+    fn record_evidence(&mut self, i: usize, list: &[oatdale_mesh::VersionCounters]) {
         for version in list {
             let old = self.nodes[i]
                 .app
                 .evidence
                 .insert(version.version, version.counts.clone());
-            let fell = old
+            let decreased = old
                 .iter()
                 .flatten()
                 .zip(&version.counts)
                 .any(|(a, b)| a > b);
-            if fell {
-                self.platform.broken.push(format!("{i}: a counter fell"));
+            if decreased {
+                self.platform
+                    .violations
+                    .push(format!("{i}: a counter fell"));
             }
         }
     }
 
-    pub(crate) fn held(&mut self, i: usize, id: u128, ack: HoldAck) {
+    pub(crate) fn on_hold_done(&mut self, i: usize, id: u128, ack: HoldAck) {
         self.nodes[i].app.acks.insert(id, ack);
     }
 
     /// The node itself appends its record to the journal and releases it.
-    pub(crate) fn journal(&mut self, i: usize, id: u128, record: &Bytes) {
+    pub(crate) fn append_to_journal(&mut self, i: usize, id: u128, record: &Bytes) {
         self.platform
             .journal
             .entry(id)
             .or_insert_with(|| record.clone());
-        self.later(i, ms(5), Input::Release(vec![id]));
+        self.schedule_input(i, ms(5), Input::Release(vec![id]));
     }
 
     /// Every node that is up holds the newest revision.
-    pub(crate) fn all_hold(&self, revision: u64) -> bool {
-        self.up()
+    pub(crate) fn all_at_revision(&self, revision: u64) -> bool {
+        self.live_nodes()
             .into_iter()
             .all(|i| self.nodes[i].revision() >= revision)
     }
 
     /// Every node sees every other one alive and no other.
     pub(crate) fn views_agree(&self) -> bool {
-        let up = self.up();
-        up.iter().all(|i| {
+        let live_nodes = self.live_nodes();
+        live_nodes.iter().all(|i| {
             let alive = |p: &&PeerView| p.state == PeerState::Alive;
-            self.nodes[*i].app.peers.iter().filter(alive).count() == up.len() - 1
+            self.nodes[*i].app.peers.iter().filter(alive).count() == live_nodes.len() - 1
         })
     }
 
     /// Who does not see whom alive, or lacks the newest revision.
     pub(crate) fn disagreement(&self) -> String {
         let mut text = String::from("no agreement:");
-        for i in self.up() {
+        for i in self.live_nodes() {
             let node = &self.nodes[i];
             let alive = |p: &&PeerView| p.state == PeerState::Alive;
             let seen: BTreeSet<&str> = node
@@ -231,25 +236,28 @@
 
     /// The sum of a customer's shares over nodes that run.
     pub(crate) fn share_sum(&self, customer: u32) -> f32 {
-        let running = self.up().into_iter().filter(|i| !self.nodes[*i].paused);
+        let running = self
+            .live_nodes()
+            .into_iter()
+            .filter(|i| !self.nodes[*i].paused);
         running
             .filter_map(|i| self.nodes[i].app.shares.get(&customer))
             .sum()
     }
 
     /// Lets time pass and returns the greatest sum of a customer's shares meanwhile.
-    pub(crate) fn greatest_sum(&mut self, span: Duration, customer: u32) -> f32 {
+    pub(crate) fn peak_share_sum(&mut self, span: Duration, customer: u32) -> f32 {
         let end = self.now + span;
-        let mut greatest = 0.0f32;
+        let mut peak_sum = 0.0f32;
         while self.now < end {
             self.run(ms(50));
-            greatest = greatest.max(self.share_sum(customer));
+            peak_sum = peak_sum.max(self.share_sum(customer));
         }
-        greatest
+        peak_sum
     }
 
     pub(crate) fn set_demand(&mut self, i: usize, demand: Vec<(u32, f32)>) {
         self.nodes[i].app.local.demand = demand;
-        self.tell_local(i);
+        self.send_local_state(i);
     }
 }
--- a/crates/oatdale-mesh/tests/support/fleet.rs
+++ b/crates/oatdale-mesh/tests/support/fleet.rs
@@ -4,9 +4,9 @@
 //! connection until it heals, as TCP does; a silent kill tells nobody, as a host without power.
 #![allow(dead_code)]
 
-use super::app::{App, Platform};
-use super::faults::Tally;
-use super::network::Wire;
+use super::app::{AppState, Platform};
+use super::faults::RunStats;
+use super::network::Connection;
 use oatdale_mesh::{
     Card, Conn, Event, HostId, Input, Intervals, LocalState, Member, MemberConfig, Output,
 };
@@ -21,40 +21,40 @@
     Duration::from_millis(n)
 }
 
-pub(crate) struct Slot {
+pub(crate) struct SimNode {
     pub(crate) name: String,
     pub(crate) domain: usize,
     pub(crate) address: SocketAddr,
     pub(crate) member: Option<Member>,
-    pub(crate) app: App,
+    pub(crate) app: AppState,
     pub(crate) paused: bool,
     started: Duration,
-    pub(super) life: u64,
-    pub(super) chain: u64,
-    pub(super) inbox: Vec<Input>,
+    pub(super) generation: u64,
+    pub(super) tick_epoch: u64,
+    pub(super) deferred_inputs: Vec<Input>,
     pub(crate) sent_bytes: usize,
     pub(crate) sent_frames: usize,
     pub(crate) received_bytes: usize,
     /// Time spent in the member's code and in coding frames.
-    pub(crate) busy: Duration,
+    pub(crate) processing_time: Duration,
 }
 
 #[derive(Debug)]
-pub(super) enum Delivery {
+pub(super) enum ScheduledEvent {
     Dial {
         from: usize,
-        life: u64,
+        generation: u64,
         to: SocketAddr,
     },
-    Up {
+    LinkUp {
         conn: u64,
         end: usize,
         dialed: Option<SocketAddr>,
         card: Card,
     },
     DialFailed {
-        at: usize,
-        life: u64,
+        node: usize,
+        generation: u64,
         address: SocketAddr,
         myself: bool,
     },
@@ -68,65 +68,65 @@
         to: usize,
     },
     Tick {
-        at: usize,
-        chain: u64,
+        node: usize,
+        tick_epoch: u64,
     },
-    App {
-        at: usize,
-        life: u64,
+    AppInput {
+        node: usize,
+        generation: u64,
         input: Input,
     },
 }
 
 pub(crate) struct Fleet {
     pub(crate) now: Duration,
-    pub(crate) nodes: Vec<Slot>,
+    pub(crate) nodes: Vec<SimNode>,
     pub(crate) platform: Platform,
-    pub(crate) tally: Tally,
+    pub(crate) stats: RunStats,
     pub(crate) intervals: Intervals,
     /// Measure the time spent in each member, which makes a run slower but not different.
-    pub(crate) clocked: bool,
+    pub(crate) measure_processing: bool,
     rng: Pcg64,
-    pub(super) cuts: BTreeSet<(usize, usize)>,
-    pub(super) wires: BTreeMap<u64, Wire>,
-    pub(super) held: Vec<Delivery>,
-    pub(super) queue: BTreeMap<(Duration, u64), Delivery>,
+    pub(super) partitioned_pairs: BTreeSet<(usize, usize)>,
+    pub(super) connections: BTreeMap<u64, Connection>,
+    pub(super) blocked_events: Vec<ScheduledEvent>,
+    pub(super) queue: BTreeMap<(Duration, u64), ScheduledEvent>,
     pub(super) counter: u64,
     /// How far wall clocks of hosts that start are behind.
-    pub(crate) clock_back: Duration,
+    pub(crate) clock_lag: Duration,
 }
 
 impl Fleet {
     /// `domains` failure domains of `each` hosts, none started.
-    pub(crate) fn new(seed: u64, domains: usize, each: usize) -> Self {
-        Self::of(seed, domains, domains * each)
+    pub(crate) fn new(seed: u64, domains: usize, hosts_per_domain: usize) -> Self {
+        Self::with_hosts(seed, domains, domains * hosts_per_domain)
     }
 
     /// So many hosts spread over so many failure domains, none started.
-    pub(crate) fn of(seed: u64, domains: usize, hosts: usize) -> Self {
-        let nodes = (0..hosts).map(|i| Slot::new(i, i % domains)).collect();
+    pub(crate) fn with_hosts(seed: u64, domains: usize, hosts: usize) -> Self {
+        let nodes = (0..hosts).map(|i| SimNode::new(i, i % domains)).collect();
         Fleet {
             now: Duration::from_secs(1),
             nodes,
             platform: Platform::default(),
-            tally: Tally::default(),
+            stats: RunStats::default(),
             intervals: Intervals {
                 orphan: Duration::from_secs(5),
                 ..Intervals::default()
             },
-            clocked: false,
+            measure_processing: false,
             rng: Pcg64::seed_from_u64(seed),
-            cuts: BTreeSet::new(),
-            wires: BTreeMap::new(),
-            held: Vec::new(),
+            partitioned_pairs: BTreeSet::new(),
+            connections: BTreeMap::new(),
+            blocked_events: Vec::new(),
             queue: BTreeMap::new(),
             counter: 0,
-            clock_back: Duration::ZERO,
+            clock_lag: Duration::ZERO,
         }
     }
 
-    pub(crate) fn random(&mut self, below: u64) -> u64 {
-        self.rng.next_u64() % below.max(1)
+    pub(crate) fn random_below(&mut self, limit: u64) -> u64 {
+        self.rng.next_u64() % limit.max(1)
     }
 
     pub(crate) fn start_all(&mut self) {
@@ -141,21 +141,21 @@
 
     pub(crate) fn start(&mut self, i: usize) {
         let seeds = self.seeds();
-        self.start_with(i, seeds);
+        self.start_with_seeds(i, seeds);
     }
 
-    pub(crate) fn start_with(&mut self, i: usize, seeds: Vec<SocketAddr>) {
-        let jitter = ms(self.random(50));
-        let (now, intervals, clock_back) = (self.now, self.intervals, self.clock_back);
-        let slot = &mut self.nodes[i];
-        slot.life += 1;
+    pub(crate) fn start_with_seeds(&mut self, i: usize, seeds: Vec<SocketAddr>) {
+        let jitter = ms(self.random_below(50));
+        let (now, intervals, clock_lag) = (self.now, self.intervals, self.clock_lag);
+        let sim_node = &mut self.nodes[i];
+        sim_node.generation += 1;
         let card = Card {
-            host: slot.name.clone(),
-            domain: format!("hall-{}", slot.domain),
-            region: format!("region-{}", slot.domain % 5),
-            incarnation: (now - clock_back).as_millis() as u64,
-            address: slot.address,
-            caller: slot.address,
+            host: sim_node.name.clone(),
+            domain: format!("hall-{}", sim_node.domain),
+            region: format!("region-{}", sim_node.domain % 5),
+            incarnation: (now - clock_lag).as_millis() as u64,
+            address: sim_node.address,
+            caller: sim_node.address,
         };
         let cfg = MemberConfig {
             card,
@@ -163,32 +163,38 @@
             holders: 2,
             intervals,
         };
-        slot.member = Some(Member::new(cfg, Duration::ZERO));
-        slot.app = App::default();
-        slot.paused = false;
-        slot.started = now;
-        slot.inbox.clear();
-        slot.chain += 1;
-        let chain = slot.chain;
-        self.schedule(now + jitter, Delivery::Tick { at: i, chain });
+        sim_node.member = Some(Member::new(cfg, Duration::ZERO));
+        sim_node.app = AppState::default();
+        sim_node.paused = false;
+        sim_node.started = now;
+        sim_node.deferred_inputs.clear();
+        sim_node.tick_epoch += 1;
+        let tick_epoch = sim_node.tick_epoch;
+        self.schedule(
+            now + jitter,
+            ScheduledEvent::Tick {
+                node: i,
+                tick_epoch,
+            },
+        );
         let local = LocalState {
             accepting: true,
             ..LocalState::default()
         };
-        self.input(i, Input::Local(local));
-        self.read_service(i);
+        self.deliver_input(i, Input::Local(local));
+        self.read_config(i);
     }
 
-    pub(crate) fn is_up(&self, i: usize) -> bool {
+    pub(crate) fn is_live(&self, i: usize) -> bool {
         self.nodes[i].member.is_some()
     }
 
-    pub(crate) fn up(&self) -> Vec<usize> {
-        (0..self.nodes.len()).filter(|i| self.is_up(*i)).collect()
+    pub(crate) fn live_nodes(&self) -> Vec<usize> {
+        (0..self.nodes.len()).filter(|i| self.is_live(*i)).collect()
     }
 
-    pub(super) fn apart(&self, a: usize, b: usize) -> bool {
-        self.cuts.contains(&(a.min(b), a.max(b)))
+    pub(super) fn is_partitioned(&self, a: usize, b: usize) -> bool {
+        self.partitioned_pairs.contains(&(a.min(b), a.max(b)))
     }
 
     /// Lets time pass.
@@ -222,129 +228,160 @@
             .copied()
             .filter(|(at, _)| *at <= end)?;
         self.now = key.0.max(self.now);
-        let delivery = self.queue.remove(&key)?;
-        self.deliver(delivery);
+        let scheduled = self.queue.remove(&key)?;
+        self.dispatch(scheduled);
         Some(self.now)
     }
 
     /// Each start and each return from a pause begins a new chain of ticks.
-    fn tick(&mut self, i: usize, chain: u64) {
-        if self.nodes[i].chain == chain && self.is_up(i) && !self.nodes[i].paused {
-            self.schedule(self.now + TICK, Delivery::Tick { at: i, chain });
-            self.input(i, Input::Tick);
+    fn tick(&mut self, i: usize, tick_epoch: u64) {
+        if self.nodes[i].tick_epoch == tick_epoch && self.is_live(i) && !self.nodes[i].paused {
+            self.schedule(
+                self.now + TICK,
+                ScheduledEvent::Tick {
+                    node: i,
+                    tick_epoch,
+                },
+            );
+            self.deliver_input(i, Input::Tick);
         }
     }
 
-    pub(super) fn schedule(&mut self, at: Duration, delivery: Delivery) {
+    pub(super) fn schedule(&mut self, at: Duration, scheduled: ScheduledEvent) {
         self.counter += 1;
-        self.queue.insert((at, self.counter), delivery);
+        self.queue.insert((at, self.counter), scheduled);
     }
 
     /// An input from the node's other duties, a little later.
-    pub(crate) fn later(&mut self, i: usize, after: Duration, input: Input) {
-        let life = self.nodes[i].life;
-        self.schedule(self.now + after, Delivery::App { at: i, life, input });
+    pub(crate) fn schedule_input(&mut self, i: usize, after: Duration, input: Input) {
+        let generation = self.nodes[i].generation;
+        self.schedule(
+            self.now + after,
+            ScheduledEvent::AppInput {
+                node: i,
+                generation,
+                input,
+            },
+        );
     }
 
-    fn deliver(&mut self, delivery: Delivery) {
-        match delivery {
-            Delivery::Dial { from, life, to } => self.dialed(from, life, to),
-            Delivery::Up {
+    fn dispatch(&mut self, scheduled: ScheduledEvent) {
+        match scheduled {
+            ScheduledEvent::Dial {
+                from,
+                generation,
+                to,
+            } => self.complete_dial(from, generation, to),
+            ScheduledEvent::LinkUp {
                 conn,
                 end,
                 dialed,
                 card,
             } => {
-                let Some(wire) = self.wires.get(&conn) else {
+                let Some(connection) = self.connections.get(&conn) else {
                     return;
                 };
-                if wire.open[end] {
+                if connection.open[end] {
                     let conn = Conn(conn * 2 + end as u64);
-                    self.input(wire.ends[end], Input::Connected { conn, card, dialed });
+                    self.deliver_input(
+                        connection.ends[end],
+                        Input::Connected { conn, card, dialed },
+                    );
                 }
             }
-            Delivery::DialFailed {
-                at,
-                life,
+            ScheduledEvent::DialFailed {
+                node,
+                generation,
                 address,
                 myself,
-            } if self.nodes[at].life == life => {
-                self.input(at, Input::DialFailed { address, myself });
+            } if self.nodes[node].generation == generation => {
+                self.deliver_input(node, Input::DialFailed { address, myself });
             }
-            Delivery::DialFailed { .. } => {}
-            Delivery::Tick { at, chain } => self.tick(at, chain),
-            Delivery::Frame { conn, to, bytes } => self.frame(conn, to, bytes),
-            Delivery::Closed { conn, to } => self.closed(conn, to),
-            Delivery::App { at, life, input } if self.nodes[at].life == life => {
-                self.input(at, input);
+            ScheduledEvent::DialFailed { .. } => {}
+            ScheduledEvent::Tick { node, tick_epoch } => self.tick(node, tick_epoch),
+            ScheduledEvent::Frame { conn, to, bytes } => self.deliver_frame(conn, to, bytes),
+            ScheduledEvent::Closed { conn, to } => self.deliver_close(conn, to),
+            ScheduledEvent::AppInput {
+                node,
+                generation,
+                input,
+            } if self.nodes[node].generation == generation => {
+                self.deliver_input(node, input);
             }
-            Delivery::App { .. } => {}
+            ScheduledEvent::AppInput { .. } => {}
         }
     }
 
     /// Gives a node an input and carries out what it wants; a paused node gets it later.
-    pub(crate) fn input(&mut self, i: usize, input: Input) {
-        let slot = &mut self.nodes[i];
-        if slot.paused {
+    pub(crate) fn deliver_input(&mut self, i: usize, input: Input) {
+        let sim_node = &mut self.nodes[i];
+        if sim_node.paused {
             if !matches!(input, Input::Tick) {
-                slot.inbox.push(input);
+                sim_node.deferred_inputs.push(input);
             }
             return;
         }
-        let Some(member) = slot.member.as_mut() else {
+        let Some(member) = sim_node.member.as_mut() else {
             return;
         };
-        let start = self.clocked.then(std::time::Instant::now);
+        let start = self.measure_processing.then(std::time::Instant::now);
         let before = member.revision();
-        let outputs = member.handle(input, self.now - slot.started);
+        let outputs = member.handle(input, self.now - sim_node.started);
         if member.revision() < before {
             self.platform
-                .broken
+                .violations
                 .push(format!("{i}: fell from {before}"));
         }
-        slot.busy += start.map_or(Duration::ZERO, |s| s.elapsed());
+        sim_node.processing_time += start.map_or(Duration::ZERO, |s| s.elapsed());
         for output in outputs {
-            self.output(i, output);
+            self.apply_output(i, output);
         }
     }
 
-    fn output(&mut self, i: usize, output: Output) {
+    fn apply_output(&mut self, i: usize, output: Output) {
         match output {
             Output::Send { conn, frame } => self.send(i, conn, &frame),
             Output::Dial(to) => {
-                let life = self.nodes[i].life;
-                self.schedule(self.now + ms(1), Delivery::Dial { from: i, life, to });
+                let generation = self.nodes[i].generation;
+                self.schedule(
+                    self.now + ms(1),
+                    ScheduledEvent::Dial {
+                        from: i,
+                        generation,
+                        to,
+                    },
+                );
             }
             Output::Close(conn) => self.close(conn.0 / 2, i, false),
-            Output::HoldDone { id, ack } => self.held(i, id, ack),
+            Output::HoldDone { id, ack } => self.on_hold_done(i, id, ack),
             Output::Forwarded(_) => {}
-            Output::Event(event) => self.event(i, event),
+            Output::Event(event) => self.deliver_event(i, event),
         }
     }
 
-    fn event(&mut self, i: usize, event: Event) {
+    fn deliver_event(&mut self, i: usize, event: Event) {
         self.on_event(i, event);
     }
 }
 
-impl Slot {
+impl SimNode {
     fn new(i: usize, domain: usize) -> Self {
         let address = SocketAddr::from(([10, 0, (i / 250) as u8, (i % 250) as u8], 7000));
-        Slot {
+        SimNode {
             name: format!("host-{i}"),
             domain,
             address,
             member: None,
-            app: App::default(),
+            app: AppState::default(),
             paused: false,
             started: Duration::ZERO,
-            life: 0,
-            chain: 0,
-            inbox: Vec::new(),
+            generation: 0,
+            tick_epoch: 0,
+            deferred_inputs: Vec::new(),
             sent_bytes: 0,
             sent_frames: 0,
             received_bytes: 0,
-            busy: Duration::ZERO,
+            processing_time: Duration::ZERO,
         }
     }
 
--- a/crates/oatdale-mesh/tests/support/sockets.rs
+++ b/crates/oatdale-mesh/tests/support/sockets.rs
@@ -10,9 +10,9 @@
 use tokio::time::timeout;
 
 /// A hung test fails after this; nothing else depends on it.
-const BOUND: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-pub(crate) const KEY: [u8; 32] = [7; 32];
+pub(crate) const MESH_KEY: [u8; 32] = [7; 32];
 
 pub(crate) struct Node {
     pub(crate) address: SocketAddr,
@@ -21,7 +21,7 @@
     pub(crate) task: JoinHandle<()>,
 }
 
-pub(crate) fn settings(host: &str, domain: &str, seeds: &[SocketAddr]) -> MeshConfig {
+pub(crate) fn mesh_config(host: &str, domain: &str, seeds: &[SocketAddr]) -> MeshConfig {
     let socket = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = socket.local_addr().expect("it is bound");
     MeshConfig {
@@ -33,7 +33,7 @@
         advertise: address,
         caller: address,
         seeds: seeds.to_vec(),
-        key: KEY.to_vec(),
+        key: MESH_KEY.to_vec(),
         holders: 2,
         intervals: Intervals {
             beat: Duration::from_millis(100),
@@ -43,7 +43,7 @@
     }
 }
 
-pub(crate) fn start_with(cfg: MeshConfig) -> Node {
+pub(crate) fn start_with_config(cfg: MeshConfig) -> Node {
     let address = cfg.advertise;
     let (tx, commands) = mpsc::channel(64);
     let (events, rx) = mpsc::channel(64);
@@ -61,10 +61,10 @@
 }
 
 pub(crate) async fn start(host: &str, domain: &str, seeds: &[SocketAddr]) -> Node {
-    start_with(settings(host, domain, seeds))
+    start_with_config(mesh_config(host, domain, seeds))
 }
 
-pub(crate) async fn start_three() -> Vec<Node> {
+pub(crate) async fn start_three_nodes() -> Vec<Node> {
     let a = start("a", "hall-1", &[]).await;
     let b = start("b", "hall-2", &[a.address]).await;
     let c = start("c", "hall-3", &[a.address]).await;
@@ -72,8 +72,8 @@
 }
 
 impl Node {
-    pub(crate) async fn until(&mut self, pred: impl Fn(&Event) -> bool) -> Event {
-        let search = async {
+    pub(crate) async fn wait_for_event(&mut self, pred: impl Fn(&Event) -> bool) -> Event {
+        let matching_event = async {
             loop {
                 let event = self.rx.recv().await.expect("the duty runs");
                 if pred(&event) {
@@ -81,7 +81,9 @@
                 }
             }
         };
-        timeout(BOUND, search).await.expect("the event comes")
+        timeout(TEST_TIMEOUT, matching_event)
+            .await
+            .expect("the event comes")
     }
 
     pub(crate) async fn adopt(&self, revision: u64, text: &'static [u8]) {
@@ -92,9 +94,11 @@
             .expect("the duty runs");
     }
 
-    pub(crate) async fn document(&mut self, at_least: u64) -> Bytes {
+    pub(crate) async fn wait_for_document(&mut self, min_revision: u64) -> Bytes {
         let found = self
-            .until(|e| matches!(e, Event::Document { revision, .. } if *revision >= at_least))
+            .wait_for_event(
+                |e| matches!(e, Event::Document { revision, .. } if *revision >= min_revision),
+            )
             .await;
         let Event::Document { document, .. } = found else {
             unreachable!()
@@ -109,14 +113,19 @@
             .send(Command::Hold { id, record, reply })
             .await
             .expect("the duty runs");
-        timeout(BOUND, ack)
+        timeout(TEST_TIMEOUT, ack)
             .await
             .expect("an answer")
             .expect("an answer")
     }
 
     /// Holds again until enough copies are confirmed, which takes as long as joining does.
-    pub(crate) async fn hold_until(&self, copies: u8, id: u128, record: &'static [u8]) -> HoldAck {
+    pub(crate) async fn hold_until_confirmed(
+        &self,
+        copies: u8,
+        id: u128,
+        record: &'static [u8],
+    ) -> HoldAck {
         loop {
             let ack = self.hold(id, record).await;
             if ack.copies >= copies {
