--- a/crates/oatdale-mesh/examples/slopes.rs
+++ b/crates/oatdale-mesh/examples/slopes.rs
@@ -44,18 +44,18 @@
 
 /// A text of about 60 KB with one line that changes.
 fn config_text(change_number: u64) -> Bytes {
-    let mut config_text = String::from("endpoints:\n");
+    let mut text = String::from("endpoints:\n");
     for i in 0..1000 {
         if i == 500 {
-            config_text += &format!("  # change {change_number}\n");
+            text += &format!("  # change {change_number}\n");
         }
-        config_text += &format!(
+        text += &format!(
             "  - {{name: worker-{i}, address: 10.1.{}.{}:8000}}\n",
             i / 250,
             i % 250
         );
     }
-    config_text.into()
+    text.into()
 }
 
 fn core_table(only_hosts: Option<usize>) {
@@ -241,8 +241,8 @@
     fleet.run(Duration::from_secs(10));
     fleet.write_config(config_text(0));
     fleet.run(Duration::from_secs(5));
-    let only_hosts = fleet.random_below(9) as usize;
-    fleet.set_service_reachable(|i| i == only_hosts);
+    let reachable_node = fleet.random_below(9) as usize;
+    fleet.set_service_reachable(|i| i == reachable_node);
     fleet.run(settle_time);
     let revision = fleet.write_config(config_text(1));
     fleet
@@ -285,7 +285,7 @@
     drain_events(&mut nodes, Duration::from_secs(10)).await;
     let memory_bytes = resident_bytes().saturating_sub(before);
     let mut latencies = Vec::new();
-    let full_document = propagate_change(&mut nodes, 1).await;
+    let full_document_time = propagate_change(&mut nodes, 1).await;
     drain_events(&mut nodes, Duration::from_secs(5)).await;
     let (start, cpu) = (Instant::now(), processor_time());
     for revision in 2..=8 {
@@ -300,7 +300,7 @@
         memory_bytes as f64 / 1024.0 / hosts as f64,
         latencies[latencies.len() / 2].as_millis(),
         latencies[latencies.len() - 1].as_millis(),
-        full_document.as_millis(),
+        full_document_time.as_millis(),
     );
 }
 
@@ -332,8 +332,8 @@
 
 /// Resident memory of this process in bytes.
 fn resident_bytes() -> usize {
-    let config_text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    let pages = config_text
+    let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
+    let pages = text
         .split_whitespace()
         .nth(1)
         .and_then(|p| p.parse::<usize>().ok());
@@ -342,8 +342,8 @@
 
 /// Processor time of this process, from the kernel in hundredths of a second.
 fn processor_time() -> Duration {
-    let config_text = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
-    let after = config_text.rsplit_once(')').map_or("", |(_, rest)| rest);
+    let text = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
+    let after = text.rsplit_once(')').map_or("", |(_, rest)| rest);
     let ticks = after
         .split_whitespace()
         .skip(11)
--- a/crates/oatdale-mesh/tests/history.rs
+++ b/crates/oatdale-mesh/tests/history.rs
@@ -225,8 +225,9 @@
         match self.fleet.random_below(3) {
             0 => self.fleet.set_service_reachable(|_| false),
             1 => {
-                let only = self.fleet.random_below(self.fleet.nodes.len() as u64) as usize;
-                self.fleet.set_service_reachable(|i| i == only);
+                let reachable_node =
+                    self.fleet.random_below(self.fleet.nodes.len() as u64) as usize;
+                self.fleet.set_service_reachable(|i| i == reachable_node);
             }
             _ => self.fleet.set_service_reachable(|_| true),
         }
--- a/crates/oatdale-mesh/tests/support/fleet.rs
+++ b/crates/oatdale-mesh/tests/support/fleet.rs
@@ -16,7 +16,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-pub(crate) const TICK: Duration = Duration::from_millis(50);
+pub(crate) const TICK_INTERVAL: Duration = Duration::from_millis(50);
 pub(crate) const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
@@ -237,7 +237,7 @@
     fn tick(&mut self, i: usize, tick_epoch: u64) {
         if self.nodes[i].tick_epoch == tick_epoch && self.is_live(i) && !self.nodes[i].paused {
             self.schedule(
-                self.now + TICK,
+                self.now + TICK_INTERVAL,
                 ScheduledEvent::Tick {
                     node: i,
                     tick_epoch,
