--- a/crates/oatdale-mesh/examples/slopes.rs
+++ b/crates/oatdale-mesh/examples/slopes.rs
@@ -1,10 +1,14 @@
-//! Measures what control traffic costs a node as the fleet grows.
+//! Measures the cost of control traffic per node as the fleet grows.
 //!
-//! `cargo run --release -p oatdale-mesh --example slopes` prints two tables: the pure core on a
-//! counted clock, which is the same at each run but for the processor's time, and the duty over
-//! loopback sockets, where all nodes share one thread. After `--`, `core`, `sockets` or `rest`
-//! prints one part, and a number of nodes after that only its row, as the column for memory needs:
-//! a row reuses what the one before has freed.
+//! `cargo run --release -p oatdale-mesh --example slopes` prints two tables and some figures.
+//! The `core` table runs the state machine alone in simulated time, so all of it but CPU time and
+//! memory is reproducible. The `sockets` table runs the mesh task over loopback sockets, with all
+//! nodes on one thread; its `full ms` is the first change, sent as a whole document and not as a
+//! delta.
+//!
+//! After `--`, `core`, `sockets` or `rest` prints one part, and a number of nodes after `core` or
+//! `sockets` only that row. The memory column needs such a run of its own, because a row reuses
+//! memory that the previous one has freed.
 
 #[path = "../tests/support/in_memory.rs"]
 mod in_memory;
@@ -17,12 +21,12 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// 7,000 changes a day.
+/// Interval between configuration changes, at 7,000 a day.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(12_343);
 const WARM_UP: Duration = Duration::from_secs(45);
 const MEASURED_SPAN: Duration = Duration::from_secs(124);
 const CUSTOMERS: usize = 10;
-/// Versions whose evidence is shared at a time: one roll-out with its predecessor.
+/// Versions whose evidence is shared at a time: the new one of one rollout and its predecessor.
 const ROLLOUT_VERSIONS: usize = 2;
 
 fn main() {
@@ -42,7 +46,7 @@
     }
 }
 
-/// A text of about 60 KB with one line that changes.
+/// A configuration of about 60 KB of which one line differs from change to change.
 fn config_text(change_number: u64) -> Bytes {
     let mut text = String::from("endpoints:\n");
     for i in 0..1000 {
@@ -60,7 +64,7 @@
 
 fn core_table(only_hosts: Option<usize>) {
     println!(
-        "pure core, counted clock, {} s, a change every 12.3 s",
+        "state machine, simulated time, {} s, a change every 12.3 s",
         MEASURED_SPAN.as_secs()
     );
     println!(
@@ -134,8 +138,8 @@
     );
 }
 
-/// Load, demand and evidence change every second, the configuration every 12.3 s. Returns how
-/// long each change took to be in force everywhere.
+/// Changes load, demand and evidence every second and the configuration every 12.3 s. Returns how
+/// long each configuration change took to be in force on every node.
 fn apply_load(fleet: &mut Fleet, span: Duration) -> Vec<Duration> {
     let end = fleet.now + span;
     let mut latencies = Vec::new();
@@ -190,7 +194,7 @@
     local
 }
 
-/// What a held and released bill costs besides, at today's size.
+/// Prints the traffic that a bill record adds when it is held and released, in a fleet of nine.
 fn print_hold_cost() {
     let mut fleet = Fleet::new(1, 3, 3);
     fleet.start_all();
@@ -213,13 +217,14 @@
         (fleet.stats.bytes - before).saturating_sub(idle_bytes) as f64 / count as f64;
     let frames = fleet.stats.frames - frames;
     println!(
-        "\na bill of 120 bytes, held by two and released: {bytes_per_hold:.0} bytes on all links together"
+        "\nbill record of 120 bytes, held by two nodes and released: {bytes_per_hold:.0} bytes on all links"
     );
-    println!("({frames} frames in 30 s with {count} bills, heartbeats included)\n");
+    println!("({frames} frames in 30 s with {count} records, heartbeats included)\n");
 }
 
-/// How long a change takes at today's size when one node alone reaches the service, from the
-/// moment at which the others fail to, and once that node is found.
+/// Prints how long a configuration change takes in a fleet of nine when the key-value service is
+/// reachable from one node only: right after the other nodes lost it, and 10 s later, once that
+/// node watches the key.
 fn print_outage_latencies() {
     for (name, settle_time) in [("just now", ms(0)), ("10 s ago", Duration::from_secs(10))] {
         let mut latencies: Vec<Duration> = (0..20)
@@ -227,7 +232,7 @@
             .collect();
         latencies.sort_unstable();
         println!(
-            "9 nodes, service lost to all but one {name}: median {} ms, worst {} ms, 20 seeds",
+            "9 nodes, service lost by all but one {name}: median {} ms, worst {} ms, 20 seeds",
             latencies[10].as_millis(),
             latencies[19].as_millis()
         );
@@ -251,10 +256,10 @@
 }
 
 fn sockets_table(only_hosts: Option<usize>) {
-    println!("duty over loopback sockets, all nodes on one thread, 30 s");
+    println!("mesh task over loopback sockets, all nodes on one thread, 30 s");
     println!(
         "{:>5} {:>7} {:>13} {:>9} {:>9} {:>9} {:>9}",
-        "nodes", "domains", "CPU us/s/node", "KB/node", "median ms", "worst ms", "whole ms"
+        "nodes", "domains", "CPU us/s/node", "KB/node", "median ms", "worst ms", "full ms"
     );
     for (domains, hosts) in [(4, 8), (3, 9), (4, 16), (8, 32), (8, 64)] {
         if only_hosts.is_some_and(|n| n != hosts) {
@@ -264,7 +269,7 @@
             .enable_all()
             .build();
         runtime
-            .expect("a runtime")
+            .expect("a Tokio runtime can be built")
             .block_on(sockets_row(domains, hosts));
     }
 }
@@ -304,20 +309,28 @@
     );
 }
 
-/// Gives a change to one node and waits until every other one has it.
+/// Gives a new revision to one node and returns how long it took until every node has it.
 async fn propagate_change(nodes: &mut [sockets::Node], revision: u64) -> Duration {
     let start = Instant::now();
     let document = config_text(revision);
     let adopted = Command::Adopted { revision, document };
-    nodes[0].tx.send(adopted).await.expect("the duty runs");
+    nodes[0]
+        .tx
+        .send(adopted)
+        .await
+        .expect("the mesh task is running");
     for node in &mut nodes[1..] {
         let document = node.wait_for_document(revision).await;
         let adopted = Command::Adopted { revision, document };
-        node.tx.send(adopted).await.expect("the duty runs");
+        node.tx
+            .send(adopted)
+            .await
+            .expect("the mesh task is running");
     }
     start.elapsed()
 }
 
+/// Discards events for `span`, so that the channels don't fill up.
 async fn drain_events(nodes: &mut [sockets::Node], span: Duration) {
     let end = Instant::now() + span;
     while Instant::now() < end {
@@ -330,7 +343,7 @@
     }
 }
 
-/// Resident memory of this process in bytes.
+/// Resident memory of this process in bytes, with pages of 4 KiB.
 fn resident_bytes() -> usize {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text
@@ -340,7 +353,7 @@
     pages.unwrap_or(0) * 4096
 }
 
-/// Processor time of this process, from the kernel in hundredths of a second.
+/// CPU time of this process, which the kernel reports in hundredths of a second.
 fn processor_time() -> Duration {
     let text = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let after = text.rsplit_once(')').map_or("", |(_, rest)| rest);
--- a/crates/oatdale-mesh/tests/addresses.rs
+++ b/crates/oatdale-mesh/tests/addresses.rs
@@ -1,4 +1,4 @@
-//! Which addresses callers get.
+//! Selection and order of the addresses that callers get.
 
 use oatdale_mesh::{PeerState, PeerView, addresses};
 use std::net::SocketAddr;
@@ -45,8 +45,8 @@
     }
 }
 
-/// A node has said that it stops, another is not heard of, a third has stopped accepting. A caller
-/// that keeps its answer for a while would run into a closed door.
+/// One node is leaving, one is suspected and one has stopped accepting. A caller that caches its
+/// answer would connect to a node that refuses it.
 #[test]
 fn leaving_suspected_and_non_accepting_nodes_are_excluded() {
     let mut peers = vec![peer_view(1, "a", "south", 0.0); 4];
@@ -72,8 +72,8 @@
     assert!((share - 0.75).abs() < 0.03, "{share}");
 }
 
-/// All nodes of the caller's failure domain are full while the one next to it is idle. Sending
-/// everybody home would grow their queues.
+/// All nodes of the caller's failure domain are full while another domain in its region is idle.
+/// Keeping callers in their own domain would only grow its queues.
 #[test]
 fn an_overloaded_failure_domain_spills_over() {
     let peers = [
--- a/crates/oatdale-mesh/tests/evidence.rs
+++ b/crates/oatdale-mesh/tests/evidence.rs
@@ -1,4 +1,4 @@
-//! Counters and stops reach every node and outlive the node that counted.
+//! Version counters and stops reach every node and outlive the node that reported them.
 
 #[path = "support/in_memory.rs"]
 mod support;
@@ -7,6 +7,7 @@
 use std::time::Duration;
 use support::fleet::{Fleet, ms};
 
+/// Simulated time within which the fleet must converge.
 const TIMEOUT: Duration = Duration::from_secs(60);
 const VERSION_HASH: u32 = 9;
 
@@ -15,7 +16,7 @@
     fleet.start_all();
     fleet
         .run_until(TIMEOUT, Fleet::views_agree)
-        .expect("all are seen");
+        .expect("all nodes see each other");
     fleet.run(Duration::from_secs(5));
     fleet
 }
@@ -29,6 +30,7 @@
     fleet.send_local_state(i);
 }
 
+/// Sums of the counters of all other nodes, as node `i` received them.
 fn received_counts(fleet: &Fleet, i: usize) -> Vec<u64> {
     fleet.nodes[i]
         .app
@@ -57,8 +59,8 @@
     }
 }
 
-/// A version goes bad, and the node that saw most of its errors dies and returns with counters at
-/// zero. Were its errors forgotten, the version would look healthy again.
+/// The node that counted most errors of a faulty version dies and restarts with its counters at
+/// zero. If the counts of the dead process were dropped, the version would look healthy again.
 #[test]
 fn counters_of_a_dead_node_stay_in_the_sums() {
     let mut fleet = settled_fleet(2, 3, 3);
@@ -71,7 +73,7 @@
     report_counts(&mut fleet, 0, 10, 1);
     fleet.run(Duration::from_secs(5));
     assert!((1..9).all(|i| received_counts(&fleet, i) == [60, 41]));
-    // The new process hears of what its predecessor counted from the others.
+    // The new process gets the counts of its previous incarnation from its peers.
     assert_eq!(received_counts(&fleet, 0), [50, 40]);
     assert!(
         fleet.platform.violations.is_empty(),
@@ -80,8 +82,8 @@
     );
 }
 
-/// A node stops a bad version while half of the fleet is cut off. When they meet again, none of
-/// that half may go on giving it new sessions.
+/// A node stops a faulty version while a part of the fleet is partitioned off and one node is down.
+/// After the partition heals, none of them may give that version new sessions.
 #[test]
 fn a_stop_reaches_partitioned_nodes_and_late_joiners() {
     let mut fleet = settled_fleet(3, 3, 3);
@@ -102,5 +104,5 @@
     fleet.restart(8);
     fleet
         .run_until(TIMEOUT, |f| (0..9).all(|i| has_stop(f, i)))
-        .expect("all know");
+        .expect("all nodes have the stop");
 }
--- a/crates/oatdale-mesh/tests/history.rs
+++ b/crates/oatdale-mesh/tests/history.rs
@@ -1,8 +1,8 @@
-//! Seeded histories: a fleet at work while nodes die, pause, restart and are cut off.
+//! Randomised histories: a fleet under load while nodes die, pause, restart and are partitioned.
 //!
-//! `OATDALE_SEEDS=first..last` runs other seeds than those that every run covers. Among these are
-//! seeds that once showed a fault: 4 (two failure domains that stayed apart) and 102 (shares that
-//! added up to 1.23 after pauses and cuts).
+//! `OATDALE_SEEDS=first..last` replaces the default seeds. These include regressions: seed 4 (two
+//! failure domains never reconnected) and seed 102 (shares added up to 1.23 after pauses and
+//! partitions).
 
 #[path = "support/in_memory.rs"]
 mod support;
@@ -14,10 +14,12 @@
 use support::faults::RunStats;
 use support::fleet::{Fleet, SimNode, ms};
 
+/// Simulated time within which the fleet must converge.
 const TIMEOUT: Duration = Duration::from_secs(90);
 const CUSTOMER: u32 = 42;
 const MAX_SHARE_SUM: f32 = 1.1;
-/// Within this time at most two hosts are lost: the stated bound of what bills survive.
+/// Window in which at most two hosts are killed, which is the loss that bills are specified to
+/// survive.
 const LOSS_WINDOW: Duration = Duration::from_secs(20);
 const TWO_COPIES: HoldAck = HoldAck {
     copies: 2,
@@ -28,34 +30,38 @@
     let Ok(text) = std::env::var("OATDALE_SEEDS") else {
         return (0..12).chain([102]).collect();
     };
-    let (first, last) = text.split_once("..").expect("OATDALE_SEEDS is first..last");
+    let (first, last) = text
+        .split_once("..")
+        .expect("OATDALE_SEEDS must be first..last");
     let (first, last): (u64, u64) = match (first.parse(), last.parse()) {
         (Ok(first), Ok(last)) => (first, last),
-        _ => panic!("OATDALE_SEEDS is first..last, not {text}"),
+        _ => panic!("OATDALE_SEEDS must be first..last, got {text}"),
     };
     (first..last).collect()
 }
 
-/// A request whose record was given to the mesh.
+/// A request whose bill record was given to the mesh.
 struct HeldRequest {
     owner: usize,
-    /// Which life of the owner it belongs to.
+    /// The owner's generation at the hold.
     generation: usize,
     record: Bytes,
 }
 
 struct History {
     fleet: Fleet,
-    /// Lives that each node has had.
+    /// Generation of each node; a kill raises it.
     generations: Vec<usize>,
-    /// Revisions that lives saw which are over.
+    /// Revisions that came into force in each ended generation, with the node.
     past_revisions: Vec<(usize, Vec<u64>)>,
     requests: BTreeMap<u128, HeldRequest>,
-    /// Not yet journalled by their owner.
+    /// Requests not yet journalled by their owner.
     unjournalled: BTreeSet<u128>,
-    /// Confirmed by two holders, so the caller got its whole answer.
+    /// Requests confirmed by two holders, so that the caller got its complete answer.
     answered: BTreeSet<u128>,
+    /// Times of the recent kills.
     loss_times: Vec<Duration>,
+    /// Highest sum of the customer's shares so far.
     peak_sum: f32,
 }
 
@@ -67,7 +73,7 @@
         fleet.start_all();
         fleet
             .run_until(TIMEOUT, Fleet::views_agree)
-            .expect("all are seen");
+            .expect("all nodes see each other");
         for i in 0..fleet.nodes.len() {
             fleet.set_demand(i, vec![(CUSTOMER, 0.0)]);
         }
@@ -108,7 +114,8 @@
         }
     }
 
-    /// Requests end: their bills are held, and some time later journalled by their node.
+    /// Ends requests on some nodes: peers hold their bill records, and the owner journals them some
+    /// time later.
     fn run_requests(&mut self) {
         for owner in self.running() {
             if self.fleet.random_below(3) == 0 {
@@ -145,6 +152,7 @@
         }
     }
 
+    /// Records the requests whose hold two nodes have confirmed.
     fn collect_answered(&mut self) {
         let nodes = &self.fleet.nodes;
         let answered =
@@ -158,6 +166,7 @@
         from.get(at).copied()
     }
 
+    /// Live nodes that are not paused.
     fn running(&self) -> Vec<usize> {
         let nodes = &self.fleet.nodes;
         self.fleet
@@ -167,6 +176,7 @@
             .collect()
     }
 
+    /// Kills a running node, unless that would exceed the losses that bills survive.
     fn kill_random_node(&mut self) {
         let now = self.fleet.now;
         self.loss_times.retain(|at| now - *at < LOSS_WINDOW);
@@ -198,6 +208,7 @@
         }
     }
 
+    /// Resumes the paused node if there is one, else pauses a running one.
     fn pause_or_resume(&mut self) {
         let paused = (0..self.fleet.nodes.len()).find(|i| self.fleet.nodes[*i].paused);
         let running = self.running();
@@ -211,6 +222,7 @@
         }
     }
 
+    /// Splits the fleet in two, by failure domain or by host id.
     fn partition_randomly(&mut self) {
         let shift = self.fleet.random_below(6);
         let by_domain = self.fleet.random_below(2) == 0;
@@ -221,6 +233,7 @@
         self.fleet.partition(move |a, b| side(a) != side(b));
     }
 
+    /// Makes the key-value service reachable by no node, by one or by all.
     fn change_service_reach(&mut self) {
         match self.fleet.random_below(3) {
             0 => self.fleet.set_service_reachable(|_| false),
@@ -240,7 +253,7 @@
         }
     }
 
-    /// All faults end; everyone must come to agree.
+    /// Ends all faults, then requires that the fleet converges and that every invariant held.
     fn heal_and_check(mut self, seed: u64) -> (RunStats, f32, usize) {
         self.collect_answered();
         self.fleet.heal();
@@ -270,11 +283,14 @@
         assert!(violations.is_empty(), "seed {seed}: {violations:?}");
         assert!(self.fleet.all_at_revision(revision), "seed {seed}");
         for id in &self.answered {
-            // A bill whose owner has lived on since is the owner's to write.
+            // While its owner's process is the same, the bill is still the owner's to journal.
             let request = &self.requests[id];
             let owned = request.generation == self.generations[request.owner];
             let preserved = owned || self.fleet.platform.journal.contains_key(id);
-            assert!(preserved, "seed {seed}: the bill of request {id} is lost");
+            assert!(
+                preserved,
+                "seed {seed}: the bill of request {id} is not in the journal"
+            );
         }
         for i in 0..self.fleet.nodes.len() {
             self.end_generation(i);
@@ -282,13 +298,13 @@
         for (i, seen) in &self.past_revisions {
             assert!(
                 seen.is_sorted_by(|a, b| a < b),
-                "seed {seed}: host {i} saw {seen:?}"
+                "seed {seed}: revisions of node {i} did not strictly rise: {seen:?}"
             );
         }
         let peak_sum = self.peak_sum;
         assert!(
             peak_sum <= MAX_SHARE_SUM,
-            "seed {seed}: shares add up to {peak_sum}"
+            "seed {seed}: shares added up to {peak_sum}"
         );
     }
 }
@@ -307,16 +323,19 @@
             ("kills", stats.kills),
             ("restarts", stats.restarts),
             ("pauses", stats.pauses),
-            ("cuts", stats.partitions),
+            ("partitions", stats.partitions),
             ("outages", stats.outages),
-            ("frames under way at faults", stats.in_flight_frames),
+            ("frames in flight at faults", stats.in_flight_frames),
             ("answered requests", answered),
         ] {
-            assert!(count > 0, "seed {seed}: no {name}, so nothing was shown");
+            assert!(
+                count > 0,
+                "seed {seed}: no {name}, so the history does not cover them"
+            );
         }
         total.add(&stats);
         peak_sum = peak_sum.max(history_peak);
         bills += answered;
     }
-    println!("{total:?}, {bills} answered requests, greatest sum of shares {peak_sum:.3}");
+    println!("{total:?}, {bills} answered requests, highest sum of shares {peak_sum:.3}");
 }
--- a/crates/oatdale-mesh/tests/holds.rs
+++ b/crates/oatdale-mesh/tests/holds.rs
@@ -1,4 +1,4 @@
-//! Bill records survive the loss of their owner and of one holder.
+//! Bill records that nodes hold for each other survive the loss of the owner and of one holder.
 
 #[path = "support/in_memory.rs"]
 mod support;
@@ -8,6 +8,7 @@
 use std::time::Duration;
 use support::fleet::{Fleet, ms};
 
+/// Simulated time in which the fleet converges.
 const CONVERGENCE_TIME: Duration = Duration::from_secs(60);
 const TWO_COPIES: HoldAck = HoldAck {
     copies: 2,
@@ -19,7 +20,7 @@
     fleet.start_all();
     fleet
         .run_until(CONVERGENCE_TIME, Fleet::views_agree)
-        .expect("all are seen");
+        .expect("all nodes see each other");
     fleet.run(Duration::from_secs(5));
     fleet
 }
@@ -34,6 +35,7 @@
     );
 }
 
+/// Nodes that hold at least one record for another node.
 fn holders(fleet: &Fleet) -> Vec<usize> {
     let holds = |i: &usize| {
         fleet.nodes[*i]
@@ -67,8 +69,8 @@
     }
 }
 
-/// A node and one of the two nodes that keep its bills lose their power together. The caller has
-/// its whole answer, so the bill must still be written.
+/// An owner and one of its two holders lose power together. The caller has its complete answer, so
+/// the bill must still be journalled.
 #[test]
 fn a_bill_survives_the_loss_of_its_owner_and_one_holder() {
     for seed in 0..10 {
@@ -87,8 +89,8 @@
     }
 }
 
-/// A host is replaced by a process of the same name before anyone suspects it. What the former
-/// process left with its holders is still a bill.
+/// A host is restarted under the same name before any peer suspects it. The records that the
+/// previous incarnation left with its holders must still be journalled.
 #[test]
 fn bills_of_a_previous_incarnation_are_journalled() {
     let mut fleet = settled_fleet(11);
@@ -102,8 +104,8 @@
     assert!(holders(&fleet).is_empty());
 }
 
-/// A holder dies while its owner goes on. Nobody notices at first, but the next loss would cost
-/// the bill: so the owner must give its records to another node by itself.
+/// A holder dies while its owner runs on. The owner must replicate its records to another node on
+/// its own, since the next loss would otherwise lose the bill.
 #[test]
 fn an_owner_replaces_a_lost_holder() {
     let mut fleet = settled_fleet(12);
@@ -119,8 +121,8 @@
     assert_eq!(fleet.platform.journal[&1], &b"closed"[..]);
 }
 
-/// The link breaks just when the owner releases a record, so that the holder never hears of it.
-/// Its memory would fill up with records that the journal has long got.
+/// The link breaks just as the owner releases a record, so the holder does not receive the release.
+/// If it were not repeated, holders' memory would fill up with records that are journalled already.
 #[test]
 fn a_lost_release_is_repeated_after_reconnection() {
     let mut fleet = settled_fleet(13);
@@ -135,15 +137,15 @@
     assert!(holders(&fleet).is_empty());
 }
 
-/// In a larger fleet a holder is cut off and replaced, and its owner has no other reason for a link
-/// to it. What the journal got in the meantime must not stay in its memory for ever.
+/// In a large fleet a holder is partitioned off and replaced, and its owner has no other reason for
+/// a link to it. Records that were journalled in the meantime must not stay in its memory for ever.
 #[test]
 fn a_replaced_holder_drops_released_records() {
     let mut fleet = Fleet::new(20, 4, 8);
     fleet.start_all();
     fleet
         .run_until(CONVERGENCE_TIME, Fleet::views_agree)
-        .expect("all are seen");
+        .expect("all nodes see each other");
     fleet.run(Duration::from_secs(20));
     hold(&mut fleet, 0, 1, b"closed");
     fleet.run(ms(100));
@@ -158,12 +160,12 @@
     assert!(holders(&fleet).is_empty());
     assert!(
         fleet.platform.journal.is_empty(),
-        "nobody took the owner for dead"
+        "no holder considered the owner dead"
     );
 }
 
-/// A node is stopped as planned with bills that the journal has not got yet, in the middle of an
-/// outage of the service.
+/// A node shuts down gracefully while some of its bills are not journalled yet, as during an outage
+/// of the key-value service. Its holders must journal them.
 #[test]
 fn bills_of_a_leaving_owner_are_journalled() {
     let mut fleet = settled_fleet(14);
@@ -177,8 +179,8 @@
     assert_eq!(fleet.platform.journal[&1], &b"closed"[..]);
 }
 
-/// Both holders of a node are stopped as planned, one after the other, as in a roll-out of the
-/// product itself, and then the owner dies.
+/// Both holders of a node shut down gracefully, one after the other, as in a rollout of the product
+/// itself, and then the owner dies.
 #[test]
 fn records_survive_holders_that_leave() {
     let mut fleet = settled_fleet(15);
@@ -195,8 +197,9 @@
     assert_eq!(fleet.platform.journal[&1], &b"closed"[..]);
 }
 
-/// The owner dies, and then a holder is stopped as planned before the owner counts as gone. The
-/// record must not go down with the only node that would have journalled it.
+/// The owner and one holder die, and the other holder shuts down gracefully before the owner counts
+/// as gone. It is the only node that would have journalled the record, so it must hand the record
+/// over first.
 #[test]
 fn a_leaving_holder_hands_over_records_of_a_dead_owner() {
     let mut fleet = settled_fleet(16);
@@ -209,14 +212,14 @@
     fleet.deliver_input(initial_holders[1], Input::Leave);
     fleet
         .run_until(CONVERGENCE_TIME, |f| f.nodes[initial_holders[1]].app.ended)
-        .expect("it leaves");
+        .expect("the holder leaves");
     fleet.kill(initial_holders[1], false);
     fleet.run(Duration::from_secs(30));
     assert_eq!(fleet.platform.journal[&1], &b"closed"[..]);
 }
 
-/// A node alone in the world can't have its bills kept. It must say so at once, and not hold the
-/// end of every answer back.
+/// A node without peers has no holders for its bills. It must report that at once instead of
+/// delaying the end of every answer until the hold timeout.
 #[test]
 fn a_hold_without_peers_is_answered_at_once() {
     let mut fleet = Fleet::new(17, 1, 1);
@@ -232,7 +235,7 @@
     );
 }
 
-/// The owner is cut off from everyone. Its answers must not wait for holders for ever.
+/// The owner is partitioned off from all peers. Its answers must not wait for holders for ever.
 #[test]
 fn a_hold_ends_after_its_timeout() {
     let mut fleet = settled_fleet(18);
@@ -248,8 +251,8 @@
     );
 }
 
-/// A node is paused for so long that its holders journal its records, and returns. Both must end
-/// with nothing held.
+/// A node is paused for so long that its holders journal its records, and then resumes. Neither the
+/// owner nor the holders may keep the record, and the journal keeps the first one.
 #[test]
 fn no_record_stays_held_after_a_paused_owner_resumes() {
     let mut fleet = settled_fleet(19);
@@ -266,9 +269,9 @@
     assert!(holders(&fleet).is_empty());
 }
 
-/// A holder is paused, so that its copy is not confirmed, and meanwhile the journal takes the
-/// record and it is released. Were the waiting request not answered by that, it would wait for
-/// ever: its caller would never see the end of an answer that is there and paid for.
+/// A holder is paused and does not confirm its copy; meanwhile the record is journalled and
+/// released. If the release did not answer the pending hold, nothing would: the caller would never
+/// get the end of an answer that is complete and billed.
 #[test]
 fn a_release_answers_a_pending_hold() {
     let mut fleet = settled_fleet(3);
@@ -279,8 +282,14 @@
     fleet.deliver_input(0, Input::Release(vec![1]));
     hold(&mut fleet, 0, 2, b"closed");
     fleet.run(ms(100));
-    assert!(!fleet.nodes[0].app.acks.contains_key(&2), "it was not slow");
+    assert!(
+        !fleet.nodes[0].app.acks.contains_key(&2),
+        "the hold was answered before the release"
+    );
     fleet.deliver_input(0, Input::Release(vec![2]));
     fleet.run(CONVERGENCE_TIME);
-    assert!(fleet.nodes[0].app.acks.contains_key(&2), "it still waits");
+    assert!(
+        fleet.nodes[0].app.acks.contains_key(&2),
+        "the hold is still pending"
+    );
 }
--- a/crates/oatdale-mesh/tests/hostile.rs
+++ b/crates/oatdale-mesh/tests/hostile.rs
@@ -1,4 +1,4 @@
-//! Peers that lack the key, send rubbish or stop reading.
+//! Peers that lack the mesh key, send malformed data, tamper with frames or stop reading.
 
 #[path = "support/sockets.rs"]
 mod sockets;
@@ -18,15 +18,16 @@
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(20);
 
 async fn connect_websocket(address: SocketAddr) -> WebSocketStream<TcpStream> {
-    let stream = TcpStream::connect(address).await.expect("it listens");
+    let stream = TcpStream::connect(address).await.expect("the node listens");
     let url = format!("ws://{address}/mesh");
     client_async(url, stream)
         .await
-        .expect("it speaks WebSocket")
+        .expect("the WebSocket handshake succeeds")
         .0
 }
 
-/// The node ends the connection; `None` or an error is what a client sees of that.
+/// Waits until the node closes the connection, which the client sees as a close message, an error
+/// or the end of the stream.
 async fn wait_for_close(socket: &mut WebSocketStream<TcpStream>) {
     let closed = async {
         while let Some(Ok(message)) = socket.next().await {
@@ -37,7 +38,7 @@
     };
     timeout(CLOSE_TIMEOUT, closed)
         .await
-        .expect("the node closes the connection");
+        .expect("the node closes the connection in time");
 }
 
 async fn wait_until_alive(node: &mut Node, host: &str) {
@@ -50,7 +51,7 @@
     node.wait_for_event(alive).await;
 }
 
-/// The node still works for others after what a hostile peer did.
+/// Asserts that the node still accepts other peers and shares its configuration with them.
 async fn assert_still_serves(node: &mut Node) {
     let mut other = start("other", "hall-2", &[node.address]).await;
     node.adopt(5, b"text").await;
@@ -58,8 +59,8 @@
     wait_until_alive(node, "other").await;
 }
 
-/// Somebody on the network starts a node with a key of their own. Were it taken in, it could serve
-/// callers or spread a configuration of its own.
+/// A node with a different key tries to join. If it were admitted, it could serve callers or
+/// distribute a forged configuration.
 #[tokio::test]
 async fn a_node_with_a_wrong_key_is_refused() {
     let mut node = start("good", "hall-1", &[]).await;
@@ -81,7 +82,10 @@
 fn a_short_key_is_refused_by_the_settings_check() {
     let mut cfg = mesh_config("a", "hall-1", &[]);
     cfg.key = vec![1; 31];
-    let message = cfg.check().expect_err("31 bytes are too few").to_string();
+    let message = cfg
+        .check()
+        .expect_err("a key of 31 bytes is too short")
+        .to_string();
     assert_eq!(
         message,
         "mesh setting `key`: the key must have at least 32 bytes, chosen at random"
@@ -96,14 +100,14 @@
         socket
             .send(Message::Binary(garbage.into()))
             .await
-            .expect("it is open");
+            .expect("the connection is open");
         wait_for_close(&mut socket).await;
     }
     let mut socket = connect_websocket(node.address).await;
     socket
         .send(Message::Text("hello".into()))
         .await
-        .expect("it is open");
+        .expect("the connection is open");
     wait_for_close(&mut socket).await;
     assert_still_serves(&mut node).await;
 }
@@ -111,19 +115,21 @@
 #[tokio::test]
 async fn a_request_that_is_no_websocket_upgrade_is_refused() {
     let mut node = start("good", "hall-1", &[]).await;
-    let mut stream = TcpStream::connect(node.address).await.expect("it listens");
+    let mut stream = TcpStream::connect(node.address)
+        .await
+        .expect("the node listens");
     stream
         .write_all(b"GET / HTTP/1.1\r\n\r\n")
         .await
-        .expect("it is open");
+        .expect("the connection is open");
     let mut buf = Vec::new();
     let _ = timeout(CLOSE_TIMEOUT, stream.read_to_end(&mut buf))
         .await
-        .expect("it is closed");
+        .expect("the node closes the connection in time");
     assert_still_serves(&mut node).await;
 }
 
-/// A hello of megabytes would cost memory before anybody has proved anything.
+/// A hello of megabytes would cost memory before the peer is authenticated.
 #[tokio::test]
 async fn an_oversize_hello_is_refused() {
     let mut node = start("good", "hall-1", &[]).await;
@@ -135,7 +141,7 @@
     assert_still_serves(&mut node).await;
 }
 
-/// Connections that are opened and then say nothing must not stay for ever.
+/// A connection on which the peer sends no hello must not stay open for ever.
 #[tokio::test]
 async fn a_silent_connection_is_closed() {
     let mut node = start("good", "hall-1", &[]).await;
@@ -149,20 +155,23 @@
     assert_still_serves(&mut node).await;
 }
 
-/// What a relay between two nodes does to the bytes that it passes on.
+/// What a relay between two nodes does with the bytes that the dialer sends.
 #[derive(Clone, Copy, PartialEq)]
 enum RelayMode {
+    /// Forward unchanged.
     Pass,
-    /// Flip a bit in whatever comes next.
+    /// Flip one bit in the last byte of each chunk.
     Corrupt,
-    /// Read no more, with the connection left open.
+    /// Stop reading and leave the connection open.
     Stall,
 }
 
-/// Stands between a node and the one that it thinks it dials.
+/// Starts a TCP relay to the node at `to` and returns the relay's address and its mode.
 async fn start_relay(to: SocketAddr) -> (SocketAddr, watch::Sender<RelayMode>) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("it is bound");
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("a free port can be bound");
+    let address = listener.local_addr().expect("the socket is bound");
     let (tx, mode) = watch::channel(RelayMode::Pass);
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
@@ -201,15 +210,15 @@
     }
 }
 
-/// Two nodes that reach each other only through a relay: the second is told a wrong address of
-/// itself, so that nobody dials it but through the relay.
+/// Starts two nodes that reach each other only through a relay: the first advertises the relay's
+/// address instead of its own, and the second advertises one that can't be dialed.
 async fn start_pair_through_relay() -> (Node, Node, watch::Sender<RelayMode>) {
     let hidden = mesh_config("hidden", "hall-1", &[]);
     let (address, mode) = start_relay(hidden.advertise).await;
     let mut hidden = hidden;
     hidden.advertise = address;
     let mut dialer = mesh_config("a-dialer", "hall-2", &[address]);
-    // An address that nobody listens on, so that only this node dials.
+    // No process listens on this address, so only this node dials.
     dialer.advertise = SocketAddr::from(([127, 0, 0, 1], 1));
     let mut nodes = (start_with_config(hidden), start_with_config(dialer));
     wait_until_alive(&mut nodes.0, "a-dialer").await;
@@ -217,8 +226,8 @@
     (nodes.0, nodes.1, mode)
 }
 
-/// Somebody between two nodes changes what they say. The receiver must notice and act on none of
-/// it; a fresh connection goes on.
+/// An attacker between two nodes changes frames. The receiver must detect that and apply none of
+/// them; the configuration arrives over a new connection.
 #[tokio::test]
 async fn a_tampered_frame_is_not_applied() {
     let (mut hidden, dialer, mode) = start_pair_through_relay().await;
@@ -229,8 +238,8 @@
     assert_eq!(hidden.wait_for_document(6).await, &b"true text"[..]);
 }
 
-/// A peer stops reading and leaves the connection open, as a process that is stopped. What is
-/// meant for it must not pile up, and it must be found again when it is back.
+/// A peer stops reading and leaves the connection open, as a suspended process does. Frames for it
+/// must not pile up, and the link must be re-established once it reads again.
 #[tokio::test]
 async fn a_peer_that_stops_reading_is_dropped_and_reconnects() {
     let (mut hidden, mut dialer, mode) = start_pair_through_relay().await;
@@ -239,7 +248,11 @@
         let (reply, _) = tokio::sync::oneshot::channel();
         let record = bytes::Bytes::from(vec![1; 8000]);
         let hold = oatdale_mesh::Command::Hold { id, record, reply };
-        dialer.tx.send(hold).await.expect("the duty runs");
+        dialer
+            .tx
+            .send(hold)
+            .await
+            .expect("the mesh task is running");
         while dialer.rx.try_recv().is_ok() {}
     }
     let suspected = |e: &Event| match e {
--- a/crates/oatdale-mesh/tests/membership.rs
+++ b/crates/oatdale-mesh/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Who is there: joining, dying, pausing, leaving, returning, at sizes from today's to tomorrow's.
+//! Membership: nodes that join, die, pause, leave and return, in fleets of 2 to 64 nodes.
 
 #[path = "support/in_memory.rs"]
 mod support;
@@ -7,8 +7,10 @@
 use std::time::Duration;
 use support::fleet::{Fleet, ms};
 
+/// Simulated time in which the fleet converges.
 const CONVERGENCE_TIME: Duration = Duration::from_secs(60);
 
+/// How node `observer` sees node `subject`.
 fn peer_state(fleet: &Fleet, observer: usize, subject: usize) -> Option<PeerState> {
     let name = &fleet.nodes[subject].name;
     fleet.nodes[observer]
@@ -25,7 +27,7 @@
     fleet.start_all();
     let elapsed_time = fleet
         .run_until(CONVERGENCE_TIME, Fleet::views_agree)
-        .expect("all are seen");
+        .expect("all nodes see each other");
     assert!(elapsed_time < Duration::from_secs(3), "{elapsed_time:?}");
     fleet.run(Duration::from_secs(5));
     assert!(
@@ -45,7 +47,7 @@
     }
     fleet
         .run_until(CONVERGENCE_TIME, Fleet::views_agree)
-        .expect("all are seen");
+        .expect("all nodes see each other");
 }
 
 #[test]
@@ -54,7 +56,7 @@
     fleet.start_all();
     fleet
         .run_until(CONVERGENCE_TIME, Fleet::views_agree)
-        .expect("all are seen");
+        .expect("all nodes see each other");
     fleet.run(CONVERGENCE_TIME);
     assert!(fleet.views_agree());
     let most_links = fleet
@@ -65,8 +67,8 @@
     assert!(most_links.expect("nodes") < 40, "{most_links:?}");
 }
 
-/// A fleet comes up by one seed. The first nodes that a joiner knows are among those that keep its
-/// bills; were they kept for good, a few old nodes would hold the bills of the whole fleet.
+/// A fleet starts from one seed. A joiner's first holders are chosen among the first nodes that it
+/// knows; if these were never replaced, a few early nodes would hold the bills of the whole fleet.
 #[test]
 fn a_single_seed_does_not_keep_links_to_the_whole_fleet() {
     let mut fleet = Fleet::new(12, 8, 8);
@@ -77,21 +79,21 @@
     }
     fleet
         .run_until(CONVERGENCE_TIME, Fleet::views_agree)
-        .expect("all are seen");
+        .expect("all nodes see each other");
     fleet.run(CONVERGENCE_TIME);
     let links = fleet.nodes[0].member.as_ref().expect("up").linked().count();
     assert!(links < 30, "{links}");
 }
 
-/// A host loses its power and nothing tells its peers. Until they notice, callers may be sent to
-/// an address where nobody answers.
+/// A host loses power without closing its connections. Until its peers suspect it, callers may be
+/// sent to an address that does not answer.
 #[test]
 fn a_failed_host_is_suspected_and_removed_once_unlisted() {
     let mut fleet = Fleet::new(4, 3, 3);
     fleet.start_all();
     fleet
         .run_until(CONVERGENCE_TIME, Fleet::views_agree)
-        .expect("all are seen");
+        .expect("all nodes see each other");
     fleet.publish_host_list();
     fleet.kill(8, true);
     fleet.run(Duration::from_secs(4));
@@ -101,15 +103,16 @@
     assert!((0..8).all(|i| peer_state(&fleet, i, 8).is_none()));
 }
 
-/// A host is restarted, and is cut off before the platform's list, which is late, names it again.
-/// It still works, so it must not count as gone.
+/// A host restarts and is partitioned off before the platform's list, which lags, contains it
+/// again. The list is older than the process, which still runs, so it must be suspected and not
+/// removed.
 #[test]
 fn a_host_list_older_than_a_process_does_not_remove_it() {
     let mut fleet = Fleet::new(10, 3, 3);
     fleet.start_all();
     fleet
         .run_until(CONVERGENCE_TIME, Fleet::views_agree)
-        .expect("all are seen");
+        .expect("all nodes see each other");
     fleet.kill(8, false);
     fleet.run(ms(500));
     fleet.publish_host_list();
@@ -120,15 +123,15 @@
     assert!((0..8).all(|i| peer_state(&fleet, i, 8) == Some(PeerState::Suspect)));
 }
 
-/// A node stops for ten seconds, as under a debugger or a stalled hypervisor, and goes on. If it
-/// judged the others by its own stopped clock it would suspect them all.
+/// A node is paused for ten seconds, as by a debugger or a stalled hypervisor, and resumes. If it
+/// counted its own pause as silence of its peers, it would suspect them all.
 #[test]
 fn a_resumed_node_suspects_nobody() {
     let mut fleet = Fleet::new(5, 3, 3);
     fleet.start_all();
     fleet
         .run_until(CONVERGENCE_TIME, Fleet::views_agree)
-        .expect("all are seen");
+        .expect("all nodes see each other");
     fleet.pause(0);
     fleet.run(Duration::from_secs(10));
     assert_eq!(peer_state(&fleet, 1, 0), Some(PeerState::Suspect));
@@ -137,18 +140,18 @@
     assert!((1..9).all(|i| peer_state(&fleet, 0, i) == Some(PeerState::Alive)));
     fleet
         .run_until(CONVERGENCE_TIME, Fleet::views_agree)
-        .expect("it is seen again");
+        .expect("all nodes see each other again");
 }
 
-/// A host is replaced within a second by one of the same name. A late card of the dead process
-/// must not take its place.
+/// A host is replaced within a second by one of the same name. A late card of the dead process must
+/// not supersede that of the new one.
 #[test]
 fn a_restarted_node_is_known_by_its_new_incarnation() {
     let mut fleet = Fleet::new(6, 3, 3);
     fleet.start_all();
     fleet
         .run_until(CONVERGENCE_TIME, Fleet::views_agree)
-        .expect("all are seen");
+        .expect("all nodes see each other");
     fleet.kill(4, true);
     fleet.run(ms(500));
     fleet.restart(4);
@@ -166,8 +169,8 @@
     }
 }
 
-/// A host comes back with its clock set to the past, so that its new process seems older than the
-/// one that died. Were it refused for good, the host would be lost until its clock is right.
+/// A host restarts with its wall clock set back, so that the new process has a lower incarnation
+/// than the dead one. If peers kept refusing it, the host would be lost until its clock is right.
 #[test]
 fn a_restart_with_an_earlier_clock_is_accepted() {
     let mut fleet = Fleet::new(7, 3, 3);
@@ -175,18 +178,19 @@
     fleet.start_all();
     fleet
         .run_until(CONVERGENCE_TIME, Fleet::views_agree)
-        .expect("all are seen");
+        .expect("all nodes see each other");
     fleet.kill(4, false);
     fleet.run(ms(500));
     fleet.clock_lag = Duration::from_secs(50);
     fleet.restart(4);
     fleet
         .run_until(CONVERGENCE_TIME, Fleet::views_agree)
-        .expect("it is seen again");
+        .expect("all nodes see each other again");
 }
 
-/// A host stands still, the platform starts another under its name, and the first one wakes up.
-/// Two processes would serve callers under one name and fight over every link.
+/// A host is paused, the platform starts a replacement under the same name, and the first one
+/// resumes. If it did not end, two processes would serve callers under one name and take every link
+/// from each other.
 #[test]
 fn a_process_replaced_while_paused_ends_on_resume() {
     let mut fleet = Fleet::new(11, 3, 3);
@@ -224,7 +228,7 @@
     fleet.start_all();
     fleet
         .run_until(CONVERGENCE_TIME, Fleet::views_agree)
-        .expect("all are seen");
+        .expect("all nodes see each other");
     fleet.deliver_input(3, Input::Leave);
     fleet.run(ms(100));
     assert!(
@@ -235,7 +239,8 @@
     assert!(fleet.nodes[3].app.ended);
 }
 
-/// Two regions lose each other for minutes and find each other again. Nobody restarts anything.
+/// A partition lasts until the nodes of each side have forgotten the other. After it heals they
+/// must reconnect without a restart.
 #[test]
 fn halves_reconnect_after_a_long_partition() {
     let mut fleet = Fleet::new(9, 3, 3);
@@ -243,14 +248,14 @@
     fleet.start_all();
     fleet
         .run_until(CONVERGENCE_TIME, Fleet::views_agree)
-        .expect("all are seen");
+        .expect("all nodes see each other");
     fleet.partition(|a, b| a.domain == 0 && b.domain != 0);
     fleet.run(Duration::from_secs(120));
     assert_eq!(peer_state(&fleet, 0, 1), None);
     fleet.heal();
     fleet
         .run_until(CONVERGENCE_TIME, Fleet::views_agree)
-        .expect("all are seen again");
+        .expect("all nodes see each other again");
 }
 
 #[test]
@@ -258,9 +263,9 @@
     assert_ne!(HostId::of("a"), HostId::of("b"));
 }
 
-// A node starts before its seed is up, and the platform's list, which lags or knows no entry hosts
-// at all, is read meanwhile. Were the list to replace the seeds, the node would stay alone for
-// ever: callers would get a second set of limits, and its bills would have no holders.
+/// A node starts before its seed does and meanwhile reads the platform's list, which lags or lists
+/// no entry hosts at all. If the list replaced the seeds, the node would stay alone for ever:
+/// callers would get a second set of limits, and its bills would have no holders.
 #[test]
 fn an_empty_host_list_does_not_replace_the_seeds() {
     let mut fleet = Fleet::new(4, 2, 1);
@@ -271,5 +276,5 @@
     fleet.start_with_seeds(0, Vec::new());
     fleet
         .run_until(CONVERGENCE_TIME, Fleet::views_agree)
-        .expect("they find each other");
+        .expect("the nodes see each other");
 }
--- a/crates/oatdale-mesh/tests/seeds.rs
+++ b/crates/oatdale-mesh/tests/seeds.rs
@@ -1,4 +1,4 @@
-//! Seeds of the settings and the platform's list of hosts.
+//! Configured seeds and the platform's list of hosts.
 
 use oatdale_mesh::{Card, Input, Intervals, Member, MemberConfig, Output};
 use std::net::SocketAddr;
@@ -25,15 +25,17 @@
     Member::new(cfg, Duration::ZERO)
 }
 
-// The platform's list lags, so a fleet that was just started is not on it yet, and the list comes
-// before the first connection does. A node that took the list for the whole truth would forget the
-// peers of its settings and stay alone for ever: its configuration would age and its bills would
-// have no holder.
+/// The platform's list lags: a fleet that has just started is not on it yet, and the list arrives
+/// before the first connection is made. A node that replaced its configured seeds by the list would
+/// stay alone for ever: its configuration would become stale and its bills would have no holders.
 #[test]
 fn an_empty_host_list_keeps_the_configured_seeds() {
     let mut member = member();
     let _ = member.handle(Input::Hosts(Vec::new()), Duration::from_millis(1));
     let outputs = member.handle(Input::Tick, Duration::from_millis(50));
     let dials_seed = |o: &Output| matches!(o, Output::Dial(a) if a.to_string() == SEED_ADDRESS);
-    assert!(outputs.iter().any(dials_seed), "the seed is not dialed");
+    assert!(
+        outputs.iter().any(dials_seed),
+        "the configured seed is not dialed"
+    );
 }
--- a/crates/oatdale-mesh/tests/shares.rs
+++ b/crates/oatdale-mesh/tests/shares.rs
@@ -1,4 +1,4 @@
-//! The parts of a customer's limit add up to no more than a stated bound.
+//! The nodes' shares of a customer's limit add up to no more than a stated bound.
 
 #[path = "support/in_memory.rs"]
 mod support;
@@ -6,9 +6,10 @@
 use std::time::Duration;
 use support::fleet::{Fleet, ms};
 
+/// Simulated time within which the fleet must converge.
 const TIMEOUT: Duration = Duration::from_secs(60);
 const CUSTOMER: u32 = 42;
-/// What the sum may reach while views differ, whatever happens.
+/// Highest sum of shares allowed while the nodes' views differ, under any fault.
 const MAX_SHARE_SUM: f32 = 1.1;
 
 fn settled_fleet(seed: u64, domains: usize, hosts_per_domain: usize) -> Fleet {
@@ -16,7 +17,7 @@
     fleet.start_all();
     fleet
         .run_until(TIMEOUT, Fleet::views_agree)
-        .expect("all are seen");
+        .expect("all nodes see each other");
     for i in 0..domains * hosts_per_domain {
         fleet.set_demand(i, vec![(CUSTOMER, 0.0)]);
     }
@@ -51,8 +52,8 @@
     }
 }
 
-/// Regions lose each other while callers move from one to the other. Were each half to split the
-/// whole limit, a customer could use it twice.
+/// Failure domains are partitioned while callers have demand on both sides. If each side divided up
+/// the full limit, a customer could use it twice.
 #[test]
 fn a_partition_does_not_double_the_limit() {
     let mut fleet = settled_fleet(3, 3, 3);
@@ -67,7 +68,7 @@
     assert!(peak_sum <= MAX_SHARE_SUM, "{peak_sum}");
 }
 
-/// A whole fleet starts at once and no node knows another yet. Each would take the whole limit.
+/// A fleet starts at once, and no node knows another yet. None of them may take the full limit.
 #[test]
 fn a_cold_start_does_not_multiply_the_limit() {
     let mut fleet = Fleet::new(4, 3, 3);
@@ -79,7 +80,7 @@
     assert!(peak_sum <= MAX_SHARE_SUM, "{peak_sum}");
 }
 
-/// Nodes are killed and replaced one after the other under full demand, as on any day.
+/// Nodes are killed and restarted one after the other under full demand, as in normal operation.
 #[test]
 fn restarts_keep_the_share_sum_within_the_bound() {
     let mut fleet = settled_fleet(5, 3, 3);
@@ -100,8 +101,8 @@
     assert!(sum > 0.9, "{sum}");
 }
 
-/// A node is paused for longer than parts take to rise, and its callers go elsewhere meanwhile.
-/// When it returns it still believes in the old demand; it must not take what others have now.
+/// A node is paused for longer than shares take to rise, and its callers move to other nodes. When
+/// it resumes, its view of the demand is stale; it must not claim shares that others use by now.
 #[test]
 fn a_resumed_node_keeps_its_previous_share() {
     let mut fleet = settled_fleet(7, 2, 4);
@@ -120,8 +121,8 @@
     assert!(peak_sum <= MAX_SHARE_SUM, "{peak_sum}");
 }
 
-/// A node starts and is cut off again before it has computed anything from what it met. Hosts
-/// that it knows by name only go on using their parts.
+/// A node joins and is partitioned off before it has computed any share from its peers' reports.
+/// Hosts of which it knows only the name still use their shares, so it must not claim them.
 #[test]
 fn a_joiner_partitioned_at_once_does_not_take_shares_in_use() {
     for after in [60, 120, 300, 700, 1500] {
@@ -139,8 +140,8 @@
     }
 }
 
-/// A host loses its power for good. Its part is of use to nobody until the platform's list drops
-/// the host; then the others must have it.
+/// A host loses power for good. Its share stays reserved until the platform's list no longer
+/// contains the host; then the other nodes must get it.
 #[test]
 fn the_share_of_a_lost_host_is_redistributed() {
     let mut fleet = settled_fleet(6, 3, 3);
--- a/crates/oatdale-mesh/tests/sockets.rs
+++ b/crates/oatdale-mesh/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The duty over real sockets on the loopback interface.
+//! The mesh task over real sockets on the loopback interface.
 
 #[path = "support/sockets.rs"]
 mod sockets;
@@ -22,12 +22,12 @@
         node.wait_for_event(|e| matches!(e, Event::Peers(p) if p.len() == 2))
             .await;
     }
-    let mut leaving_node: Node = nodes.pop().expect("three nodes");
+    let mut leaving_node: Node = nodes.pop().expect("three nodes were started");
     leaving_node
         .tx
         .send(Command::Leave)
         .await
-        .expect("the duty runs");
+        .expect("the mesh task is running");
     leaving_node
         .wait_for_event(|e| *e == Event::LeaveDone)
         .await;
--- a/crates/oatdale-mesh/tests/spec.rs
+++ b/crates/oatdale-mesh/tests/spec.rs
@@ -1,7 +1,7 @@
-//! The spread of the configuration, explored state by state.
+//! Model checking of how a configuration spreads, by exhaustive search of the reachable states.
 //!
-//! The specification decides with the functions that the code uses: which revision replaces which,
-//! and when a joiner has asked enough peers.
+//! The specification calls the functions that the implementation uses: `newer` decides which
+//! revision replaces which, `settled` decides when a joiner has asked enough peers.
 
 use oatdale_check::{Spec, explore};
 use oatdale_mesh::{newer, settled};
@@ -10,17 +10,17 @@
 const MAX_REVISION: u8 = 3;
 const MAX_STATES: usize = 20_000_000;
 
-/// What is wrong on purpose; each must be found.
+/// A deliberate fault in the specification; the search must detect each one.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Mutation {
     Unmodified,
-    /// Takes any revision that is offered, as a node that only compares for difference.
+    /// A node adopts any offered revision that differs from its own, also an older one.
     AcceptsAnyRevision,
-    /// A joiner takes the first answer.
+    /// A joiner adopts the first answer instead of waiting for enough peers.
     AcceptsFirstAnswer,
-    /// A restarted node serves before it has asked anyone.
+    /// A restarted node serves before it has asked any peer.
     ServesBeforeJoin,
-    /// Writes without comparing with what the operator saw.
+    /// The service accepts a write even if the stored revision is not the one that was read.
     UnconditionalWrite,
 }
 
@@ -31,40 +31,42 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 enum Node {
     Down,
-    /// Started; the answers that it got so far, by peer.
+    /// Started and waiting for answers; those received so far, by peer.
     Joining {
         answers: [Option<u8>; NODE_COUNT],
     },
-    /// In force there.
+    /// Serving with this revision in force.
     Serving {
         revision: u8,
     },
 }
 
-/// One state of three nodes, the service and two operators.
+/// A state of three nodes, the key-value service and two operators.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct State {
-    /// What the service holds, and who wrote it.
+    /// The revision that the service stores, and the operator that wrote it.
     stored: (u8, u8),
     /// Whether the service answers.
     service_up: bool,
-    /// What each operator has read and wants to replace.
+    /// The revision that each operator has read and is about to replace.
     read: [Option<u8>; 2],
-    /// Writes that operators were told are accepted.
+    /// The last revision of each operator that the service accepted.
     accepted: [u8; 2],
     nodes: [Node; NODE_COUNT],
-    /// Offers under way: from whom (by revision when sent) to whom. Late and in any order.
+    /// Offers in flight, by sender and receiver, with the revision when sent. They may arrive late
+    /// and in any order.
     offers: [[Option<u8>; NODE_COUNT]; NODE_COUNT],
-    /// Node 0 can't reach the others while true.
+    /// Whether node 0 is partitioned off from the other nodes.
     partitioned: bool,
+    /// Faults that may still be injected, which bounds the search.
     remaining_restarts: u8,
     remaining_partitions: u8,
     remaining_outages: u8,
-    /// The highest revision that each life of a node had in force; 0 after its restart.
+    /// The highest revision in force at each node since its start; 0 after a restart.
     highest_revision: [u8; NODE_COUNT],
-    /// Set when a node went back.
+    /// Whether a node has returned to an older revision.
     revision_decreased: bool,
-    /// Set when a joiner came to serve less than every peer that it could ask has.
+    /// Whether a joiner has begun to serve an older revision than a peer that it could reach.
     joined_stale: bool,
 }
 
@@ -84,7 +86,7 @@
         self.revision_decreased |= revision < self.highest_revision[i];
         self.highest_revision[i] = revision;
         self.nodes[i] = Node::Serving { revision };
-        // A node offers what it has taken to all it has a link to.
+        // A node offers the adopted revision to every node that it has a link to.
         for to in 0..NODE_COUNT {
             if self.connected(i, to) && !matches!(self.nodes[to], Node::Down) {
                 self.offers[i][to] = Some(revision);
@@ -92,8 +94,8 @@
         }
     }
 
-    /// The least that a joiner may serve: the highest of the peers that it can ask, provided that
-    /// all of them have been asked or the wait is over for those that are cut off.
+    /// The lowest revision that joiner `i` may serve: the highest one of the peers that it can
+    /// reach, provided that it has asked all of them or that the wait for partitioned ones is over.
     fn highest_reachable(&self, i: usize) -> u8 {
         let peers = (0..NODE_COUNT).filter(|p| self.connected(i, *p));
         peers
@@ -116,7 +118,7 @@
             if s.service_up && s.read[op].is_none() {
                 let mut n = s.clone();
                 n.read[op] = Some(s.stored.0);
-                successors.push((format!("operator {op} reads {}", s.stored.0), n));
+                successors.push((format!("operator {op} reads revision {}", s.stored.0), n));
             }
             let Some(read) = s.read[op] else { continue };
             let write_succeeds =
@@ -128,7 +130,7 @@
                     n.stored = (read + 1, op as u8);
                     n.accepted[op] = read + 1;
                 }
-                successors.push((format!("operator {op} writes {}", read + 1), n));
+                successors.push((format!("operator {op} writes revision {}", read + 1), n));
             }
         }
     }
@@ -144,7 +146,7 @@
             let mut n = s.clone();
             n.partitioned = !s.partitioned;
             n.remaining_partitions -= u8::from(n.partitioned);
-            successors.push((format!("node 0 cut off: {}", n.partitioned), n));
+            successors.push((format!("node 0 partitioned: {}", n.partitioned), n));
         }
         for i in 0..NODE_COUNT {
             match s.nodes[i] {
@@ -188,17 +190,17 @@
         }
     }
 
-    /// A watch fires, or a starting node reads the key.
+    /// A node's watch fires, or a starting node reads the key.
     fn watch_steps(&self, s: &State, to: usize, successors: &mut Vec<(String, State)>) {
         let current = s.serving_revision(to).unwrap_or(0);
         if s.stored.0 > 0 && self.accepts(current, s.stored.0) {
             let mut n = s.clone();
             n.apply_revision(to, s.stored.0);
-            successors.push((format!("node {to} reads {}", s.stored.0), n));
+            successors.push((format!("node {to} reads revision {}", s.stored.0), n));
         }
     }
 
-    /// An offer arrives, maybe late.
+    /// An offer arrives, possibly late.
     fn offer_steps(
         &self,
         s: &State,
@@ -214,10 +216,13 @@
         if self.accepts(current, offered) {
             n.apply_revision(to, offered);
         }
-        successors.push((format!("node {to} hears {offered} from {from}"), n));
+        successors.push((
+            format!("node {to} receives offer {offered} from node {from}"),
+            n,
+        ));
     }
 
-    /// A joiner gets a peer's answer.
+    /// A joiner receives a peer's answer.
     fn answer_steps(
         &self,
         s: &State,
@@ -234,11 +239,14 @@
             let mut answers = answers;
             answers[from] = Some(revision);
             n.nodes[to] = Node::Joining { answers };
-            successors.push((format!("joiner {to} is told {revision} by {from}"), n));
+            successors.push((
+                format!("joiner {to} receives answer {revision} from node {from}"),
+                n,
+            ));
         }
     }
 
-    /// A joiner has asked enough, or waited for peers that can't answer.
+    /// A joiner starts to serve once it has enough answers or has waited for unreachable peers.
     fn join_steps(&self, s: &State, i: usize, successors: &mut Vec<(String, State)>) {
         let Node::Joining { answers } = s.nodes[i] else {
             return;
@@ -260,8 +268,8 @@
         else {
             return;
         };
-        // Peers that changed since they answered offer the newer one; what counts is whether one
-        // that could be asked was left out.
+        // A peer that adopts a newer revision after its answer sends an offer for it, so only
+        // reachable peers that were not asked count.
         let newest_unasked = reachable
             .filter(|p| answers[*p].is_none())
             .filter_map(|p| s.serving_revision(p))
@@ -269,7 +277,7 @@
         let mut n = s.clone();
         n.joined_stale |= newest_unasked.is_some_and(|l| l > best);
         n.apply_revision(i, best);
-        successors.push((format!("joiner {i} serves {best}"), n));
+        successors.push((format!("joiner {i} serves revision {best}"), n));
     }
 }
 
@@ -305,15 +313,15 @@
     fn invariant(&self, s: &State) -> Result<(), String> {
         let double_accept = s.accepted[0] > 0 && s.accepted[0] == s.accepted[1];
         match () {
-            () if s.revision_decreased => Err("a node went back to an older revision".to_owned()),
+            () if s.revision_decreased => Err("a node returned to an older revision".to_owned()),
             () if s.joined_stale => {
-                Err("a joiner serves less than a peer that it could ask".to_owned())
+                Err("a joiner serves an older revision than a reachable peer".to_owned())
             }
             () if double_accept => {
-                Err("two operators were told that the same revision is theirs".to_owned())
+                Err("the same revision was accepted from two operators".to_owned())
             }
             () if s.nodes.iter().any(|n| is_ahead_of_store(n, s.stored.0)) => {
-                Err("a node serves what was never stored".to_owned())
+                Err("a node serves a revision that was never stored".to_owned())
             }
             () => Ok(()),
         }
@@ -333,34 +341,35 @@
         MAX_STATES,
     );
     let states = states.unwrap_or_else(|found| panic!("{found}"));
-    println!("{states} states of the spread");
+    println!("{states} states of the configuration's spread");
     assert!(states > 10_000);
 }
 
-/// Each mistake is one that somebody could make in the code; the specification must see what users
-/// would: a withdrawn version that serves again, or an operator's change that is lost.
+/// Each mutation is a plausible implementation mistake. The specification must detect its effect on
+/// users: a withdrawn version that serves again, or an operator's change that is lost.
 #[test]
 fn each_mutation_is_found() {
     let cases = [
         (
             Mutation::AcceptsAnyRevision,
-            "a node went back to an older revision",
+            "a node returned to an older revision",
         ),
         (
             Mutation::AcceptsFirstAnswer,
-            "a joiner serves less than a peer that it could ask",
+            "a joiner serves an older revision than a reachable peer",
         ),
         (
             Mutation::ServesBeforeJoin,
-            "a joiner serves less than a peer that it could ask",
+            "a joiner serves an older revision than a reachable peer",
         ),
         (
             Mutation::UnconditionalWrite,
-            "two operators were told that the same revision is theirs",
+            "the same revision was accepted from two operators",
         ),
     ];
     for (mutation, violation) in cases {
-        let found = explore(&SpreadSpec { mutation }, MAX_STATES).expect_err("the break is found");
+        let found = explore(&SpreadSpec { mutation }, MAX_STATES)
+            .expect_err("the mutation violates an invariant");
         println!("{mutation:?}: {found}");
         assert_eq!(found.broken, violation);
         assert!(found.steps.len() <= 12, "{found}");
--- a/crates/oatdale-mesh/tests/spread.rs
+++ b/crates/oatdale-mesh/tests/spread.rs
@@ -1,4 +1,4 @@
-//! The configuration comes into force everywhere and never goes back.
+//! A new configuration comes into force on every node, and no node returns to an older revision.
 
 #[path = "support/in_memory.rs"]
 mod support;
@@ -6,6 +6,7 @@
 use std::time::Duration;
 use support::fleet::{Fleet, ms};
 
+/// Simulated time within which the fleet must converge.
 const TIMEOUT: Duration = Duration::from_secs(60);
 
 fn document_text(n: u64) -> String {
@@ -20,12 +21,12 @@
     fleet.start_all();
     fleet
         .run_until(TIMEOUT, Fleet::views_agree)
-        .expect("all are seen");
+        .expect("all nodes see each other");
     fleet.run(Duration::from_secs(5));
     fleet.write_config(document_text(0));
     fleet
         .run_until(TIMEOUT, |f| f.all_at_revision(1))
-        .expect("all hold it");
+        .expect("all nodes hold the revision");
     fleet
 }
 
@@ -51,7 +52,7 @@
         let revision = fleet.write_config(document_text(n));
         let elapsed_time = fleet
             .run_until(TIMEOUT, |f| f.all_at_revision(revision))
-            .expect("all hold it");
+            .expect("all nodes hold the revision");
         assert!(elapsed_time < Duration::from_secs(1), "{elapsed_time:?}");
         fleet.run(ms(300));
     }
@@ -90,29 +91,30 @@
     let change_bytes = (fleet.stats.bytes - bytes_before_change).saturating_sub(idle_bytes);
     assert!(
         change_bytes < 9 * document_text(1).len(),
-        "{change_bytes} bytes for {} of text",
+        "{change_bytes} bytes for a document of {} bytes",
         document_text(1).len()
     );
 }
 
-/// The service can't be reached from any node but one that was not watching. Operators would see
-/// their change accepted and in force nowhere.
+/// The key-value service is reachable only from a node that does not watch it. If that node did not
+/// start to watch, operators would see their change accepted and in force nowhere.
 #[test]
 fn one_node_that_reaches_the_service_is_enough() {
     let mut fleet = settled_fleet(4, 3, 3);
     let reachable_node = (0..9)
         .find(|i| !fleet.nodes[*i].app.watches_key)
-        .expect("one does not watch");
+        .expect("a node does not watch the key");
     fleet.set_service_reachable(|i| i == reachable_node);
     let revision = fleet.write_config(document_text(1));
     fleet
         .run_until(TIMEOUT, |f| f.all_at_revision(revision))
-        .expect("all hold it");
+        .expect("all nodes hold the revision");
     assert_revisions_rise(&fleet);
 }
 
-/// A joiner starts during an outage of the service, and the first peer that it meets was cut off
-/// and holds an old text. If it believed that peer, it would serve a version that was withdrawn.
+/// A joiner starts during an outage of the key-value service, and the first peer that it reaches
+/// was partitioned off and holds an old revision. If it adopted that one, it would serve a
+/// withdrawn version.
 #[test]
 fn a_joiner_that_meets_a_stale_peer_first_adopts_the_highest_revision() {
     let mut fleet = settled_fleet(5, 3, 3);
@@ -122,21 +124,21 @@
     let newest = fleet.write_config(document_text(1));
     fleet
         .run_until(TIMEOUT, |f| (1..8).all(|i| f.nodes[i].revision() == newest))
-        .expect("hold");
+        .expect("the watching side holds the revision");
     fleet.set_service_reachable(|_| false);
     fleet.heal();
     assert_eq!(fleet.nodes[0].revision(), 1);
-    // The stale peer answers at once, the others are slower.
+    // The stale peer may answer before the others do.
     fleet.restart(8);
     fleet
         .run_until(TIMEOUT, |f| !f.nodes[8].app.revisions.is_empty())
-        .expect("it joins");
+        .expect("the node joins");
     assert_eq!(fleet.nodes[8].app.revisions, [newest]);
     assert_revisions_rise(&fleet);
 }
 
-/// A node is killed and comes back while the service is down. It must find the newest text at its
-/// peers or refuse to serve; it must not serve an older one.
+/// A node is killed and restarts while the key-value service is down. It must get the newest
+/// revision from its peers or refuse to serve; it must not serve an older one.
 #[test]
 fn a_restart_during_an_outage_adopts_the_newest_revision() {
     let mut fleet = settled_fleet(6, 3, 3);
@@ -150,12 +152,12 @@
     fleet.restart(3);
     fleet
         .run_until(TIMEOUT, |f| f.nodes[3].revision() == 5)
-        .expect("it finds it");
+        .expect("the node gets the newest revision");
     assert_eq!(fleet.nodes[3].app.revisions, [5]);
 }
 
-/// One half of the fleet can't see the other while texts change. After the cut heals, nodes must
-/// go forward to the newest and never back to what the other half still has.
+/// The fleet is split in halves while the configuration changes. After the partition heals, nodes
+/// must adopt the newest revision and never return to the one that the other half still holds.
 #[test]
 fn halves_converge_on_the_newest_revision_after_a_partition() {
     let mut fleet = settled_fleet(7, 4, 4);
@@ -169,12 +171,12 @@
     fleet.heal();
     fleet
         .run_until(TIMEOUT, |f| f.all_at_revision(30))
-        .expect("all hold it");
+        .expect("all nodes hold the revision");
     assert_revisions_rise(&fleet);
 }
 
-/// A large text travels in pieces and the peer that serves it dies halfway. The joiner must go on
-/// with another peer, and not wait for the dead one.
+/// A large document is transferred in chunks, and the peer that serves it dies halfway. The joiner
+/// must continue with another peer and not wait for the dead one.
 #[test]
 fn a_snapshot_transfer_survives_the_loss_of_its_source() {
     let mut fleet = settled_fleet(8, 3, 3);
@@ -184,7 +186,7 @@
     let revision = fleet.write_config(large_document.clone());
     fleet
         .run_until(TIMEOUT, |f| f.all_at_revision(revision))
-        .expect("all hold it");
+        .expect("all nodes hold the revision");
     fleet.set_service_reachable(|_| false);
     fleet.kill(8, false);
     fleet.run(Duration::from_secs(3));
@@ -195,7 +197,7 @@
     }
     fleet
         .run_until(TIMEOUT, |f| f.nodes[8].revision() == revision)
-        .expect("it gets it");
+        .expect("the joiner gets the document");
     assert_eq!(fleet.nodes[8].app.document, large_document);
 }
 
@@ -211,6 +213,6 @@
     fleet.heal();
     fleet
         .run_until(TIMEOUT, |f| f.all_at_revision(60))
-        .expect("all hold it");
+        .expect("all nodes hold the revision");
     assert_revisions_rise(&fleet);
 }
--- a/crates/oatdale-mesh/tests/support/app.rs
+++ b/crates/oatdale-mesh/tests/support/app.rs
@@ -1,4 +1,4 @@
-//! What the rest of a node would do, and the platform's services, as far as members need them.
+//! Simulates the rest of a node and the platform's services, as far as members depend on them.
 #![allow(dead_code)]
 
 use super::fleet::{Fleet, ms};
@@ -7,40 +7,44 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What a node saw since its start.
+/// What a node's member has reported since its start.
 #[derive(Default)]
 pub(crate) struct AppState {
     /// Revisions in the order in which they came into force.
     pub(crate) revisions: Vec<u64>,
     pub(crate) document: Bytes,
-    /// The last revision that the mesh told.
+    /// Revision of the last `Event::Document`.
     pub(crate) last_document_revision: u64,
     pub(crate) joined: bool,
+    /// Whether the node watches the configuration's key.
     pub(crate) watches_key: bool,
     pub(crate) peers: Vec<PeerView>,
     pub(crate) shares: BTreeMap<u32, f32>,
     pub(crate) acks: BTreeMap<u128, HoldAck>,
     pub(crate) evidence: BTreeMap<u32, Vec<u64>>,
     pub(crate) stops: BTreeSet<String>,
+    /// Whether the member has left or was superseded.
     pub(crate) ended: bool,
+    /// The state that the node reports to its member.
     pub(crate) local: LocalState,
 }
 
-/// The key-value service and the journal in it.
+/// The key-value service with the configuration and the journal.
 #[derive(Default)]
 pub(crate) struct Platform {
     pub(crate) revision: u64,
     pub(crate) stored_document: Bytes,
-    /// Nodes that can't reach it.
+    /// Nodes that can't reach the service.
     pub(crate) unreachable_from: BTreeSet<usize>,
-    /// The first record of each id stays.
+    /// The first record appended for each id; later ones are ignored.
     pub(crate) journal: BTreeMap<u128, Bytes>,
-    /// Broken promises, as they are noticed.
+    /// Violations of invariants, in the order in which they were detected.
     pub(crate) violations: Vec<String>,
 }
 
 impl Fleet {
-    /// An operator writes the next revision; nodes that watch learn of it a little later.
+    /// Writes the next revision as an operator does. Nodes that watch the key get it after a short
+    /// delay.
     pub(crate) fn write_config(&mut self, text: impl Into<Bytes>) -> u64 {
         self.platform.revision += 1;
         self.platform.stored_document = text.into();
@@ -52,7 +56,8 @@
         self.platform.revision
     }
 
-    /// A read of the key, or a watch that fires.
+    /// Reads the configuration's key on behalf of a node, as at its start or when its watch fires,
+    /// and reports a change of the service's reachability to the member.
     pub(crate) fn read_config(&mut self, i: usize) {
         let (revision, document) = (
             self.platform.revision,
@@ -84,7 +89,7 @@
         self.schedule_input(i, ms(1), Input::Local(local));
     }
 
-    /// The service can be reached by these nodes only.
+    /// Makes the key-value service reachable by exactly the nodes for which `reachable` holds.
     pub(crate) fn set_service_reachable(&mut self, reachable: impl Fn(usize) -> bool) {
         self.stats.outages += 1;
         self.platform.unreachable_from = (0..self.nodes.len()).filter(|i| !reachable(*i)).collect();
@@ -95,7 +100,7 @@
         }
     }
 
-    /// The platform's list of hosts, as it is now.
+    /// Gives every live node the platform's current list of hosts.
     pub(crate) fn publish_host_list(&mut self) {
         let listed = self.live_nodes().into_iter().map(|i| self.nodes[i].address);
         let list: Vec<ListedHost> = listed
@@ -109,6 +114,7 @@
         }
     }
 
+    /// Records that a revision is in force, unless one at least as new is already.
     fn put_in_force(&mut self, i: usize, revision: u64, document: &Bytes) {
         let app = &mut self.nodes[i].app;
         if app.revisions.last().is_none_or(|last| *last < revision) {
@@ -123,9 +129,9 @@
             Event::Document { revision, document } => {
                 let last = self.nodes[i].app.last_document_revision;
                 if revision <= last {
-                    self.platform
-                        .violations
-                        .push(format!("{i}: told {revision} after {last}"));
+                    self.platform.violations.push(format!(
+                        "node {i}: mesh delivered revision {revision} after {last}"
+                    ));
                 }
                 self.nodes[i].app.last_document_revision = revision;
                 self.put_in_force(i, revision, &document);
@@ -172,7 +178,7 @@
             if decreased {
                 self.platform
                     .violations
-                    .push(format!("{i}: a counter fell"));
+                    .push(format!("node {i}: an evidence counter decreased"));
             }
         }
     }
@@ -181,7 +187,7 @@
         self.nodes[i].app.acks.insert(id, ack);
     }
 
-    /// The node itself appends its record to the journal and releases it.
+    /// Appends a record to the journal on behalf of its owner, which then releases it.
     pub(crate) fn append_to_journal(&mut self, i: usize, id: u128, record: &Bytes) {
         self.platform
             .journal
@@ -190,14 +196,14 @@
         self.schedule_input(i, ms(5), Input::Release(vec![id]));
     }
 
-    /// Every node that is up holds the newest revision.
+    /// Whether every live node holds `revision` or a newer one.
     pub(crate) fn all_at_revision(&self, revision: u64) -> bool {
         self.live_nodes()
             .into_iter()
             .all(|i| self.nodes[i].revision() >= revision)
     }
 
-    /// Every node sees every other one alive and no other.
+    /// Whether every live node sees as many peers alive as there are other live nodes.
     pub(crate) fn views_agree(&self) -> bool {
         let live_nodes = self.live_nodes();
         live_nodes.iter().all(|i| {
@@ -206,9 +212,9 @@
         })
     }
 
-    /// Who does not see whom alive, or lacks the newest revision.
+    /// Describes each live node's revision and the nodes that it does not see alive.
     pub(crate) fn disagreement(&self) -> String {
-        let mut text = String::from("no agreement:");
+        let mut text = String::from("the fleet has not converged:");
         for i in self.live_nodes() {
             let node = &self.nodes[i];
             let alive = |p: &&PeerView| p.state == PeerState::Alive;
@@ -225,7 +231,7 @@
                 .collect();
             let links = node.member.as_ref().map_or(0, |m| m.linked().count());
             text += &format!(
-                "\n{} holds {}, has {links} links, ended {}, lacks {missing:?}",
+                "\n{}: revision {}, {links} links, ended: {}, does not see {missing:?} alive",
                 node.name,
                 node.revision(),
                 node.app.ended
@@ -234,7 +240,7 @@
         text
     }
 
-    /// The sum of a customer's shares over nodes that run.
+    /// The sum of a customer's shares over live nodes that are not paused.
     pub(crate) fn share_sum(&self, customer: u32) -> f32 {
         let running = self
             .live_nodes()
@@ -245,7 +251,8 @@
             .sum()
     }
 
-    /// Lets time pass and returns the greatest sum of a customer's shares meanwhile.
+    /// Advances the simulated time by `span` and returns the highest sum of a customer's shares
+    /// during it, sampled every 50 ms.
     pub(crate) fn peak_share_sum(&mut self, span: Duration, customer: u32) -> f32 {
         let end = self.now + span;
         let mut peak_sum = 0.0f32;
--- a/crates/oatdale-mesh/tests/support/faults.rs
+++ b/crates/oatdale-mesh/tests/support/faults.rs
@@ -1,9 +1,9 @@
-//! What happens to nodes and links of a fleet.
+//! Faults of nodes and links: kills, pauses and network partitions.
 #![allow(dead_code)]
 
 use super::fleet::{Fleet, ScheduledEvent, SimNode, ms};
 
-/// What happened in a run.
+/// Counts of the faults and the traffic of a run.
 #[derive(Clone, Copy, Default, Debug)]
 pub(crate) struct RunStats {
     pub(crate) kills: usize,
@@ -11,7 +11,7 @@
     pub(crate) partitions: usize,
     pub(crate) outages: usize,
     pub(crate) restarts: usize,
-    /// Frames that were under way when a fault happened.
+    /// Frames that were in flight when a node was killed or paused or the network partitioned.
     pub(crate) in_flight_frames: usize,
     pub(crate) frames: usize,
     pub(crate) bytes: usize,
@@ -36,7 +36,8 @@
         self.start(i);
     }
 
-    /// Ends a node at once. A silent kill leaves its peers waiting.
+    /// Ends a node's process at once. A silent kill closes no connection, so its peers notice only
+    /// by timeout.
     pub(crate) fn kill(&mut self, i: usize, silent: bool) {
         self.stats.kills += 1;
         self.count_in_flight_frames();
@@ -59,6 +60,7 @@
         self.nodes[i].paused = true;
     }
 
+    /// Ends a pause and delivers the inputs that arrived during it.
     pub(crate) fn resume(&mut self, i: usize) {
         self.nodes[i].paused = false;
         self.nodes[i].tick_epoch += 1;
@@ -75,7 +77,8 @@
         }
     }
 
-    /// Cuts every pair for which `apart` says so.
+    /// Partitions every pair of nodes for which `separates` holds in either order, in addition to
+    /// those that are partitioned already.
     pub(crate) fn partition(&mut self, separates: impl Fn(&SimNode, &SimNode) -> bool) {
         self.stats.partitions += 1;
         self.count_in_flight_frames();
@@ -89,6 +92,7 @@
         }
     }
 
+    /// Ends all partitions and delivers what they have blocked.
     pub(crate) fn heal(&mut self) {
         self.partitioned_pairs.clear();
         for scheduled in std::mem::take(&mut self.blocked_events) {
--- a/crates/oatdale-mesh/tests/support/fleet.rs
+++ b/crates/oatdale-mesh/tests/support/fleet.rs
@@ -1,7 +1,8 @@
-//! Many members in one process, with links that can be cut, and nodes that can be killed or paused.
+//! A deterministic simulation of a fleet of members in one process.
 //!
-//! Time is counted, not measured; the same seed gives the same run. A cut keeps what is sent on a
-//! connection until it heals, as TCP does; a silent kill tells nobody, as a host without power.
+//! Time is simulated, so the same seed gives the same run. Nodes can be killed or paused and the
+//! network can be partitioned. A partition delays what is sent on a connection until it heals, as
+//! TCP does; a silent kill closes no connection, as when a host loses power.
 #![allow(dead_code)]
 
 use super::app::{AppState, Platform};
@@ -16,29 +17,37 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// Interval between two `Input::Tick` of a node.
 pub(crate) const TICK_INTERVAL: Duration = Duration::from_millis(50);
+
 pub(crate) const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
+/// A host of the fleet and the process that runs on it, if any.
 pub(crate) struct SimNode {
     pub(crate) name: String,
     pub(crate) domain: usize,
     pub(crate) address: SocketAddr,
+    /// `None` while the host is down.
     pub(crate) member: Option<Member>,
     pub(crate) app: AppState,
     pub(crate) paused: bool,
     started: Duration,
+    /// Number of starts; events scheduled for an earlier process are dropped.
     pub(super) generation: u64,
+    /// Raised by each start and each resume, so that ticks scheduled before it are dropped.
     pub(super) tick_epoch: u64,
+    /// Inputs that arrived while the node was paused.
     pub(super) deferred_inputs: Vec<Input>,
     pub(crate) sent_bytes: usize,
     pub(crate) sent_frames: usize,
     pub(crate) received_bytes: usize,
-    /// Time spent in the member's code and in coding frames.
+    /// Real time spent in the member's code and in encoding and decoding frames.
     pub(crate) processing_time: Duration,
 }
 
+/// An event of the simulation; nodes are given by index.
 #[derive(Debug)]
 pub(super) enum ScheduledEvent {
     Dial {
@@ -46,8 +55,10 @@
         generation: u64,
         to: SocketAddr,
     },
+    /// The handshake is complete at one end of a connection.
     LinkUp {
         conn: u64,
+        /// 0 for the dialer, 1 for the acceptor.
         end: usize,
         dialed: Option<SocketAddr>,
         card: Card,
@@ -60,17 +71,20 @@
     },
     Frame {
         conn: u64,
+        /// The receiving end, 0 or 1.
         to: usize,
         bytes: Vec<u8>,
     },
     Closed {
         conn: u64,
+        /// The end that learns of the close, 0 or 1.
         to: usize,
     },
     Tick {
         node: usize,
         tick_epoch: u64,
     },
+    /// An input from the rest of the node.
     AppInput {
         node: usize,
         generation: u64,
@@ -78,31 +92,38 @@
     },
 }
 
+/// The simulated fleet with its network and the platform's services.
 pub(crate) struct Fleet {
+    /// The simulated time.
     pub(crate) now: Duration,
     pub(crate) nodes: Vec<SimNode>,
     pub(crate) platform: Platform,
     pub(crate) stats: RunStats,
     pub(crate) intervals: Intervals,
-    /// Measure the time spent in each member, which makes a run slower but not different.
+    /// Whether to measure the processing time of each node, which slows a run down but does not
+    /// change it.
     pub(crate) measure_processing: bool,
     rng: Pcg64,
+    /// Pairs of nodes that can't reach each other, lower index first.
     pub(super) partitioned_pairs: BTreeSet<(usize, usize)>,
     pub(super) connections: BTreeMap<u64, Connection>,
+    /// Frames and closes that were due while their link was partitioned.
     pub(super) blocked_events: Vec<ScheduledEvent>,
+    /// Events by due time and, for equal times, in the order in which they were scheduled.
     pub(super) queue: BTreeMap<(Duration, u64), ScheduledEvent>,
+    /// The last sequence number given to an event or a connection.
     pub(super) counter: u64,
-    /// How far wall clocks of hosts that start are behind.
+    /// How far the wall clocks of hosts that start now are behind.
     pub(crate) clock_lag: Duration,
 }
 
 impl Fleet {
-    /// `domains` failure domains of `each` hosts, none started.
+    /// Creates `domains` failure domains of `hosts_per_domain` hosts each, none of them started.
     pub(crate) fn new(seed: u64, domains: usize, hosts_per_domain: usize) -> Self {
         Self::with_hosts(seed, domains, domains * hosts_per_domain)
     }
 
-    /// So many hosts spread over so many failure domains, none started.
+    /// Creates `hosts` hosts spread evenly over `domains` failure domains, none of them started.
     pub(crate) fn with_hosts(seed: u64, domains: usize, hosts: usize) -> Self {
         let nodes = (0..hosts).map(|i| SimNode::new(i, i % domains)).collect();
         Fleet {
@@ -125,6 +146,7 @@
         }
     }
 
+    /// Returns a random number below `limit`, or 0 if `limit` is 0.
     pub(crate) fn random_below(&mut self, limit: u64) -> u64 {
         self.rng.next_u64() % limit.max(1)
     }
@@ -189,6 +211,7 @@
         self.nodes[i].member.is_some()
     }
 
+    /// Nodes with a process, paused ones included.
     pub(crate) fn live_nodes(&self) -> Vec<usize> {
         (0..self.nodes.len()).filter(|i| self.is_live(*i)).collect()
     }
@@ -197,7 +220,7 @@
         self.partitioned_pairs.contains(&(a.min(b), a.max(b)))
     }
 
-    /// Lets time pass.
+    /// Advances the simulated time by `span`.
     pub(crate) fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while let Some(at) = self.step(end) {
@@ -206,7 +229,8 @@
         self.now = end;
     }
 
-    /// Runs until `done`, at most `span`, and returns how long it took.
+    /// Runs until `done` holds and returns how long that took, or `None` if it took more than
+    /// `span`.
     pub(crate) fn run_until(
         &mut self,
         span: Duration,
@@ -219,7 +243,7 @@
         Some(self.now - start)
     }
 
-    /// Does what comes next before `end` and returns when that is.
+    /// Processes the next event that is due by `end` and returns its time.
     fn step(&mut self, end: Duration) -> Option<Duration> {
         let key = self
             .queue
@@ -233,7 +257,8 @@
         Some(self.now)
     }
 
-    /// Each start and each return from a pause begins a new chain of ticks.
+    /// Delivers a tick and schedules the next one, unless a later start or resume has begun a new
+    /// series of ticks.
     fn tick(&mut self, i: usize, tick_epoch: u64) {
         if self.nodes[i].tick_epoch == tick_epoch && self.is_live(i) && !self.nodes[i].paused {
             self.schedule(
@@ -252,7 +277,8 @@
         self.queue.insert((at, self.counter), scheduled);
     }
 
-    /// An input from the node's other duties, a little later.
+    /// Delivers an input from the rest of the node after a delay, unless the node is restarted
+    /// before that.
     pub(crate) fn schedule_input(&mut self, i: usize, after: Duration, input: Input) {
         let generation = self.nodes[i].generation;
         self.schedule(
@@ -312,7 +338,8 @@
         }
     }
 
-    /// Gives a node an input and carries out what it wants; a paused node gets it later.
+    /// Delivers an input to a node and carries out the outputs. A paused node gets it on resume,
+    /// but no ticks.
     pub(crate) fn deliver_input(&mut self, i: usize, input: Input) {
         let sim_node = &mut self.nodes[i];
         if sim_node.paused {
@@ -330,7 +357,7 @@
         if member.revision() < before {
             self.platform
                 .violations
-                .push(format!("{i}: fell from {before}"));
+                .push(format!("node {i}: revision fell below {before}"));
         }
         sim_node.processing_time += start.map_or(Duration::ZERO, |s| s.elapsed());
         for output in outputs {
--- a/crates/oatdale-mesh/tests/support/in_memory.rs
+++ b/crates/oatdale-mesh/tests/support/in_memory.rs
@@ -1,4 +1,4 @@
-//! A fleet of members in one process.
+//! The modules of the simulated fleet.
 
 #[path = "app.rs"]
 pub(crate) mod app;
--- a/crates/oatdale-mesh/tests/support/network.rs
+++ b/crates/oatdale-mesh/tests/support/network.rs
@@ -6,22 +6,27 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A dial to a host that does not answer fails after this.
+/// Time after which a dial to a host that does not answer fails.
 const DIAL_TIMEOUT: Duration = Duration::from_secs(3);
-/// WebSocket header, mask and our tag, added to each frame's bytes.
+/// Bytes that the authentication tag (8) and the WebSocket header and mask (6) add to each frame.
 pub(crate) const FRAMING_BYTES: usize = 8 + 6;
 
-/// Both ends of a connection.
+/// A connection between two nodes; the dialer is end 0, the acceptor end 1. The `Conn` of an end is
+/// twice the connection's id plus the end.
 #[derive(Clone, Copy)]
 pub(super) struct Connection {
+    /// The node at each end.
     pub(super) ends: [usize; 2],
+    /// The generation of each node when the connection was made.
     pub(super) generations: [u64; 2],
     pub(super) open: [bool; 2],
-    /// When the last frame in each direction arrives; the next one comes later.
+    /// Arrival time of the last frame sent by each end; a later frame does not overtake it.
     pub(super) last_arrival: [Duration; 2],
 }
 
 impl Fleet {
+    /// Draws the one-way delay of a frame: at least 100 µs within a failure domain and 500 µs
+    /// between domains, plus up to 1 ms, or up to 20 ms for one frame in 50.
     fn link_delay(&mut self, a: usize, b: usize) -> Duration {
         let same_domain = self.nodes[a].domain == self.nodes[b].domain;
         let base_us = if same_domain { 100 } else { 500 };
@@ -33,12 +38,14 @@
         Duration::from_micros(base_us + self.random_below(jitter_us))
     }
 
+    /// Decides the outcome of a dial. A node that is partitioned off or paused does not answer; one
+    /// that is down refuses the connection.
     pub(super) fn complete_dial(&mut self, from: usize, generation: u64, address: SocketAddr) {
         let to = self
             .nodes
             .iter()
             .position(|n| n.address == address)
-            .expect("a known address");
+            .expect("the dialed address belongs to a node");
         let silent = self.is_partitioned(from, to) || self.nodes[to].paused;
         if from == to || silent || !self.is_live(to) || !self.is_live(from) {
             let after = if silent { DIAL_TIMEOUT } else { ms(1) };
@@ -82,13 +89,16 @@
                 card: dialer_card,
             },
         );
-        let connection = self.connections.get_mut(&conn).expect("it was just made");
+        let connection = self
+            .connections
+            .get_mut(&conn)
+            .expect("the connection was just inserted");
         connection.last_arrival = [acceptor_up_at + ms(1), dialer_up_at + ms(1)];
     }
 
     fn card(&self, i: usize) -> Card {
         let sim_node = &self.nodes[i];
-        let member = sim_node.member.as_ref().expect("the node is up");
+        let member = sim_node.member.as_ref().expect("the node is live");
         Card {
             host: sim_node.name.clone(),
             domain: format!("hall-{}", sim_node.domain),
@@ -113,7 +123,7 @@
         {
             self.nodes[connection.ends[to]].received_bytes += bytes.len() + FRAMING_BYTES;
             let start = self.measure_processing.then(std::time::Instant::now);
-            let frame = Frame::decode(&bytes).expect("what was encoded");
+            let frame = Frame::decode(&bytes).expect("an encoded frame decodes");
             self.nodes[connection.ends[to]].processing_time +=
                 start.map_or(Duration::ZERO, |s| s.elapsed());
             let conn = Conn(conn * 2 + to as u64);
@@ -141,6 +151,7 @@
         }
     }
 
+    /// Closes `by`'s end of a connection; a silent close does not notify the other end.
     pub(super) fn close(&mut self, conn: u64, by: usize, silent: bool) {
         let Some(connection) = self.connections.get_mut(&conn) else {
             return;
@@ -172,7 +183,7 @@
             .max(connection.last_arrival[end]);
         self.connections
             .get_mut(&conn)
-            .expect("it was just seen")
+            .expect("the connection was just looked up")
             .last_arrival[end] = at;
         self.schedule(
             at,
--- a/crates/oatdale-mesh/tests/support/sockets.rs
+++ b/crates/oatdale-mesh/tests/support/sockets.rs
@@ -1,4 +1,4 @@
-//! Nodes that run the duty over loopback sockets.
+//! Nodes that run the mesh task over loopback sockets.
 #![allow(dead_code)]
 
 use bytes::Bytes;
@@ -9,11 +9,12 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// A hung test fails after this; nothing else depends on it.
+/// Time after which a test that hangs fails; nothing else depends on it.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub(crate) const MESH_KEY: [u8; 32] = [7; 32];
 
+/// A running mesh task and its channels.
 pub(crate) struct Node {
     pub(crate) address: SocketAddr,
     pub(crate) tx: mpsc::Sender<Command>,
@@ -22,8 +23,8 @@
 }
 
 pub(crate) fn mesh_config(host: &str, domain: &str, seeds: &[SocketAddr]) -> MeshConfig {
-    let socket = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = socket.local_addr().expect("it is bound");
+    let socket = TcpListener::bind("127.0.0.1:0").expect("a free port can be bound");
+    let address = socket.local_addr().expect("the socket is bound");
     MeshConfig {
         host: host.to_owned(),
         domain: domain.to_owned(),
@@ -50,7 +51,7 @@
     let task = tokio::spawn(async move {
         run(cfg, commands, events)
             .await
-            .expect("settings that work");
+            .expect("the mesh task ends without an error");
     });
     Node {
         address,
@@ -64,6 +65,7 @@
     start_with_config(mesh_config(host, domain, seeds))
 }
 
+/// Starts three nodes in different failure domains that find each other.
 pub(crate) async fn start_three_nodes() -> Vec<Node> {
     let a = start("a", "hall-1", &[]).await;
     let b = start("b", "hall-2", &[a.address]).await;
@@ -72,10 +74,11 @@
 }
 
 impl Node {
+    /// Skips events until one matches, and returns it.
     pub(crate) async fn wait_for_event(&mut self, pred: impl Fn(&Event) -> bool) -> Event {
         let matching_event = async {
             loop {
-                let event = self.rx.recv().await.expect("the duty runs");
+                let event = self.rx.recv().await.expect("the mesh task is running");
                 if pred(&event) {
                     return event;
                 }
@@ -83,7 +86,7 @@
         };
         timeout(TEST_TIMEOUT, matching_event)
             .await
-            .expect("the event comes")
+            .expect("the event arrives in time")
     }
 
     pub(crate) async fn adopt(&self, revision: u64, text: &'static [u8]) {
@@ -91,9 +94,10 @@
         self.tx
             .send(Command::Adopted { revision, document })
             .await
-            .expect("the duty runs");
+            .expect("the mesh task is running");
     }
 
+    /// Waits for a document of at least `min_revision` and returns its text.
     pub(crate) async fn wait_for_document(&mut self, min_revision: u64) -> Bytes {
         let found = self
             .wait_for_event(
@@ -112,14 +116,14 @@
         self.tx
             .send(Command::Hold { id, record, reply })
             .await
-            .expect("the duty runs");
+            .expect("the mesh task is running");
         timeout(TEST_TIMEOUT, ack)
             .await
-            .expect("an answer")
-            .expect("an answer")
+            .expect("the hold is answered in time")
+            .expect("the mesh task sends the answer")
     }
 
-    /// Holds again until enough copies are confirmed, which takes as long as joining does.
+    /// Repeats a hold until `copies` nodes have confirmed it, which fails until peers have joined.
     pub(crate) async fn hold_until_confirmed(
         &self,
         copies: u8,
