--- a/crates/oatdale-mesh/tests/support/sockets.rs
+++ b/crates/oatdale-mesh/tests/support/sockets.rs
@@ -1,4 +1,4 @@
-//! Nodes that run the duty over loopback sockets.
+//! Nodes that run the mesh task over loopback sockets.
 #![allow(dead_code)]
 
 use bytes::Bytes;
@@ -9,11 +9,12 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// A hung test fails after this; nothing else depends on it.
-const BOUND: Duration = Duration::from_secs(30);
+/// Time after which a test that hangs fails; nothing else depends on it.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-pub(crate) const KEY: [u8; 32] = [7; 32];
+pub(crate) const MESH_KEY: [u8; 32] = [7; 32];
 
+/// A running mesh task and its channels.
 pub(crate) struct Node {
     pub(crate) address: SocketAddr,
     pub(crate) tx: mpsc::Sender<Command>,
@@ -21,9 +22,9 @@
     pub(crate) task: JoinHandle<()>,
 }
 
-pub(crate) fn settings(host: &str, domain: &str, seeds: &[SocketAddr]) -> MeshConfig {
-    let socket = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = socket.local_addr().expect("it is bound");
+pub(crate) fn mesh_config(host: &str, domain: &str, seeds: &[SocketAddr]) -> MeshConfig {
+    let socket = TcpListener::bind("127.0.0.1:0").expect("a free port can be bound");
+    let address = socket.local_addr().expect("the socket is bound");
     MeshConfig {
         host: host.to_owned(),
         domain: domain.to_owned(),
@@ -33,7 +34,7 @@
         advertise: address,
         caller: address,
         seeds: seeds.to_vec(),
-        key: KEY.to_vec(),
+        key: MESH_KEY.to_vec(),
         holders: 2,
         intervals: Intervals {
             beat: Duration::from_millis(100),
@@ -43,14 +44,14 @@
     }
 }
 
-pub(crate) fn start_with(cfg: MeshConfig) -> Node {
+pub(crate) fn start_with_config(cfg: MeshConfig) -> Node {
     let address = cfg.advertise;
     let (tx, commands) = mpsc::channel(64);
     let (events, rx) = mpsc::channel(64);
     let task = tokio::spawn(async move {
         run(cfg, commands, events)
             .await
-            .expect("settings that work");
+            .expect("the mesh task ends without an error");
     });
     Node {
         address,
@@ -61,10 +62,11 @@
 }
 
 pub(crate) async fn start(host: &str, domain: &str, seeds: &[SocketAddr]) -> Node {
-    start_with(settings(host, domain, seeds))
+    start_with_config(mesh_config(host, domain, seeds))
 }
 
-pub(crate) async fn start_three() -> Vec<Node> {
+/// Starts three nodes in different failure domains that find each other.
+pub(crate) async fn start_three_nodes() -> Vec<Node> {
     let a = start("a", "hall-1", &[]).await;
     let b = start("b", "hall-2", &[a.address]).await;
     let c = start("c", "hall-3", &[a.address]).await;
@@ -72,16 +74,19 @@
 }
 
 impl Node {
-    pub(crate) async fn until(&mut self, pred: impl Fn(&Event) -> bool) -> Event {
-        let search = async {
+    /// Skips events until one matches, and returns it.
+    pub(crate) async fn wait_for_event(&mut self, pred: impl Fn(&Event) -> bool) -> Event {
+        let matching_event = async {
             loop {
-                let event = self.rx.recv().await.expect("the duty runs");
+                let event = self.rx.recv().await.expect("the mesh task is running");
                 if pred(&event) {
                     return event;
                 }
             }
         };
-        timeout(BOUND, search).await.expect("the event comes")
+        timeout(TEST_TIMEOUT, matching_event)
+            .await
+            .expect("the event arrives in time")
     }
 
     pub(crate) async fn adopt(&self, revision: u64, text: &'static [u8]) {
@@ -89,12 +94,15 @@
         self.tx
             .send(Command::Adopted { revision, document })
             .await
-            .expect("the duty runs");
+            .expect("the mesh task is running");
     }
 
-    pub(crate) async fn document(&mut self, at_least: u64) -> Bytes {
+    /// Waits for a document of at least `min_revision` and returns its text.
+    pub(crate) async fn wait_for_document(&mut self, min_revision: u64) -> Bytes {
         let found = self
-            .until(|e| matches!(e, Event::Document { revision, .. } if *revision >= at_least))
+            .wait_for_event(
+                |e| matches!(e, Event::Document { revision, .. } if *revision >= min_revision),
+            )
             .await;
         let Event::Document { document, .. } = found else {
             unreachable!()
@@ -108,15 +116,20 @@
         self.tx
             .send(Command::Hold { id, record, reply })
             .await
-            .expect("the duty runs");
-        timeout(BOUND, ack)
+            .expect("the mesh task is running");
+        timeout(TEST_TIMEOUT, ack)
             .await
-            .expect("an answer")
-            .expect("an answer")
+            .expect("the hold is answered in time")
+            .expect("the mesh task sends the answer")
     }
 
-    /// Holds again until enough copies are confirmed, which takes as long as joining does.
-    pub(crate) async fn hold_until(&self, copies: u8, id: u128, record: &'static [u8]) -> HoldAck {
+    /// Repeats a hold until `copies` nodes have confirmed it, which fails until peers have joined.
+    pub(crate) async fn hold_until_confirmed(
+        &self,
+        copies: u8,
+        id: u128,
+        record: &'static [u8],
+    ) -> HoldAck {
         loop {
             let ack = self.hold(id, record).await;
             if ack.copies >= copies {
