--- a/crates/oatdale-mesh/examples/slopes.rs
+++ b/crates/oatdale-mesh/examples/slopes.rs
@@ -313,7 +313,7 @@
 async fn propagate_change(nodes: &mut [sockets::Node], revision: u64) -> Duration {
     let start = Instant::now();
     let document = config_text(revision);
-    let adopted = Command::Adopted { revision, document };
+    let adopted = Command::ConfigInForce { revision, document };
     nodes[0]
         .tx
         .send(adopted)
@@ -321,7 +321,7 @@
         .expect("the mesh task is running");
     for node in &mut nodes[1..] {
         let document = node.wait_for_document(revision).await;
-        let adopted = Command::Adopted { revision, document };
+        let adopted = Command::ConfigInForce { revision, document };
         node.tx
             .send(adopted)
             .await
--- a/crates/oatdale-mesh/src/addresses.rs
+++ b/crates/oatdale-mesh/src/addresses.rs
@@ -37,7 +37,7 @@
 ///     domain: domain.to_owned(),
 ///     region: "south".to_owned(),
 ///     incarnation: 1,
-///     caller: "10.0.0.1:80".parse().unwrap(),
+///     caller_address: "10.0.0.1:80".parse().unwrap(),
 ///     accepting: true,
 ///     load,
 ///     revision: 7,
@@ -92,7 +92,7 @@
 fn to_address(peer: &PeerView) -> Address {
     let weight = (spare_capacity(peer) * 100.0).round() as u32;
     Address {
-        address: peer.caller,
+        address: peer.caller_address,
         weight,
     }
 }
--- a/crates/oatdale-mesh/src/cfg.rs
+++ b/crates/oatdale-mesh/src/cfg.rs
@@ -26,13 +26,13 @@
     /// Address that is advertised to other nodes.
     pub advertise: SocketAddr,
     /// Address that is given to callers.
-    pub caller: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Nodes to contact first; this node's own address may be among them.
     pub seeds: Vec<SocketAddr>,
     /// Key shared by all nodes, at least [`MIN_KEY_BYTES`] bytes.
     pub key: Vec<u8>,
     /// Number of nodes that hold each bill record.
-    pub holders: u8,
+    pub holder_count: u8,
     /// Timers.
     pub intervals: Intervals,
 }
@@ -50,35 +50,35 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Intervals {
     /// Heartbeat interval of a link.
-    pub beat: Duration,
+    pub heartbeat: Duration,
     /// Time without a heartbeat after which a node is suspected.
-    pub suspect: Duration,
+    pub suspect_after: Duration,
     /// Time under suspicion after which a node that the platform no longer lists is removed.
-    pub unlisted: Duration,
+    pub remove_unlisted_after: Duration,
     /// Time under suspicion after which any node is removed.
-    pub forget: Duration,
+    pub remove_after: Duration,
     /// Time under suspicion after which holders journal a node's records on its behalf.
-    pub orphan: Duration,
+    pub orphan_after: Duration,
     /// How long a joining node waits for peers to report their revision.
-    pub join: Duration,
+    pub join_timeout: Duration,
     /// How long a [`Command::Hold`](crate::Command::Hold) waits for confirmations.
-    pub hold: Duration,
+    pub hold_timeout: Duration,
     /// Interval between summaries from one failure domain to another; longer if there are many
     /// domains.
-    pub report: Duration,
+    pub report_interval: Duration,
 }
 
 impl Default for Intervals {
     fn default() -> Self {
         Intervals {
-            beat: Duration::from_millis(500),
-            suspect: Duration::from_secs(2),
-            unlisted: Duration::from_secs(5),
-            forget: Duration::from_secs(600),
-            orphan: Duration::from_secs(30),
-            join: Duration::from_secs(1),
-            hold: Duration::from_millis(500),
-            report: Duration::from_secs(1),
+            heartbeat: Duration::from_millis(500),
+            suspect_after: Duration::from_secs(2),
+            remove_unlisted_after: Duration::from_secs(5),
+            remove_after: Duration::from_secs(600),
+            orphan_after: Duration::from_secs(30),
+            join_timeout: Duration::from_secs(1),
+            hold_timeout: Duration::from_millis(500),
+            report_interval: Duration::from_secs(1),
         }
     }
 }
@@ -101,11 +101,11 @@
             ),
             () if self.incarnation == 0 => invalid("incarnation", "must not be 0"),
             () if self.advertise.port() == 0 => invalid("advertise", "the port must not be 0"),
-            () if timers.beat.is_zero() => invalid("beat", "must be above 0"),
-            () if timers.suspect < timers.beat * 3 => {
+            () if timers.heartbeat.is_zero() => invalid("beat", "must be above 0"),
+            () if timers.suspect_after < timers.heartbeat * 3 => {
                 invalid("suspect", "must be at least three heartbeats")
             }
-            () if timers.orphan < timers.suspect => {
+            () if timers.orphan_after < timers.suspect_after => {
                 invalid("orphan", "must not be shorter than `suspect`")
             }
             () => Ok(()),
--- a/crates/oatdale-mesh/src/duty.rs
+++ b/crates/oatdale-mesh/src/duty.rs
@@ -45,7 +45,7 @@
     let member = MemberConfig {
         card: card.clone(),
         seeds: cfg.seeds,
-        holders: cfg.holders,
+        holder_count: cfg.holder_count,
         intervals: cfg.intervals,
     };
     let driver = Driver {
@@ -130,7 +130,9 @@
 
     fn handle_command(&mut self, command: Command) {
         let input = match command {
-            Command::Adopted { revision, document } => Input::Adopted { revision, document },
+            Command::ConfigInForce { revision, document } => {
+                Input::ConfigInForce { revision, document }
+            }
             Command::Local(state) => Input::Local(state),
             Command::Hosts(list) => Input::Hosts(list),
             Command::Hold { id, record, reply } => {
@@ -266,7 +268,7 @@
         region: cfg.region.clone(),
         incarnation: cfg.incarnation,
         address: cfg.advertise,
-        caller: cfg.caller,
+        caller_address: cfg.caller_address,
     }
 }
 
--- a/crates/oatdale-mesh/src/lib.rs
+++ b/crates/oatdale-mesh/src/lib.rs
@@ -22,10 +22,10 @@
 //!     incarnation: new_incarnation(),
 //!     listen: Listen::Bound(socket),
 //!     advertise: address,
-//!     caller: "127.0.0.1:8080".parse()?,
+//!     caller_address: "127.0.0.1:8080".parse()?,
 //!     seeds: Vec::new(),
 //!     key: vec![7; 32],
-//!     holders: 2,
+//!     holder_count: 2,
 //!     intervals: Intervals::default(),
 //! };
 //! let (tx, commands) = mpsc::channel(64);
@@ -33,8 +33,8 @@
 //! let task = tokio::spawn(run(cfg, commands, events));
 //!
 //! let document = "services: []\n".into();
-//! tx.send(Command::Adopted { revision: 1, document }).await?;
-//! while rx.recv().await != Some(Event::Joined { asked: 0 }) {}
+//! tx.send(Command::ConfigInForce { revision: 1, document }).await?;
+//! while rx.recv().await != Some(Event::Joined { answers: 0 }) {}
 //!
 //! tx.send(Command::Leave).await?;
 //! while rx.recv().await != Some(Event::LeaveDone) {}
--- a/crates/oatdale-mesh/src/member.rs
+++ b/crates/oatdale-mesh/src/member.rs
@@ -49,7 +49,7 @@
     /// Nodes to contact first.
     pub seeds: Vec<SocketAddr>,
     /// Number of other nodes that hold a replica of each record.
-    pub holders: u8,
+    pub holder_count: u8,
     /// Timers.
     pub intervals: Intervals,
 }
@@ -82,8 +82,8 @@
         /// The messages received.
         frame: Frame,
     },
-    /// See [`Command::Adopted`](crate::Command::Adopted).
-    Adopted {
+    /// See [`Command::ConfigInForce`](crate::Command::ConfigInForce).
+    ConfigInForce {
         /// Revision of the configuration.
         revision: u64,
         /// The complete document.
@@ -148,7 +148,7 @@
     local_card: Card,
     id: HostId,
     domain: u32,
-    holders: u8,
+    holder_count: u8,
     timers: Intervals,
     now: Duration,
     next_heartbeat: Duration,
@@ -200,11 +200,11 @@
         Member {
             id,
             domain,
-            holders: cfg.holders,
+            holder_count: cfg.holder_count,
             timers: cfg.intervals,
             now,
             next_heartbeat: now,
-            next_report: now + cfg.intervals.report,
+            next_report: now + cfg.intervals.report_interval,
             next_maintenance: now,
             next_dial: now,
             links: BTreeMap::new(),
@@ -239,7 +239,7 @@
             Input::Disconnected(conn) => self.on_disconnected(conn),
             Input::DialFailed { address, myself } => self.dialer.dial_failed(address, myself, now),
             Input::Received { conn, frame } => self.on_frame(conn, frame),
-            Input::Adopted { revision, document } => self.on_adopted(revision, document),
+            Input::ConfigInForce { revision, document } => self.on_local_config(revision, document),
             Input::Local(state) => self.set_local_state(state),
             Input::Hosts(list) => self.on_host_list(&list),
             Input::Hold { id, record } => self.on_hold(id, record),
@@ -276,7 +276,7 @@
     /// alive.
     fn compensate_pause(&mut self, now: Duration) {
         let pause = now.saturating_sub(self.now);
-        if pause > self.timers.suspect / 2 {
+        if pause > self.timers.suspect_after / 2 {
             log::warn!(
                 "mesh: process was paused for {pause:?}; peer deadlines are extended by this time"
             );
--- a/crates/oatdale-mesh/src/member/config.rs
+++ b/crates/oatdale-mesh/src/member/config.rs
@@ -12,7 +12,7 @@
 
 impl Member {
     /// Records the configuration that the node has put into force.
-    pub(super) fn on_adopted(&mut self, revision: u64, document: Bytes) {
+    pub(super) fn on_local_config(&mut self, revision: u64, document: Bytes) {
         let first_adoption = !self.config_replica.joined();
         self.set_joined();
         if self.config_replica.adopt(revision, document) {
@@ -21,8 +21,8 @@
         self.config_replica
             .set_in_force(revision.min(self.config_replica.revision()));
         if first_adoption {
-            let asked = self.config_replica.offer_count();
-            self.emit(Event::Joined { asked });
+            let answers = self.config_replica.offer_count();
+            self.emit(Event::Joined { answers });
         }
         self.start_fetch();
     }
@@ -87,12 +87,13 @@
         if self.config_replica.joined() {
             return;
         }
-        let asked = self.config_replica.offer_count();
+        let answers = self.config_replica.offer_count();
         let known = self.roster.len().max(self.dialer.candidate_count());
-        let waited_long_enough = self.config_replica.time_since_start(self.now) >= self.timers.join;
-        if settled(asked, known, waited_long_enough) {
+        let waited_long_enough =
+            self.config_replica.time_since_start(self.now) >= self.timers.join_timeout;
+        if settled(answers, known, waited_long_enough) {
             self.set_joined();
-            self.emit(Event::Joined { asked });
+            self.emit(Event::Joined { answers });
             self.start_fetch();
         }
     }
--- a/crates/oatdale-mesh/src/member/holds.rs
+++ b/crates/oatdale-mesh/src/member/holds.rs
@@ -153,7 +153,7 @@
             false => self
                 .record_store
                 .hold_deadlines
-                .push_back((self.now + self.timers.hold, id)),
+                .push_back((self.now + self.timers.hold_timeout, id)),
         }
     }
 
@@ -190,7 +190,7 @@
     fn emit_hold_done(&mut self, id: u128, copies: usize) {
         let ack = HoldAck {
             copies: copies as u8,
-            wanted: self.holders,
+            requested: self.holder_count,
         };
         self.outputs.push(Output::HoldDone { id, ack });
     }
@@ -215,7 +215,7 @@
             .record_store
             .holders
             .len()
-            .min(usize::from(self.holders));
+            .min(usize::from(self.holder_count));
         let mut to_release = Vec::new();
         let mut outdated = Vec::new();
         for held_id in ids {
@@ -351,7 +351,7 @@
     /// fleet on the few nodes that started first.
     pub(super) fn choose_holders(&mut self) {
         let mut chosen: Vec<HostId> = Vec::new();
-        for _ in 0..self.holders {
+        for _ in 0..self.holder_count {
             let best = self
                 .roster
                 .iter()
--- a/crates/oatdale-mesh/src/member/limits.rs
+++ b/crates/oatdale-mesh/src/member/limits.rs
@@ -75,9 +75,10 @@
         let is_known = |a| self.roster.iter().any(|(_, p)| p.card.address == a);
         match self.roster.unknown_listed_count(self.local_card.address) {
             Some(count) => count,
-            None => self
-                .dialer
-                .unknown_candidate_count(is_known, self.timers.forget, self.now),
+            None => {
+                self.dialer
+                    .unknown_candidate_count(is_known, self.timers.remove_after, self.now)
+            }
         }
     }
 }
--- a/crates/oatdale-mesh/src/member/orphans.rs
+++ b/crates/oatdale-mesh/src/member/orphans.rs
@@ -25,7 +25,7 @@
     pub(super) fn find_orphans(&mut self) {
         let mut to_exchange: BTreeMap<HostId, Vec<Record>> = BTreeMap::new();
         let mut to_report = Vec::new();
-        let (now, orphan_after) = (self.now, self.timers.orphan);
+        let (now, orphan_after) = (self.now, self.timers.orphan_after);
         for replica in self.record_store.replicas.values_mut() {
             let (owner, incarnation) = (replica.record.owner, replica.record.incarnation);
             let owner_unknown = self.roster.get(owner).is_none();
--- a/crates/oatdale-mesh/src/member/roster.rs
+++ b/crates/oatdale-mesh/src/member/roster.rs
@@ -272,8 +272,8 @@
     /// Suspects hosts that have fallen silent and removes those whose timeout has passed.
     pub(crate) fn expire(
         &mut self,
-        unlisted_timeout: Duration,
-        forget_timeout: Duration,
+        remove_unlisted_after: Duration,
+        remove_after: Duration,
         now: Duration,
     ) -> Vec<RemovedPeer> {
         let overdue: Vec<HostId> = self.overdue(now);
@@ -282,7 +282,7 @@
         }
         let expired: Vec<HostId> = self
             .iter()
-            .filter(|(_, p)| self.is_expired(p, unlisted_timeout, forget_timeout, now))
+            .filter(|(_, p)| self.is_expired(p, remove_unlisted_after, remove_after, now))
             .map(|(host, _)| host)
             .collect();
         for host in &expired {
@@ -304,14 +304,14 @@
     }
 
     /// Whether to remove a host. One that the platform still lists may be partitioned rather than
-    /// dead: its share of the limits stays reserved until the list drops it or `forget_timeout` has
+    /// dead: its share of the limits stays reserved until the list drops it or `remove_after` has
     /// passed. A list older than the process says nothing about it; if it were trusted, a host that
     /// restarts and is then cut off would be removed within seconds and its share used twice.
     fn is_expired(
         &self,
         peer: &Peer,
-        unlisted_timeout: Duration,
-        forget_timeout: Duration,
+        remove_unlisted_after: Duration,
+        remove_after: Duration,
         now: Duration,
     ) -> bool {
         let listed = self.listed.as_ref();
@@ -319,8 +319,10 @@
             peer.was_listed && listed.is_some_and(|l| !l.contains_key(&peer.card.address));
         match (peer.left_at, peer.suspect_since) {
             (Some(at), _) => now.saturating_sub(at) >= LEFT_RETENTION,
-            (None, Some(at)) if dropped_from_list => now.saturating_sub(at) >= unlisted_timeout,
-            (None, Some(at)) => now.saturating_sub(at) >= forget_timeout,
+            (None, Some(at)) if dropped_from_list => {
+                now.saturating_sub(at) >= remove_unlisted_after
+            }
+            (None, Some(at)) => now.saturating_sub(at) >= remove_after,
             (None, None) => false,
         }
     }
@@ -398,7 +400,7 @@
         domain: peer.card.domain.clone(),
         region: peer.card.region.clone(),
         incarnation: peer.card.incarnation,
-        caller: peer.card.caller,
+        caller_address: peer.card.caller_address,
         accepting: peer.flags & FLAG_ACCEPTING != 0,
         load: f32::from(peer.load) / 255.0,
         revision: peer.revision,
--- a/crates/oatdale-mesh/src/member/summary.rs
+++ b/crates/oatdale-mesh/src/member/summary.rs
@@ -73,7 +73,7 @@
     pub(super) fn report_interval(&self) -> Duration {
         let domains = self.other_domains().len() as u32 + 1;
         self.timers
-            .report
+            .report_interval
             .max(Duration::from_secs(1) / MAX_REPORTS_PER_SECOND * domains)
     }
 
@@ -187,7 +187,7 @@
             .max()
             .unwrap_or(0);
         let member = |(host, heartbeat): &(HostId, Beat)| ReportMember {
-            short: host.short(),
+            short_id: host.short_id(),
             flags: heartbeat.flags & !FLAG_WANTED,
             load: heartbeat.load,
             behind: revision - heartbeat.in_force,
@@ -257,10 +257,10 @@
             .roster
             .iter()
             .filter(|(host, p)| p.domain == report.domain && !self.links.contains_key(host))
-            .map(|(host, _)| (host.short(), host))
+            .map(|(host, _)| (host.short_id(), host))
             .collect();
         for member in &report.members {
-            let Some(host) = known.get(&member.short) else {
+            let Some(host) = known.get(&member.short_id) else {
                 continue;
             };
             let in_force = report.revision.saturating_sub(member.behind);
--- a/crates/oatdale-mesh/src/member/upkeep.rs
+++ b/crates/oatdale-mesh/src/member/upkeep.rs
@@ -61,9 +61,11 @@
         self.expire_holds();
         self.finish_leave();
         self.close_silent_links();
-        let removed = self
-            .roster
-            .expire(self.timers.unlisted, self.timers.forget, now);
+        let removed = self.roster.expire(
+            self.timers.remove_unlisted_after,
+            self.timers.remove_after,
+            now,
+        );
         for peer in &removed {
             self.shares.forget_host(peer.host);
         }
@@ -106,15 +108,15 @@
     /// too.
     pub(super) fn heartbeat_interval(&self) -> Duration {
         match self.is_small_fleet() {
-            true => self.timers.beat,
-            false => self.timers.beat * 2,
+            true => self.timers.heartbeat,
+            false => self.timers.heartbeat * 2,
         }
     }
 
     pub(super) fn suspect_timeout(&self) -> Duration {
         match self.is_small_fleet() {
-            true => self.timers.suspect,
-            false => self.timers.suspect * 3 / 2,
+            true => self.timers.suspect_after,
+            false => self.timers.suspect_after * 3 / 2,
         }
     }
 
--- a/crates/oatdale-mesh/src/types.rs
+++ b/crates/oatdale-mesh/src/types.rs
@@ -20,7 +20,7 @@
 
     /// Returns the short form used in summaries. A collision can only mix up the reported load,
     /// flags and revision of two hosts.
-    pub(crate) fn short(self) -> u32 {
+    pub(crate) fn short_id(self) -> u32 {
         (self.0 >> 32) as u32
     }
 }
@@ -55,7 +55,7 @@
 pub enum Command {
     /// The node has put a configuration in force that it got from the key-value service or from
     /// [`Event::Document`]; the mesh offers it to other nodes.
-    Adopted {
+    ConfigInForce {
         /// Revision of the configuration, above 0.
         revision: u64,
         /// Full text of the configuration.
@@ -144,7 +144,7 @@
     /// Number of other nodes that confirmed to hold the record in memory.
     pub copies: u8,
     /// Number of nodes that should hold the record.
-    pub wanted: u8,
+    pub requested: u8,
 }
 
 /// An event that the mesh reports to the node.
@@ -154,7 +154,7 @@
     /// A node that could not read the key-value service serves requests only after this event.
     Joined {
         /// Number of peers that responded.
-        asked: usize,
+        answers: usize,
     },
     /// A newer configuration; revisions only rise. The node may have read an even higher revision
     /// from the key-value service in the meantime and must keep the higher of the two.
@@ -217,7 +217,7 @@
     /// Incarnation of the process.
     pub incarnation: u64,
     /// Address for callers.
-    pub caller: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Whether it accepts callers.
     pub accepting: bool,
     /// Load from 0 to 1.
--- a/crates/oatdale-mesh/src/wire.rs
+++ b/crates/oatdale-mesh/src/wire.rs
@@ -220,7 +220,7 @@
     /// Address on which its mesh listens.
     pub address: SocketAddr,
     /// Address for callers.
-    pub caller: SocketAddr,
+    pub caller_address: SocketAddr,
 }
 
 type CardWire = (String, String, String, u64, SocketAddr, SocketAddr);
@@ -230,7 +230,7 @@
     region: String,
     incarnation: u64,
     address: SocketAddr,
-    caller: SocketAddr,
+    caller_address: SocketAddr,
 });
 
 impl Card {
--- a/crates/oatdale-mesh/src/wire/summary.rs
+++ b/crates/oatdale-mesh/src/wire/summary.rs
@@ -69,15 +69,15 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(from = "(u32, u8, u8, u64)", into = "(u32, u8, u8, u64)")]
 pub(crate) struct ReportMember {
-    /// See [`HostId::short`].
-    pub(crate) short: u32,
+    /// See [`HostId::short_id`].
+    pub(crate) short_id: u32,
     pub(crate) flags: u8,
     pub(crate) load: u8,
     /// Number of revisions that the host is behind the report's revision.
     pub(crate) behind: u64,
 }
 tuple_conversions!(ReportMember {
-    short: u32,
+    short_id: u32,
     flags: u8,
     load: u8,
     behind: u64
--- a/crates/oatdale-mesh/tests/addresses.rs
+++ b/crates/oatdale-mesh/tests/addresses.rs
@@ -10,7 +10,7 @@
         domain: domain.to_owned(),
         region: region.to_owned(),
         incarnation: 1,
-        caller: SocketAddr::from(([10, 0, 0, n], 80)),
+        caller_address: SocketAddr::from(([10, 0, 0, n], 80)),
         accepting: true,
         load,
         revision: 1,
--- a/crates/oatdale-mesh/tests/history.rs
+++ b/crates/oatdale-mesh/tests/history.rs
@@ -23,7 +23,7 @@
 const LOSS_WINDOW: Duration = Duration::from_secs(20);
 const TWO_COPIES: HoldAck = HoldAck {
     copies: 2,
-    wanted: 2,
+    requested: 2,
 };
 
 fn history_seeds() -> Vec<u64> {
--- a/crates/oatdale-mesh/tests/holds.rs
+++ b/crates/oatdale-mesh/tests/holds.rs
@@ -12,7 +12,7 @@
 const CONVERGENCE_TIME: Duration = Duration::from_secs(60);
 const TWO_COPIES: HoldAck = HoldAck {
     copies: 2,
-    wanted: 2,
+    requested: 2,
 };
 
 fn settled_fleet(seed: u64) -> Fleet {
@@ -230,7 +230,7 @@
         fleet.nodes[0].app.acks[&1],
         HoldAck {
             copies: 0,
-            wanted: 2
+            requested: 2
         }
     );
 }
@@ -246,7 +246,7 @@
         fleet.nodes[0].app.acks[&1],
         HoldAck {
             copies: 0,
-            wanted: 2
+            requested: 2
         }
     );
 }
--- a/crates/oatdale-mesh/tests/membership.rs
+++ b/crates/oatdale-mesh/tests/membership.rs
@@ -244,7 +244,7 @@
 #[test]
 fn halves_reconnect_after_a_long_partition() {
     let mut fleet = Fleet::new(9, 3, 3);
-    fleet.intervals.forget = Duration::from_secs(30);
+    fleet.intervals.remove_after = Duration::from_secs(30);
     fleet.start_all();
     fleet
         .run_until(CONVERGENCE_TIME, Fleet::views_agree)
--- a/crates/oatdale-mesh/tests/seeds.rs
+++ b/crates/oatdale-mesh/tests/seeds.rs
@@ -14,12 +14,12 @@
         region: "home".to_owned(),
         incarnation: 1,
         address: localhost(7001),
-        caller: localhost(7002),
+        caller_address: localhost(7002),
     };
     let cfg = MemberConfig {
         card,
         seeds: vec![SEED_ADDRESS.parse().unwrap()],
-        holders: 2,
+        holder_count: 2,
         intervals: Intervals::default(),
     };
     Member::new(cfg, Duration::ZERO)
--- a/crates/oatdale-mesh/tests/sockets.rs
+++ b/crates/oatdale-mesh/tests/sockets.rs
@@ -42,13 +42,13 @@
 async fn a_held_record_is_confirmed_by_two_nodes() {
     let nodes = start_three_nodes().await;
     let ack = nodes[0].hold_until_confirmed(2, 9, b"bill").await;
-    assert_eq!((ack.copies, ack.wanted), (2, 2));
+    assert_eq!((ack.copies, ack.requested), (2, 2));
 }
 
 #[tokio::test]
 async fn a_node_without_peers_joins_after_the_join_timeout() {
     let mut node = start("alone", "hall-1", &[]).await;
     node.wait_for_event(|e| *e == Event::WatchKey(true)).await;
-    node.wait_for_event(|e| *e == Event::Joined { asked: 0 })
+    node.wait_for_event(|e| *e == Event::Joined { answers: 0 })
         .await;
 }
--- a/crates/oatdale-mesh/tests/support/app.rs
+++ b/crates/oatdale-mesh/tests/support/app.rs
@@ -70,7 +70,7 @@
             self.schedule_input(
                 i,
                 after,
-                Input::Adopted {
+                Input::ConfigInForce {
                     revision,
                     document: document.clone(),
                 },
@@ -135,7 +135,7 @@
                 }
                 self.nodes[i].app.last_document_revision = revision;
                 self.put_in_force(i, revision, &document);
-                self.schedule_input(i, ms(1), Input::Adopted { revision, document });
+                self.schedule_input(i, ms(1), Input::ConfigInForce { revision, document });
             }
             Event::Peers(peers) => self.nodes[i].app.peers = peers,
             Event::Demand(list) => {
--- a/crates/oatdale-mesh/tests/support/fleet.rs
+++ b/crates/oatdale-mesh/tests/support/fleet.rs
@@ -132,7 +132,7 @@
             platform: Platform::default(),
             stats: RunStats::default(),
             intervals: Intervals {
-                orphan: Duration::from_secs(5),
+                orphan_after: Duration::from_secs(5),
                 ..Intervals::default()
             },
             measure_processing: false,
@@ -177,12 +177,12 @@
             region: format!("region-{}", sim_node.domain % 5),
             incarnation: (now - clock_lag).as_millis() as u64,
             address: sim_node.address,
-            caller: sim_node.address,
+            caller_address: sim_node.address,
         };
         let cfg = MemberConfig {
             card,
             seeds,
-            holders: 2,
+            holder_count: 2,
             intervals,
         };
         sim_node.member = Some(Member::new(cfg, Duration::ZERO));
--- a/crates/oatdale-mesh/tests/support/network.rs
+++ b/crates/oatdale-mesh/tests/support/network.rs
@@ -105,7 +105,7 @@
             region: format!("region-{}", sim_node.domain % 5),
             incarnation: member.incarnation(),
             address: sim_node.address,
-            caller: sim_node.address,
+            caller_address: sim_node.address,
         }
     }
 
--- a/crates/oatdale-mesh/tests/support/sockets.rs
+++ b/crates/oatdale-mesh/tests/support/sockets.rs
@@ -32,13 +32,13 @@
         incarnation: 1000,
         listen: Listen::Bound(socket),
         advertise: address,
-        caller: address,
+        caller_address: address,
         seeds: seeds.to_vec(),
         key: MESH_KEY.to_vec(),
-        holders: 2,
+        holder_count: 2,
         intervals: Intervals {
-            beat: Duration::from_millis(100),
-            suspect: Duration::from_millis(1500),
+            heartbeat: Duration::from_millis(100),
+            suspect_after: Duration::from_millis(1500),
             ..Intervals::default()
         },
     }
@@ -92,7 +92,7 @@
     pub(crate) async fn adopt(&self, revision: u64, text: &'static [u8]) {
         let document = Bytes::from_static(text);
         self.tx
-            .send(Command::Adopted { revision, document })
+            .send(Command::ConfigInForce { revision, document })
             .await
             .expect("the mesh task is running");
     }
--- a/crates/oatdale-node/src/admin.rs
+++ b/crates/oatdale-node/src/admin.rs
@@ -201,7 +201,7 @@
             domain: view.domain.clone(),
             region: view.region.clone(),
             incarnation: view.incarnation,
-            callers: view.caller,
+            callers: view.caller_address,
             revision: view.revision,
             revision_age_ms: millis(view.revision_age),
             state: match (view.state, view.accepting) {
--- a/crates/oatdale-node/src/cx.rs
+++ b/crates/oatdale-node/src/cx.rs
@@ -71,7 +71,7 @@
             domain: self.settings.domain.clone(),
             region: self.settings.region.clone(),
             incarnation: self.own.incarnation,
-            caller: self.own.caller,
+            caller_address: self.own.caller,
             accepting: *self.phase.borrow() == Phase::Serving,
             load: self.own.report.borrow().load,
             revision: self.live().revision.0,
--- a/crates/oatdale-node/src/member.rs
+++ b/crates/oatdale-node/src/member.rs
@@ -73,7 +73,7 @@
 impl Duty {
     async fn event(&mut self, event: Event) {
         match event {
-            Event::Joined { asked } => self.joined(asked),
+            Event::Joined { answers } => self.joined(answers),
             Event::Document { document, .. } => drop(self.documents.send(document).await),
             Event::Peers(peers) => self.peers(peers),
             Event::Demand(shares) => self.shares(&shares).await,
@@ -93,9 +93,9 @@
     }
 
     /// Peers that answered a joiner have told it their stops on the same link.
-    fn joined(&self, asked: usize) {
-        info!(target: "member", "event=joined peers_asked={asked}");
-        if asked > 0 {
+    fn joined(&self, answers: usize) {
+        info!(target: "member", "event=joined peers_asked={answers}");
+        if answers > 0 {
             self.informed.send_if_modified(|known| {
                 let first = *known == Informed::No;
                 *known = (*known).max(Informed::Told);
@@ -106,7 +106,7 @@
 
     async fn adopted(&mut self) {
         let live = self.live.take();
-        let command = Command::Adopted {
+        let command = Command::ConfigInForce {
             revision: live.revision.0,
             document: live.document.clone(),
         };
--- a/crates/oatdale-node/src/node/parts.rs
+++ b/crates/oatdale-node/src/node/parts.rs
@@ -321,10 +321,10 @@
             incarnation: self.own.incarnation,
             listen: Listen::Bound(listener),
             advertise: advertised(self.settings.advertise.nodes, self.bound.nodes),
-            caller: self.own.caller,
+            caller_address: self.own.caller,
             seeds: self.settings.peers.clone(),
             key: self.key.expose().to_vec(),
-            holders: self.settings.bill_holders,
+            holder_count: self.settings.bill_holders,
             intervals: self.intervals,
         };
         let run = move || async move {
--- a/crates/oatdale-node/tests/append.rs
+++ b/crates/oatdale-node/tests/append.rs
@@ -201,10 +201,10 @@
         incarnation: oatdale_mesh::new_incarnation(),
         listen: Listen::Bound(socket),
         advertise: address,
-        caller: address,
+        caller_address: address,
         seeds: vec![seed],
         key: hex::decode(&key["sha256:".len()..]).expect("hexadecimal digits"),
-        holders: 2,
+        holder_count: 2,
         intervals: Intervals::default(),
     };
     let (tx, commands) = mpsc::channel(64);
--- a/crates/oatdale-node/tests/bills.rs
+++ b/crates/oatdale-node/tests/bills.rs
@@ -29,7 +29,7 @@
 /// Holders take a vanished node's records over sooner than usual, so that tests need not wait.
 fn soon() -> Intervals {
     Intervals {
-        orphan: Duration::from_secs(3),
+        orphan_after: Duration::from_secs(3),
         ..Intervals::default()
     }
 }
--- a/crates/oatdale-node/tests/history/main.rs
+++ b/crates/oatdale-node/tests/history/main.rs
@@ -91,7 +91,7 @@
     let settings = oatdale_config::node_settings_from_str(&text).expect("they are right");
     let dropped = start_logging(log::LevelFilter::Info).expect("logs can be written");
     let intervals = Intervals {
-        orphan: Duration::from_secs(3),
+        orphan_after: Duration::from_secs(3),
         ..Intervals::default()
     };
     let node = Node::start_with(settings, dropped, intervals).expect("a node starts");
