--- a/crates/oatdale-mesh/src/lib.rs
+++ b/crates/oatdale-mesh/src/lib.rs
@@ -67,4 +67,4 @@
     Command, Event, HoldAck, HostId, ListedHost, LocalState, PeerState, PeerView, Share, Stop,
     VersionCounters, name_hash, new_incarnation,
 };
-pub use crate::wire::{Card, Frame, MAX_FRAME, MAX_RECORD};
+pub use crate::wire::{Card, Frame, MAX_FRAME_BYTES, MAX_RECORD_BYTES};
--- a/crates/oatdale-mesh/src/link.rs
+++ b/crates/oatdale-mesh/src/link.rs
@@ -3,7 +3,7 @@
 use crate::auth::{FrameMac, Hello, MAX_HELLO_BYTES, Side, TAG_BYTES, Transcript};
 use crate::error::{ConnectionSnafu, Error, MalformedSnafu, Result, TimeoutSnafu};
 use crate::member::Conn;
-use crate::wire::{Card, Frame, MAX_FRAME};
+use crate::wire::{Card, Frame, MAX_FRAME_BYTES};
 use bytes::Bytes;
 use futures::{SinkExt, StreamExt};
 use std::net::SocketAddr;
@@ -266,9 +266,9 @@
     WebSocketConfig::default()
         .read_buffer_size(BUFFER_BYTES)
         .write_buffer_size(0)
-        .max_write_buffer_size(2 * MAX_FRAME)
-        .max_message_size(Some(MAX_FRAME + TAG_BYTES))
-        .max_frame_size(Some(MAX_FRAME + TAG_BYTES))
+        .max_write_buffer_size(2 * MAX_FRAME_BYTES)
+        .max_message_size(Some(MAX_FRAME_BYTES + TAG_BYTES))
+        .max_frame_size(Some(MAX_FRAME_BYTES + TAG_BYTES))
 }
 
 fn connection_error(e: impl std::fmt::Display) -> Error {
--- a/crates/oatdale-mesh/src/member/config.rs
+++ b/crates/oatdale-mesh/src/member/config.rs
@@ -4,7 +4,7 @@
 use super::{Member, settled};
 use crate::rank;
 use crate::types::{Event, HostId};
-use crate::wire::{Chunk, Fetch, Message, Newest, Step};
+use crate::wire::{Chunk, DeltaStep, Fetch, Message, RevisionOffer};
 use bytes::Bytes;
 
 /// Number of nodes per failure domain that watch the configuration's key.
@@ -27,7 +27,7 @@
         self.start_fetch();
     }
 
-    pub(super) fn on_newest(&mut self, from: HostId, offer: Newest) {
+    pub(super) fn on_revision_offer(&mut self, from: HostId, offer: RevisionOffer) {
         self.config_replica.record_offer(from, offer);
         self.check_joined();
         self.start_fetch();
@@ -41,7 +41,7 @@
         }
     }
 
-    pub(super) fn on_steps(&mut self, from: HostId, steps: &[Step]) {
+    pub(super) fn on_steps(&mut self, from: HostId, steps: &[DeltaStep]) {
         let progress = self.config_replica.apply_steps(steps);
         self.apply_progress(from, &progress);
     }
@@ -70,8 +70,8 @@
     }
 
     fn announce_revision(&mut self, except: Option<HostId>) {
-        let newest = self.config_replica.newest();
-        self.broadcast(except, &Message::Newest(newest));
+        let offer = self.config_replica.local_offer();
+        self.broadcast(except, &Message::RevisionOffer(offer));
     }
 
     /// Requests a newer configuration from a peer if one offers it.
--- a/crates/oatdale-mesh/src/member/holds.rs
+++ b/crates/oatdale-mesh/src/member/holds.rs
@@ -6,7 +6,7 @@
 use super::{Member, Output};
 use crate::rank;
 use crate::types::{HoldAck, HostId};
-use crate::wire::{HeldId, MAX_RECORD, Message, Record};
+use crate::wire::{HeldId, MAX_RECORD_BYTES, Message, Record};
 use bytes::Bytes;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -90,7 +90,7 @@
         }
         let total_bytes =
             self.replica_bytes - old.map_or(0, |(_, size)| size) + memory_size(&record);
-        if total_bytes > MAX_HELD_BYTES || record.record.len() > MAX_RECORD {
+        if total_bytes > MAX_HELD_BYTES || record.record.len() > MAX_RECORD_BYTES {
             return false;
         }
         self.replica_bytes = total_bytes;
@@ -120,10 +120,10 @@
     pub(super) fn on_hold(&mut self, id: u128, record: Bytes) {
         let full = self.record_store.owned.len() >= MAX_OWNED_RECORDS
             && !self.record_store.owned.contains_key(&id);
-        if full || record.len() > MAX_RECORD {
+        if full || record.len() > MAX_RECORD_BYTES {
             log::warn!(
                 "mesh: cannot replicate record {id:032x} of {} bytes: the limits are \
-                 {MAX_RECORD} bytes per record and {MAX_OWNED_RECORDS} records awaiting \
+                 {MAX_RECORD_BYTES} bytes per record and {MAX_OWNED_RECORDS} records awaiting \
                  the journal",
                 record.len()
             );
@@ -161,7 +161,7 @@
         if !self.links.contains_key(&host) {
             return;
         }
-        let other = self
+        let other_holder = self
             .record_store
             .holders
             .iter()
@@ -178,7 +178,7 @@
                 owner: self.id,
                 incarnation: self.local_card.incarnation,
                 seq: owned.seq,
-                other,
+                other_holder,
                 record: owned.record.clone(),
             });
         }
@@ -210,7 +210,7 @@
     }
 
     /// Handles acknowledgements of this node's records, or of those it hands over while leaving.
-    pub(super) fn on_held(&mut self, from: HostId, ids: &[HeldId]) {
+    pub(super) fn on_hold_confirmed(&mut self, from: HostId, ids: &[HeldId]) {
         let required = self
             .record_store
             .holders
@@ -255,14 +255,14 @@
                 true => {}
                 false if self.record_store.insert_replica(record, self.now) => stored.push(id),
                 false => log::warn!(
-                    "mesh: no room for a replica of record {:032x}: the limits are {MAX_RECORD} \
-                     bytes per record and {MAX_HELD_BYTES} bytes in total",
+                    "mesh: no room for a replica of record {:032x}: the limits are \
+                     {MAX_RECORD_BYTES} bytes per record and {MAX_HELD_BYTES} bytes in total",
                     id.id
                 ),
             }
         }
         if !stored.is_empty() {
-            self.send(from, Message::Held(stored));
+            self.send(from, Message::HoldConfirmed(stored));
         }
     }
 
@@ -279,11 +279,11 @@
                 .remove(id)
                 .map(|o| o.sent_to)
                 .unwrap_or_default();
-            let other = self
+            let other_holder = self
                 .record_store
                 .remove_replica(*id)
-                .map(|r| HostId(r.other));
-            for host in recipients.into_iter().chain(other) {
+                .map(|r| HostId(r.other_holder));
+            for host in recipients.into_iter().chain(other_holder) {
                 release_to.entry(host).or_default().push(*id);
             }
         }
@@ -316,7 +316,7 @@
             .filter(|h| h.owner == host && h.incarnation == incarnation)
             .collect();
         for batch in peer_replicas.chunks(1024) {
-            self.send(host, Message::Held(batch.to_vec()));
+            self.send(host, Message::HoldConfirmed(batch.to_vec()));
         }
     }
 
--- a/crates/oatdale-mesh/src/member/inbox.rs
+++ b/crates/oatdale-mesh/src/member/inbox.rs
@@ -4,7 +4,9 @@
 use super::{Conn, Link, MAX_STOPS, Member, Output};
 use crate::rank;
 use crate::types::{Event, HostId, Stop};
-use crate::wire::{Beat, CARDS, Card, FLAG_SUSPECT, FLAG_WANTED, Frame, Message};
+use crate::wire::{
+    Card, FLAG_SUSPECT, FLAG_WANTED, Frame, Heartbeat, MAX_CARDS_PER_MESSAGE, Message,
+};
 use std::net::SocketAddr;
 
 impl Member {
@@ -70,8 +72,8 @@
 
     /// Sends the initial messages on a new link.
     fn sync_new_link(&mut self, host: HostId, update: CardUpdate) {
-        let newest = self.config_replica.newest();
-        self.send(host, Message::Newest(newest));
+        let offer = self.config_replica.local_offer();
+        self.send(host, Message::RevisionOffer(offer));
         self.send_heartbeat(host);
         if update != CardUpdate::Unchanged {
             self.roster.take_changed();
@@ -127,16 +129,16 @@
 
     fn on_message(&mut self, from: HostId, message: Message) {
         match message {
-            Message::Beat(heartbeat) => self.on_heartbeat(from, &heartbeat),
+            Message::Heartbeat(heartbeat) => self.on_heartbeat(from, &heartbeat),
             Message::Cards(cards) => self.on_cards(from, &cards),
-            Message::AskCards => self.send_cards(from),
+            Message::RequestCards => self.send_cards(from),
             Message::Leave => self.on_peer_leave(from),
-            Message::Newest(offer) => self.on_newest(from, offer),
+            Message::RevisionOffer(offer) => self.on_revision_offer(from, offer),
             Message::Fetch(fetch) => self.on_fetch(from, fetch),
             Message::Steps(steps) => self.on_steps(from, &steps),
             Message::Chunk(chunk) => self.on_chunk(from, &chunk),
             Message::Hold(records) => self.store_replicas(from, records),
-            Message::Held(ids) => self.on_held(from, &ids),
+            Message::HoldConfirmed(ids) => self.on_hold_confirmed(from, &ids),
             Message::Release(ids) => self.on_peer_release(&ids),
             Message::Demand(demand) => self.shares.apply_host_demand(from, &demand),
             Message::Evidence(list) => self.counters.merge(&list, self.now),
@@ -155,12 +157,12 @@
         }
     }
 
-    fn on_heartbeat(&mut self, from: HostId, heartbeat: &Beat) {
+    fn on_heartbeat(&mut self, from: HostId, heartbeat: &Heartbeat) {
         // The suspect flag has a meaning only in a domain summary, where the reporter sets it.
         let flags = heartbeat.flags & !FLAG_SUSPECT;
         self.roster.apply_heartbeat(
             from,
-            &Beat {
+            &Heartbeat {
                 flags,
                 ..*heartbeat
             },
@@ -250,7 +252,7 @@
         let all_cards: Vec<Card> = local_entry
             .chain(self.roster.present().map(|(_, p)| p.card.clone()))
             .collect();
-        for batch in all_cards.chunks(CARDS) {
+        for batch in all_cards.chunks(MAX_CARDS_PER_MESSAGE) {
             self.send(to, Message::Cards(batch.to_vec()));
         }
     }
--- a/crates/oatdale-mesh/src/member/orphans.rs
+++ b/crates/oatdale-mesh/src/member/orphans.rs
@@ -37,7 +37,7 @@
                 replica.orphaned_at = None;
                 continue;
             }
-            let other_holder = HostId(replica.record.other);
+            let other_holder = HostId(replica.record.other_holder);
             if replica.orphaned_at.is_none() {
                 replica.orphaned_at = Some(now);
                 to_exchange
@@ -93,7 +93,7 @@
                 .links
                 .keys()
                 .copied()
-                .filter(|h| self.roster.is_usable(*h) && h.0 != record.other)
+                .filter(|h| self.roster.is_usable(*h) && h.0 != record.other_holder)
                 .min_by_key(|h| rank::score(*h, record.owner.0));
             if let Some(host) = recipient {
                 self.record_store.pending_handover.insert(record.id);
--- a/crates/oatdale-mesh/src/member/roster.rs
+++ b/crates/oatdale-mesh/src/member/roster.rs
@@ -2,7 +2,7 @@
 
 use crate::rank;
 use crate::types::{HostId, PeerState, PeerView, name_hash};
-use crate::wire::{Beat, Card, FLAG_ACCEPTING, FLAG_LEAVING, FLAG_SERVICE_DOWN, FLAG_SUSPECT};
+use crate::wire::{Card, FLAG_ACCEPTING, FLAG_LEAVING, FLAG_SERVICE_DOWN, FLAG_SUSPECT, Heartbeat};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -192,7 +192,7 @@
         self.changed |= peer.suspect_since.take().is_some();
     }
 
-    pub(crate) fn apply_heartbeat(&mut self, host: HostId, heartbeat: &Beat, now: Duration) {
+    pub(crate) fn apply_heartbeat(&mut self, host: HostId, heartbeat: &Heartbeat, now: Duration) {
         let Some(peer) = self.peers.get_mut(&host) else {
             return;
         };
@@ -207,7 +207,7 @@
     pub(crate) fn apply_reported_state(
         &mut self,
         host: HostId,
-        heartbeat: &Beat,
+        heartbeat: &Heartbeat,
         until: Duration,
         now: Duration,
     ) {
--- a/crates/oatdale-mesh/src/member/spread.rs
+++ b/crates/oatdale-mesh/src/member/spread.rs
@@ -2,7 +2,7 @@
 
 use crate::delta::{self, Delta};
 use crate::types::{HostId, digest64};
-use crate::wire::{CHUNK, Chunk, Fetch, MAX_DOCUMENT, Newest, Step};
+use crate::wire::{CHUNK_BYTES, Chunk, DeltaStep, Fetch, MAX_DOCUMENT_BYTES, RevisionOffer};
 use bytes::Bytes;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -42,9 +42,9 @@
     joined: bool,
     held: Option<HeldConfig>,
     in_force: u64,
-    steps: VecDeque<Step>,
+    steps: VecDeque<DeltaStep>,
     /// Last offer of each linked peer.
-    offers: BTreeMap<HostId, Newest>,
+    offers: BTreeMap<HostId, RevisionOffer>,
     pending_fetch: Option<PendingFetch>,
     serving_second: u64,
     chunks_served: u32,
@@ -74,7 +74,7 @@
 /// The reply to a peer's [`Fetch`].
 #[derive(Debug)]
 pub(crate) enum FetchReply {
-    Steps(Vec<Step>),
+    Steps(Vec<DeltaStep>),
     Chunk(Chunk),
     /// The peer has the newest already, or the rate limit on snapshots is reached.
     NoReply,
@@ -135,12 +135,12 @@
     }
 
     /// The held revision, to be offered to peers.
-    pub(crate) fn newest(&self) -> Newest {
+    pub(crate) fn local_offer(&self) -> RevisionOffer {
         let (revision, digest) = self
             .held
             .as_ref()
             .map_or((0, 0), |h| (h.revision, h.digest));
-        Newest { revision, digest }
+        RevisionOffer { revision, digest }
     }
 
     pub(crate) fn document(&self) -> Option<(u64, Bytes)> {
@@ -157,13 +157,13 @@
                 );
                 return false;
             }
-            _ if !newer(self.revision(), revision) || document.len() > MAX_DOCUMENT => {
+            _ if !newer(self.revision(), revision) || document.len() > MAX_DOCUMENT_BYTES => {
                 return false;
             }
             Some(h) => {
                 let from = h.digest;
                 match delta::between(&h.document, &document) {
-                    Some(delta) => self.push_step(Step {
+                    Some(delta) => self.push_step(DeltaStep {
                         from,
                         revision,
                         digest,
@@ -184,16 +184,17 @@
         true
     }
 
-    fn push_step(&mut self, step: Step) {
+    fn push_step(&mut self, step: DeltaStep) {
         self.steps.push_back(step);
-        let total_size =
-            |steps: &VecDeque<Step>| -> usize { steps.iter().map(|s| delta::size(&s.delta)).sum() };
+        let total_size = |steps: &VecDeque<DeltaStep>| -> usize {
+            steps.iter().map(|s| delta::size(&s.delta)).sum()
+        };
         while self.steps.len() > MAX_STEPS || total_size(&self.steps) > MAX_STEP_BYTES {
             self.steps.pop_front();
         }
     }
 
-    pub(crate) fn record_offer(&mut self, from: HostId, offer: Newest) {
+    pub(crate) fn record_offer(&mut self, from: HostId, offer: RevisionOffer) {
         self.offers.insert(from, offer);
     }
 
@@ -237,7 +238,7 @@
 
     fn fetch_request(&self, partial: Option<&PartialDocument>) -> Fetch {
         Fetch {
-            have: self.newest().digest,
+            held_digest: self.local_offer().digest,
             partial: partial.map_or(0, |p| p.digest),
             offset: partial.map_or(0, |p| p.bytes.len() as u32),
         }
@@ -248,17 +249,17 @@
         let Some(held) = &self.held else {
             return FetchReply::NoReply;
         };
-        if held.digest == fetch.have {
+        if held.digest == fetch.held_digest {
             return FetchReply::NoReply;
         }
-        if let Some(at) = self.steps.iter().position(|s| s.from == fetch.have) {
+        if let Some(at) = self.steps.iter().position(|s| s.from == fetch.held_digest) {
             return FetchReply::Steps(self.steps.range(at..).cloned().collect());
         }
         let offset = match fetch.partial == held.digest {
             true => (fetch.offset as usize).min(held.document.len()),
             false => 0,
         };
-        let end = (offset + CHUNK).min(held.document.len());
+        let end = (offset + CHUNK_BYTES).min(held.document.len());
         let chunk = Chunk {
             revision: held.revision,
             digest: held.digest,
@@ -282,7 +283,7 @@
     }
 
     /// Applies deltas; requests the complete document if one does not apply.
-    pub(crate) fn apply_steps(&mut self, steps: &[Step]) -> Progress {
+    pub(crate) fn apply_steps(&mut self, steps: &[DeltaStep]) -> Progress {
         let previous_revision = self.revision();
         for step in steps {
             let Some(held) = &self.held else { break };
@@ -298,7 +299,7 @@
                         step.revision
                     );
                     return Progress::FetchMore(Fetch {
-                        have: 0,
+                        held_digest: 0,
                         partial: 0,
                         offset: 0,
                     });
@@ -314,7 +315,7 @@
     /// Applies a chunk of a complete document.
     pub(crate) fn apply_chunk(&mut self, from: HostId, chunk: &Chunk, now: Duration) -> Progress {
         let held = self.revision();
-        let acceptable = newer(held, chunk.revision) && chunk.total as usize <= MAX_DOCUMENT;
+        let acceptable = newer(held, chunk.revision) && chunk.total as usize <= MAX_DOCUMENT_BYTES;
         let Some(fetch) = self
             .pending_fetch
             .as_mut()
@@ -333,7 +334,7 @@
         }
         if partial.bytes.len() < chunk.total as usize {
             let next_part = Fetch {
-                have: 0,
+                held_digest: 0,
                 partial: partial.digest,
                 offset: partial.bytes.len() as u32,
             };
@@ -351,5 +352,5 @@
 
 fn apply_delta(from: &[u8], delta: &Delta, digest: u64) -> Option<Bytes> {
     let document = delta::apply(from, delta).ok()?;
-    (document.len() <= MAX_DOCUMENT && digest64(&document) == digest).then_some(document)
+    (document.len() <= MAX_DOCUMENT_BYTES && digest64(&document) == digest).then_some(document)
 }
--- a/crates/oatdale-mesh/src/member/summary.rs
+++ b/crates/oatdale-mesh/src/member/summary.rs
@@ -3,7 +3,7 @@
 use super::Member;
 use crate::rank;
 use crate::types::{Event, HostId, PeerState};
-use crate::wire::{Beat, FLAG_SUSPECT, FLAG_WANTED, Message, Report, ReportMember};
+use crate::wire::{FLAG_SUSPECT, FLAG_WANTED, Heartbeat, Message, Report, ReportMember};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -173,7 +173,7 @@
                 _ => frozen.push(host),
             }
             let flags = (peer.flags & !FLAG_WANTED) | suspect;
-            let heartbeat = Beat {
+            let heartbeat = Heartbeat {
                 flags,
                 load: peer.load,
                 in_force: peer.revision,
@@ -186,7 +186,7 @@
             .map(|(_, b)| b.in_force)
             .max()
             .unwrap_or(0);
-        let member = |(host, heartbeat): &(HostId, Beat)| ReportMember {
+        let member = |(host, heartbeat): &(HostId, Heartbeat)| ReportMember {
             short_id: host.short_id(),
             flags: heartbeat.flags & !FLAG_WANTED,
             load: heartbeat.load,
@@ -265,7 +265,7 @@
             };
             let in_force = report.revision.saturating_sub(member.behind);
             let (flags, load) = (member.flags, member.load);
-            let heartbeat = Beat {
+            let heartbeat = Heartbeat {
                 flags,
                 load,
                 in_force,
--- a/crates/oatdale-mesh/src/member/upkeep.rs
+++ b/crates/oatdale-mesh/src/member/upkeep.rs
@@ -4,7 +4,8 @@
 use crate::reach::FULL_MESH;
 use crate::types::{Event, HostId, ListedHost, LocalState, PeerState};
 use crate::wire::{
-    Beat, FLAG_ACCEPTING, FLAG_LEAVING, FLAG_SERVICE_DOWN, FLAG_WANTED, MAX_RECORD, Message,
+    FLAG_ACCEPTING, FLAG_LEAVING, FLAG_SERVICE_DOWN, FLAG_WANTED, Heartbeat, MAX_RECORD_BYTES,
+    Message,
 };
 use bytes::Bytes;
 use std::collections::BTreeSet;
@@ -139,10 +140,10 @@
         self.emit(Event::Peers(views));
     }
 
-    pub(super) fn local_heartbeat(&self) -> Beat {
+    pub(super) fn local_heartbeat(&self) -> Heartbeat {
         let flag = |on: bool, flag: u8| if on { flag } else { 0 };
         let service_down = self.watching == Some(true) && self.local.service_up == Some(false);
-        Beat {
+        Heartbeat {
             flags: flag(
                 self.local.accepting && self.leaving_since.is_none(),
                 FLAG_ACCEPTING,
@@ -160,7 +161,7 @@
         if self.links.get(&host).is_some_and(|l| l.wanted_locally) {
             heartbeat.flags |= FLAG_WANTED;
         }
-        self.send(host, Message::Beat(heartbeat));
+        self.send(host, Message::Heartbeat(heartbeat));
     }
 
     pub(super) fn set_local_state(&mut self, state: LocalState) {
@@ -200,7 +201,7 @@
 
     pub(super) fn on_forward(&mut self, to: &str, payload: Bytes) {
         let host = HostId::of(to);
-        let linked = self.links.contains_key(&host) && payload.len() <= MAX_RECORD;
+        let linked = self.links.contains_key(&host) && payload.len() <= MAX_RECORD_BYTES;
         if linked {
             self.send(host, Message::Forward(payload));
         }
@@ -226,7 +227,7 @@
 
     pub(super) fn request_cards(&mut self, from: HostId) {
         if self.sync.poll_due(self.now) {
-            self.send(from, Message::AskCards);
+            self.send(from, Message::RequestCards);
         }
     }
 
--- a/crates/oatdale-mesh/src/types.rs
+++ b/crates/oatdale-mesh/src/types.rs
@@ -70,7 +70,7 @@
     Hold {
         /// Id of the request.
         id: u128,
-        /// The record, at most [`MAX_RECORD`](crate::MAX_RECORD) bytes.
+        /// The record, at most [`MAX_RECORD_BYTES`](crate::MAX_RECORD_BYTES) bytes.
         record: Bytes,
         /// Receives one reply when enough nodes hold the record, or after the timeout. Dropped if
         /// another `Hold` with the same id comes first.
@@ -82,7 +82,7 @@
     Forward {
         /// Name of the receiving host.
         to: String,
-        /// The payload, at most [`MAX_RECORD`](crate::MAX_RECORD) bytes.
+        /// The payload, at most [`MAX_RECORD_BYTES`](crate::MAX_RECORD_BYTES) bytes.
         payload: Bytes,
         /// Receives whether the payload was handed to a link.
         reply: oneshot::Sender<bool>,
--- a/crates/oatdale-mesh/src/wire.rs
+++ b/crates/oatdale-mesh/src/wire.rs
@@ -21,7 +21,7 @@
 mod record;
 mod summary;
 
-pub(crate) use self::document::{Chunk, Fetch, Newest, Step};
+pub(crate) use self::document::{Chunk, DeltaStep, Fetch, RevisionOffer};
 pub(crate) use self::record::{HeldId, Record};
 pub(crate) use self::summary::{Fraction, HostCounters, Report, ReportMember};
 
@@ -32,18 +32,18 @@
 use std::net::SocketAddr;
 
 /// Maximum frame size in bytes; a peer that sends a larger one is disconnected.
-pub const MAX_FRAME: usize = 128 * 1024;
+pub const MAX_FRAME_BYTES: usize = 128 * 1024;
 /// Maximum size of a held record or a forwarded payload, in bytes.
-pub const MAX_RECORD: usize = 8 * 1024;
+pub const MAX_RECORD_BYTES: usize = 8 * 1024;
 /// Maximum bytes of a configuration in one message.
-pub(crate) const CHUNK: usize = 16 * 1024;
+pub(crate) const CHUNK_BYTES: usize = 16 * 1024;
 /// Maximum size of a configuration in bytes; the key-value service stores no larger value.
-pub(crate) const MAX_DOCUMENT: usize = 1024 * 1024;
-/// Size at which a frame is complete and the next one starts. Far enough below [`MAX_FRAME`] for
-/// the message that exceeds it.
+pub(crate) const MAX_DOCUMENT_BYTES: usize = 1024 * 1024;
+/// Size at which a frame is complete and the next one starts. Far enough below
+/// [`MAX_FRAME_BYTES`] for the message that exceeds it.
 const FRAME_TARGET_BYTES: usize = 48 * 1024;
 /// Maximum number of cards in one message.
-pub(crate) const CARDS: usize = 256;
+pub(crate) const MAX_CARDS_PER_MESSAGE: usize = 256;
 
 /// A batch of messages sent over one link.
 #[derive(Clone, PartialEq, Debug, serde::Serialize, serde::Deserialize)]
@@ -63,7 +63,7 @@
     ///
     /// Returns [`Error::Malformed`](crate::Error::Malformed) unless `buf` is exactly one frame.
     pub fn decode(buf: &[u8]) -> Result<Frame> {
-        if buf.len() > MAX_FRAME {
+        if buf.len() > MAX_FRAME_BYTES {
             let reason = format!("frame of {} bytes exceeds the limit of 128 KiB", buf.len());
             return MalformedSnafu { reason }.fail();
         }
@@ -106,25 +106,25 @@
 pub(crate) enum Message {
     /// Heartbeat, sent periodically on every link.
     #[serde(rename = "b")]
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     /// Cards of hosts that the receiver may not know.
     #[serde(rename = "c")]
     Cards(Vec<Card>),
     /// Requests all cards that the receiver has.
     #[serde(rename = "r")]
-    AskCards,
+    RequestCards,
     /// The sender begins a planned stop.
     #[serde(rename = "l")]
     Leave,
     /// The sender has a newer configuration.
     #[serde(rename = "n")]
-    Newest(Newest),
+    RevisionOffer(RevisionOffer),
     /// Requests the configuration; names the digest of the text that the sender has (0 for none).
     #[serde(rename = "f")]
     Fetch(Fetch),
     /// Deltas from the receiver's text to the newest one.
     #[serde(rename = "s")]
-    Steps(Vec<Step>),
+    Steps(Vec<DeltaStep>),
     /// A chunk of the full text.
     #[serde(rename = "k")]
     Chunk(Chunk),
@@ -133,7 +133,7 @@
     Hold(Vec<Record>),
     /// Confirms that the sender holds these records.
     #[serde(rename = "a")]
-    Held(Vec<HeldId>),
+    HoldConfirmed(Vec<HeldId>),
     /// Records that no longer need to be held.
     #[serde(rename = "x")]
     Release(Vec<u128>),
@@ -165,7 +165,7 @@
             Message::Forward(payload) => payload.len(),
             Message::Report(report) => 40 + 12 * report.members.len() + 16 * report.demand.len(),
             Message::Evidence(list) => list.len() * 64,
-            Message::Held(ids) => 48 * ids.len(),
+            Message::HoldConfirmed(ids) => 48 * ids.len(),
             Message::Release(ids) => 18 * ids.len(),
             _ => 32,
         }
@@ -174,8 +174,8 @@
 
 /// A heartbeat.
 #[derive(Clone, Copy, PartialEq, Debug, serde::Serialize, serde::Deserialize)]
-#[serde(from = "BeatWire", into = "BeatWire")]
-pub(crate) struct Beat {
+#[serde(from = "HeartbeatWire", into = "HeartbeatWire")]
+pub(crate) struct Heartbeat {
     /// Bit set of the `FLAG_` constants.
     pub(crate) flags: u8,
     /// Load from 0 to 255.
@@ -186,8 +186,8 @@
     pub(crate) roster: u32,
 }
 
-type BeatWire = (u8, u8, u64, u32);
-tuple_conversions!(Beat {
+type HeartbeatWire = (u8, u8, u64, u32);
+tuple_conversions!(Heartbeat {
     flags: u8,
     load: u8,
     in_force: u64,
--- a/crates/oatdale-mesh/src/wire/document.rs
+++ b/crates/oatdale-mesh/src/wire/document.rs
@@ -6,11 +6,11 @@
 /// Announces which configuration the sender holds.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
-pub(crate) struct Newest {
+pub(crate) struct RevisionOffer {
     pub(crate) revision: u64,
     pub(crate) digest: u64,
 }
-tuple_conversions!(Newest {
+tuple_conversions!(RevisionOffer {
     revision: u64,
     digest: u64
 });
@@ -20,22 +20,22 @@
 #[serde(from = "(u64, u64, u32)", into = "(u64, u64, u32)")]
 pub(crate) struct Fetch {
     /// Digest of the full text that the sender has, 0 for none.
-    pub(crate) have: u64,
+    pub(crate) held_digest: u64,
     /// Digest of the text that the sender has received in part, 0 for none.
     pub(crate) partial: u64,
     /// Number of bytes of the partial text received so far.
     pub(crate) offset: u32,
 }
 tuple_conversions!(Fetch {
-    have: u64,
+    held_digest: u64,
     partial: u64,
     offset: u32
 });
 
 /// A delta from one revision of the configuration to a later one.
 #[derive(Clone, PartialEq, Eq, Debug, serde::Serialize, serde::Deserialize)]
-#[serde(from = "StepWire", into = "StepWire")]
-pub(crate) struct Step {
+#[serde(from = "DeltaStepWire", into = "DeltaStepWire")]
+pub(crate) struct DeltaStep {
     /// Digest of the text before the delta.
     pub(crate) from: u64,
     /// Revision after the delta.
@@ -45,8 +45,8 @@
     pub(crate) delta: Delta,
 }
 
-type StepWire = (u64, u64, u64, Delta);
-tuple_conversions!(Step {
+type DeltaStepWire = (u64, u64, u64, Delta);
+tuple_conversions!(DeltaStep {
     from: u64,
     revision: u64,
     digest: u64,
--- a/crates/oatdale-mesh/src/wire/record.rs
+++ b/crates/oatdale-mesh/src/wire/record.rs
@@ -15,7 +15,7 @@
     /// Sequence number assigned by the owner; of two records with the same id the higher one wins.
     pub(crate) seq: u64,
     /// Host id of the other holder, 0 for none.
-    pub(crate) other: u64,
+    pub(crate) other_holder: u64,
     pub(crate) record: Bytes,
 }
 
@@ -25,7 +25,7 @@
     owner: HostId,
     incarnation: u64,
     seq: u64,
-    other: u64,
+    other_holder: u64,
     record: Bytes,
 });
 
--- a/crates/oatdale-mesh/tests/hostile.rs
+++ b/crates/oatdale-mesh/tests/hostile.rs
@@ -4,7 +4,7 @@
 mod sockets;
 
 use futures::{SinkExt, StreamExt};
-use oatdale_mesh::{Event, MAX_FRAME, PeerState};
+use oatdale_mesh::{Event, MAX_FRAME_BYTES, PeerState};
 use sockets::{Node, mesh_config, start, start_with_config};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -133,7 +133,7 @@
 #[tokio::test]
 async fn an_oversize_hello_is_refused() {
     let mut node = start("good", "hall-1", &[]).await;
-    for size in [5000, MAX_FRAME + 100, 4 * 1024 * 1024] {
+    for size in [5000, MAX_FRAME_BYTES + 100, 4 * 1024 * 1024] {
         let mut socket = connect_websocket(node.address).await;
         let _ = socket.send(Message::Binary(vec![0; size].into())).await;
         wait_for_close(&mut socket).await;
--- a/crates/oatdale-node/src/append.rs
+++ b/crates/oatdale-node/src/append.rs
@@ -19,7 +19,7 @@
     BillRecord, Claim, ClaimKey, JournalError, JournalHandle, Outcome, Pin, RequestId, SessionKey,
     ShardId,
 };
-use oatdale_mesh::{Command, MAX_RECORD};
+use oatdale_mesh::{Command, MAX_RECORD_BYTES};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -39,7 +39,7 @@
 const MAX_WAITING: usize = 4096;
 
 /// Bytes of bill records in one message; the rest is for what stands around them.
-const MAX_BILLS: usize = MAX_RECORD - 256;
+const MAX_BILLS: usize = MAX_RECORD_BYTES - 256;
 
 /// Parts of a batch of bills that are under way at once. After an outage thousands of bills wait;
 /// the mesh closes a link with too many messages, since its peer seems not to read.
