--- a/crates/oatdale-mesh/examples/slopes.rs
+++ b/crates/oatdale-mesh/examples/slopes.rs
@@ -123,7 +123,7 @@
     let sum = |f: fn(&in_memory::fleet::SimNode) -> f64| fleet.nodes.iter().map(f).sum::<f64>();
     let max =
         |f: fn(&in_memory::fleet::SimNode) -> f64| fleet.nodes.iter().map(f).fold(0.0, f64::max);
-    let links = sum(|n| n.member.as_ref().map_or(0, |m| m.linked().count()) as f64) / count;
+    let links = sum(|n| n.member.as_ref().map_or(0, |m| m.linked_hosts().count()) as f64) / count;
     println!(
         "{hosts:>5} {domains:>7} {links:>6.1} {:>9.0} {:>9.0} {:>9.0} {:>8.1} {:>9.0} {:>8.0} {:>9.0} {:>9} {:>9}",
         sum(|n| n.sent_bytes as f64) / count / span,
--- a/crates/oatdale-mesh/src/delta.rs
+++ b/crates/oatdale-mesh/src/delta.rs
@@ -14,7 +14,7 @@
 const DELTA_OVERHEAD_BYTES: usize = 70;
 
 /// Returns the delta that turns `from` into `to`, or `None` if either is not valid UTF-8.
-pub(crate) fn between(from: &[u8], to: &[u8]) -> Option<Delta> {
+pub(crate) fn diff(from: &[u8], to: &[u8]) -> Option<Delta> {
     let from = std::str::from_utf8(from).ok()?;
     let to = std::str::from_utf8(to).ok()?;
     Some(delta(from, to))
@@ -37,7 +37,7 @@
 }
 
 /// Estimates the encoded size of a delta in bytes.
-pub(crate) fn size(delta: &Delta) -> usize {
+pub(crate) fn estimated_size(delta: &Delta) -> usize {
     let edits = delta
         .edits
         .iter()
--- a/crates/oatdale-mesh/src/duty.rs
+++ b/crates/oatdale-mesh/src/duty.rs
@@ -3,7 +3,7 @@
 use crate::cfg::{Listen, MeshConfig};
 use crate::error::{ListenSnafu, Result};
 use crate::link::{self, LinkContext, LinkEvent};
-use crate::member::{Conn, Input, Member, MemberConfig, Output};
+use crate::member::{ConnId, Input, Member, MemberConfig, Output};
 use crate::types::{Command, Event, HoldAck};
 use crate::wire::{Card, Frame};
 use snafu::ResultExt;
@@ -71,7 +71,7 @@
     card: Card,
     key: Arc<[u8]>,
     start: Instant,
-    links: HashMap<Conn, mpsc::Sender<Frame>>,
+    links: HashMap<ConnId, mpsc::Sender<Frame>>,
     next_conn: u64,
     tasks: JoinSet<()>,
     link_events_tx: mpsc::Sender<LinkEvent>,
@@ -165,8 +165,8 @@
                 self.links.remove(&conn);
                 self.handle_input(Input::Disconnected(conn));
             }
-            LinkEvent::DialFailed { address, myself } => {
-                self.handle_input(Input::DialFailed { address, myself });
+            LinkEvent::DialFailed { address, is_self } => {
+                self.handle_input(Input::DialFailed { address, is_self });
             }
         }
     }
@@ -207,7 +207,7 @@
     fn link_context(&mut self) -> LinkContext {
         self.next_conn += 1;
         LinkContext {
-            conn: Conn(self.next_conn),
+            conn: ConnId(self.next_conn),
             card: self.card.clone(),
             key: self.key.clone(),
             tx: self.link_events_tx.clone(),
--- a/crates/oatdale-mesh/src/lib.rs
+++ b/crates/oatdale-mesh/src/lib.rs
@@ -61,7 +61,7 @@
 pub use crate::cfg::{Intervals, Listen, MIN_KEY_BYTES, MeshConfig};
 pub use crate::duty::run;
 pub use crate::error::{Error, Result};
-pub use crate::member::{Conn, Input, Member, MemberConfig, Output, newer, settled};
+pub use crate::member::{ConnId, Input, Member, MemberConfig, Output, enough_answers, supersedes};
 pub use crate::reach::reachable;
 pub use crate::types::{
     Command, Event, HoldAck, HostId, ListedHost, LocalState, PeerState, PeerView, Share, Stop,
--- a/crates/oatdale-mesh/src/link.rs
+++ b/crates/oatdale-mesh/src/link.rs
@@ -2,7 +2,7 @@
 
 use crate::auth::{FrameMac, Hello, MAX_HELLO_BYTES, Side, TAG_BYTES, Transcript};
 use crate::error::{ConnectionSnafu, Error, MalformedSnafu, Result, TimeoutSnafu};
-use crate::member::Conn;
+use crate::member::ConnId;
 use crate::wire::{Card, Frame, MAX_FRAME_BYTES};
 use bytes::Bytes;
 use futures::{SinkExt, StreamExt};
@@ -32,28 +32,28 @@
 #[derive(Debug)]
 pub(crate) enum LinkEvent {
     Up {
-        conn: Conn,
+        conn: ConnId,
         card: Card,
         dialed: Option<SocketAddr>,
         tx: mpsc::Sender<Frame>,
     },
     Frame {
-        conn: Conn,
+        conn: ConnId,
         frame: Frame,
     },
     Down {
-        conn: Conn,
+        conn: ConnId,
     },
     DialFailed {
         address: SocketAddr,
-        myself: bool,
+        is_self: bool,
     },
 }
 
 /// Parameters of a link.
 #[derive(Clone)]
 pub(crate) struct LinkContext {
-    pub(crate) conn: Conn,
+    pub(crate) conn: ConnId,
     pub(crate) card: Card,
     pub(crate) key: Arc<[u8]>,
     pub(crate) tx: mpsc::Sender<LinkEvent>,
@@ -72,9 +72,9 @@
     match with_timeout(HANDSHAKE_TIMEOUT, "dialing", dial_peer(&cx, address)).await {
         Ok(link) => serve(cx, link, Some(address)).await,
         Err(e) => {
-            let myself = matches!(e, Error::SelfConnection);
+            let is_self = matches!(e, Error::SelfConnection);
             log::debug!("mesh: dialing {address} failed: {e}");
-            let _ = cx.tx.send(LinkEvent::DialFailed { address, myself }).await;
+            let _ = cx.tx.send(LinkEvent::DialFailed { address, is_self }).await;
         }
     }
 }
--- a/crates/oatdale-mesh/src/member.rs
+++ b/crates/oatdale-mesh/src/member.rs
@@ -16,7 +16,7 @@
 mod summary;
 mod upkeep;
 
-pub use self::spread::{newer, settled};
+pub use self::spread::{enough_answers, supersedes};
 
 use self::counters::Counters;
 use self::dialer::Dialer;
@@ -36,7 +36,7 @@
 
 /// Identifies one connection; the transport numbers them.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
-pub struct Conn(pub u64);
+pub struct ConnId(pub u64);
 
 /// Maximum number of stopped versions kept; the operators' configuration names far fewer.
 const MAX_STOPS: usize = 1024;
@@ -60,25 +60,25 @@
     /// A connection passed the handshake.
     Connected {
         /// The connection.
-        conn: Conn,
+        conn: ConnId,
         /// The card of the peer.
         card: Card,
         /// The address that was dialed, if this node dialed.
         dialed: Option<SocketAddr>,
     },
     /// A connection ended.
-    Disconnected(Conn),
+    Disconnected(ConnId),
     /// A dial failed.
     DialFailed {
         /// The address.
         address: SocketAddr,
         /// Whether the address turned out to be this node's own.
-        myself: bool,
+        is_self: bool,
     },
     /// A frame arrived.
     Received {
         /// The connection.
-        conn: Conn,
+        conn: ConnId,
         /// The messages received.
         frame: Frame,
     },
@@ -121,14 +121,14 @@
     /// Send a frame.
     Send {
         /// The connection.
-        conn: Conn,
+        conn: ConnId,
         /// The messages to send.
         frame: Frame,
     },
     /// Connect to an address.
     Dial(SocketAddr),
     /// Close a connection once all earlier frames on it are written.
-    Close(Conn),
+    Close(ConnId),
     /// Pass an event to the node.
     Event(Event),
     /// Reply to a `Hold`.
@@ -156,7 +156,7 @@
     next_maintenance: Duration,
     next_dial: Duration,
     links: BTreeMap<HostId, Link>,
-    conns: BTreeMap<Conn, HostId>,
+    conns: BTreeMap<ConnId, HostId>,
     roster: Roster,
     dialer: Dialer,
     config_replica: ConfigReplica,
@@ -180,7 +180,7 @@
 /// An authenticated connection to a peer.
 #[derive(Debug)]
 struct Link {
-    conn: Conn,
+    conn: ConnId,
     /// Whether the peer wants to keep it.
     wanted_by_peer: bool,
     /// Whether this node wants to keep it.
@@ -237,7 +237,7 @@
             _ if self.ended => {}
             Input::Connected { conn, card, dialed } => self.on_connected(conn, card, dialed),
             Input::Disconnected(conn) => self.on_disconnected(conn),
-            Input::DialFailed { address, myself } => self.dialer.dial_failed(address, myself, now),
+            Input::DialFailed { address, is_self } => self.dialer.on_failure(address, is_self, now),
             Input::Received { conn, frame } => self.on_frame(conn, frame),
             Input::ConfigInForce { revision, document } => self.on_local_config(revision, document),
             Input::Local(state) => self.set_local_state(state),
@@ -262,13 +262,13 @@
     }
 
     /// Hosts that this node has a link to.
-    pub fn linked(&self) -> impl Iterator<Item = HostId> {
+    pub fn linked_hosts(&self) -> impl Iterator<Item = HostId> {
         self.links.keys().copied()
     }
 
     /// Memory taken by records held for other nodes, in bytes.
-    pub fn held_bytes(&self) -> usize {
-        self.record_store.held_bytes()
+    pub fn replica_bytes(&self) -> usize {
+        self.record_store.replica_bytes()
     }
 
     /// Extends the deadlines of all peers by the time that this process was paused. Otherwise it
--- a/crates/oatdale-mesh/src/member/config.rs
+++ b/crates/oatdale-mesh/src/member/config.rs
@@ -1,7 +1,7 @@
 //! Exchanges the configuration with peers.
 
 use super::spread::{FetchReply, Progress};
-use super::{Member, settled};
+use super::{Member, enough_answers};
 use crate::rank;
 use crate::types::{Event, HostId};
 use crate::wire::{Chunk, DeltaStep, Fetch, Message, RevisionOffer};
@@ -91,7 +91,7 @@
         let known = self.roster.len().max(self.dialer.candidate_count());
         let waited_long_enough =
             self.config_replica.time_since_start(self.now) >= self.timers.join_timeout;
-        if settled(answers, known, waited_long_enough) {
+        if enough_answers(answers, known, waited_long_enough) {
             self.set_joined();
             self.emit(Event::Joined { answers });
             self.start_fetch();
@@ -111,7 +111,7 @@
     /// from the key-value service keep watching and further nodes are added after them, so that a
     /// node which alone reaches the service is found.
     pub(super) fn choose_watchers(&mut self) {
-        let salt = rank::watch_salt(self.domain);
+        let salt = rank::watcher_salt(self.domain);
         let own_service_down = self.local.service_up == Some(false);
         let domain = self.domain;
         let peers: Vec<(HostId, bool)> = self
@@ -121,9 +121,10 @@
             .map(|(host, p)| (host, p.reports_service_down()))
             .chain((self.leaving_since.is_none()).then_some((self.id, own_service_down)))
             .collect();
-        let first_ranked = rank::first(peers.iter().map(|(h, _)| *h), salt, WATCHERS_PER_DOMAIN);
+        let first_ranked =
+            rank::top_ranked(peers.iter().map(|(h, _)| *h), salt, WATCHERS_PER_DOMAIN);
         let answering = peers.iter().filter(|(_, down)| !down).map(|(h, _)| *h);
-        let first_answering = rank::first(answering, salt, WATCHERS_PER_DOMAIN);
+        let first_answering = rank::top_ranked(answering, salt, WATCHERS_PER_DOMAIN);
         let watch = first_ranked.contains(&self.id) || first_answering.contains(&self.id);
         if self.watching != Some(watch) {
             self.watching = Some(watch);
--- a/crates/oatdale-mesh/src/member/dialer.rs
+++ b/crates/oatdale-mesh/src/member/dialer.rs
@@ -83,11 +83,11 @@
         self.candidates.len()
     }
 
-    pub(crate) fn dial_succeeded(&mut self, address: SocketAddr) {
+    pub(crate) fn on_success(&mut self, address: SocketAddr) {
         self.attempts.remove(&address);
     }
 
-    pub(crate) fn dial_failed(&mut self, address: SocketAddr, is_self: bool, now: Duration) {
+    pub(crate) fn on_failure(&mut self, address: SocketAddr, is_self: bool, now: Duration) {
         if is_self {
             self.candidates.remove(&address);
             self.seeds.remove(&address);
@@ -100,7 +100,7 @@
             dialing: false,
         });
         let backoff = (MIN_BACKOFF * 2u32.pow(entry.failures.min(8))).min(MAX_BACKOFF);
-        let jitter = rank::mix(hash(address) ^ u64::from(entry.failures)) % 256;
+        let jitter = rank::mix64(hash(address) ^ u64::from(entry.failures)) % 256;
         entry.due_at = now + backoff / 2 + backoff.mul_f64(jitter as f64 / 512.0);
         entry.failures += 1;
         entry.dialing = false;
@@ -133,7 +133,7 @@
             .copied()
             .filter(|a| !is_known(*a))
             .collect();
-        unknown_addresses.sort_by_key(|a| rank::mix(hash(*a) ^ hash(self.own_address)));
+        unknown_addresses.sort_by_key(|a| rank::mix64(hash(*a) ^ hash(self.own_address)));
         let in_progress = unknown_addresses
             .iter()
             .filter(|a| self.attempts.get(a).is_some_and(|t| t.dialing))
@@ -177,7 +177,7 @@
             .map(|(a, _)| *a)
             .collect();
         for address in timed_out {
-            self.dial_failed(address, false, now);
+            self.on_failure(address, false, now);
         }
     }
 }
--- a/crates/oatdale-mesh/src/member/holds.rs
+++ b/crates/oatdale-mesh/src/member/holds.rs
@@ -13,7 +13,7 @@
 
 /// Limit on the memory for replicas of other nodes' records; beyond it a record is not
 /// acknowledged.
-const MAX_HELD_BYTES: usize = 16 * 1024 * 1024;
+const MAX_REPLICA_BYTES: usize = 16 * 1024 * 1024;
 /// Maximum number of this node's records awaiting the journal; beyond it a hold ends at once
 /// without copies.
 const MAX_OWNED_RECORDS: usize = 65_536;
@@ -56,7 +56,7 @@
 }
 
 impl RecordStore {
-    pub(crate) fn held_bytes(&self) -> usize {
+    pub(crate) fn replica_bytes(&self) -> usize {
         self.replica_bytes
     }
 
@@ -90,7 +90,7 @@
         }
         let total_bytes =
             self.replica_bytes - old.map_or(0, |(_, size)| size) + memory_size(&record);
-        if total_bytes > MAX_HELD_BYTES || record.record.len() > MAX_RECORD_BYTES {
+        if total_bytes > MAX_REPLICA_BYTES || record.record.len() > MAX_RECORD_BYTES {
             return false;
         }
         self.replica_bytes = total_bytes;
@@ -256,7 +256,7 @@
                 false if self.record_store.insert_replica(record, self.now) => stored.push(id),
                 false => log::warn!(
                     "mesh: no room for a replica of record {:032x}: the limits are \
-                     {MAX_RECORD_BYTES} bytes per record and {MAX_HELD_BYTES} bytes in total",
+                     {MAX_RECORD_BYTES} bytes per record and {MAX_REPLICA_BYTES} bytes in total",
                     id.id
                 ),
             }
--- a/crates/oatdale-mesh/src/member/inbox.rs
+++ b/crates/oatdale-mesh/src/member/inbox.rs
@@ -1,7 +1,7 @@
 //! Handles connections and incoming messages.
 
 use super::roster::CardUpdate;
-use super::{Conn, Link, MAX_STOPS, Member, Output};
+use super::{ConnId, Link, MAX_STOPS, Member, Output};
 use crate::rank;
 use crate::types::{Event, HostId, Stop};
 use crate::wire::{
@@ -10,9 +10,9 @@
 use std::net::SocketAddr;
 
 impl Member {
-    pub(super) fn on_connected(&mut self, conn: Conn, card: Card, dialed: Option<SocketAddr>) {
+    pub(super) fn on_connected(&mut self, conn: ConnId, card: Card, dialed: Option<SocketAddr>) {
         if let Some(address) = dialed {
-            self.dialer.dial_succeeded(address);
+            self.dialer.on_success(address);
         }
         let host = card.id();
         let update = self
@@ -36,7 +36,7 @@
             None => {}
         }
         self.on_card_update(host, update);
-        self.dialer.dial_succeeded(card.address);
+        self.dialer.on_success(card.address);
         self.conns.insert(conn, host);
         let link = Link {
             conn,
@@ -53,7 +53,7 @@
 
     /// Refuses a connection from an earlier process of a host, or from one that uses this host's
     /// name, and tells it the latest incarnation.
-    fn refuse_stale(&mut self, conn: Conn, card: Card) {
+    fn refuse_stale(&mut self, conn: ConnId, card: Card) {
         log::warn!(
             "mesh: refused a process of host {}: its card is stale or has this host's name",
             card.host
@@ -87,11 +87,11 @@
         self.sync_domain_state(host);
     }
 
-    pub(super) fn on_disconnected(&mut self, conn: Conn) {
+    pub(super) fn on_disconnected(&mut self, conn: ConnId) {
         self.remove_link(conn);
     }
 
-    fn remove_link(&mut self, conn: Conn) {
+    fn remove_link(&mut self, conn: ConnId) {
         let Some(host) = self.conns.remove(&conn) else {
             return;
         };
@@ -101,11 +101,11 @@
             self.config_replica.remove_peer(host);
             self.summaries.remove_peer(host);
             self.dialer
-                .dial_failed(self.address_of(host), false, self.now);
+                .on_failure(self.address_of(host), false, self.now);
         }
     }
 
-    pub(super) fn close_conn(&mut self, conn: Conn) {
+    pub(super) fn close_conn(&mut self, conn: ConnId) {
         self.remove_link(conn);
         self.outputs.push(Output::Close(conn));
     }
@@ -116,7 +116,7 @@
             .map_or(self.local_card.address, |p| p.card.address)
     }
 
-    pub(super) fn on_frame(&mut self, conn: Conn, frame: Frame) {
+    pub(super) fn on_frame(&mut self, conn: ConnId, frame: Frame) {
         let Some(host) = self.conns.get(&conn).copied() else {
             return;
         };
@@ -227,7 +227,7 @@
             seen_incarnation if seen_incarnation <= self.local_card.incarnation => {}
             seen_incarnation if !self.config_replica.joined() => {
                 self.local_card.incarnation =
-                    seen_incarnation + 1 + rank::mix(seen_incarnation) % 1024;
+                    seen_incarnation + 1 + rank::mix64(seen_incarnation) % 1024;
                 let card = self.local_card.clone();
                 self.broadcast(None, &Message::Cards(vec![card]));
                 self.resend_owned();
@@ -241,7 +241,7 @@
                 self.emit(Event::Superseded {
                     by: seen_incarnation,
                 });
-                let conns: Vec<Conn> = self.links.values().map(|l| l.conn).collect();
+                let conns: Vec<ConnId> = self.links.values().map(|l| l.conn).collect();
                 self.outputs.extend(conns.into_iter().map(Output::Close));
             }
         }
--- a/crates/oatdale-mesh/src/member/roster.rs
+++ b/crates/oatdale-mesh/src/member/roster.rs
@@ -373,7 +373,7 @@
 
     /// Hash over all known hosts, this one included.
     pub(crate) fn view_hash(&self, local_card: &Card) -> u32 {
-        let host_hash = |id: HostId, incarnation: u64| rank::mix(id.0 ^ rank::mix(incarnation));
+        let host_hash = |id: HostId, incarnation: u64| rank::mix64(id.0 ^ rank::mix64(incarnation));
         let init = host_hash(self.own_id, local_card.incarnation);
         let combined = self
             .present()
--- a/crates/oatdale-mesh/src/member/spread.rs
+++ b/crates/oatdale-mesh/src/member/spread.rs
@@ -21,7 +21,7 @@
 /// Whether an offered revision replaces the held one (0 for none).
 ///
 /// All decisions on this are made here; the specification in `tests/` explores this function.
-pub fn newer(held: u64, offered: u64) -> bool {
+pub fn supersedes(held: u64, offered: u64) -> bool {
     offered > held
 }
 
@@ -31,7 +31,7 @@
 /// One stale peer that answers first must not decide which configuration a joining node starts
 /// with: callers would see a withdrawn version serve again. The node therefore waits for several
 /// answers, for those of all peers it knows, or until it has waited long enough.
-pub fn settled(answers: usize, known: usize, waited_enough: bool) -> bool {
+pub fn enough_answers(answers: usize, known: usize, waited_enough: bool) -> bool {
     waited_enough || (known > 0 && answers >= known.min(JOIN_PEERS))
 }
 
@@ -157,12 +157,12 @@
                 );
                 return false;
             }
-            _ if !newer(self.revision(), revision) || document.len() > MAX_DOCUMENT_BYTES => {
+            _ if !supersedes(self.revision(), revision) || document.len() > MAX_DOCUMENT_BYTES => {
                 return false;
             }
             Some(h) => {
                 let from = h.digest;
-                match delta::between(&h.document, &document) {
+                match delta::diff(&h.document, &document) {
                     Some(delta) => self.push_step(DeltaStep {
                         from,
                         revision,
@@ -187,7 +187,7 @@
     fn push_step(&mut self, step: DeltaStep) {
         self.steps.push_back(step);
         let total_size = |steps: &VecDeque<DeltaStep>| -> usize {
-            steps.iter().map(|s| delta::size(&s.delta)).sum()
+            steps.iter().map(|s| delta::estimated_size(&s.delta)).sum()
         };
         while self.steps.len() > MAX_STEPS || total_size(&self.steps) > MAX_STEP_BYTES {
             self.steps.pop_front();
@@ -223,7 +223,7 @@
         let best = self
             .offers
             .iter()
-            .filter(|(_, o)| newer(held, o.revision))
+            .filter(|(_, o)| supersedes(held, o.revision))
             .max_by_key(|(host, o)| (Some(**host) != tried, o.revision, std::cmp::Reverse(**host)))
             .map(|(host, _)| *host)?;
         let partial = self.pending_fetch.take().and_then(|f| f.partial);
@@ -287,7 +287,7 @@
         let previous_revision = self.revision();
         for step in steps {
             let Some(held) = &self.held else { break };
-            if held.digest != step.from || !newer(held.revision, step.revision) {
+            if held.digest != step.from || !supersedes(held.revision, step.revision) {
                 continue;
             }
             match apply_delta(&held.document, &step.delta, step.digest) {
@@ -306,7 +306,7 @@
                 }
             };
         }
-        match newer(previous_revision, self.revision()) {
+        match supersedes(previous_revision, self.revision()) {
             true => Progress::Adopted,
             false => Progress::Unchanged,
         }
@@ -315,7 +315,8 @@
     /// Applies a chunk of a complete document.
     pub(crate) fn apply_chunk(&mut self, from: HostId, chunk: &Chunk, now: Duration) -> Progress {
         let held = self.revision();
-        let acceptable = newer(held, chunk.revision) && chunk.total as usize <= MAX_DOCUMENT_BYTES;
+        let acceptable =
+            supersedes(held, chunk.revision) && chunk.total as usize <= MAX_DOCUMENT_BYTES;
         let Some(fetch) = self
             .pending_fetch
             .as_mut()
--- a/crates/oatdale-mesh/src/member/summary.rs
+++ b/crates/oatdale-mesh/src/member/summary.rs
@@ -97,8 +97,8 @@
             return rank::reporters(&usable, &others, of, to);
         }
         let rotation = self.now.as_secs() / SILENT_DOMAIN_RETRY_INTERVAL.as_secs();
-        let salt = rank::report_salt(of, to) ^ rank::mix(rotation);
-        rank::first(
+        let salt = rank::reporter_salt(of, to) ^ rank::mix64(rotation);
+        rank::top_ranked(
             domain_peers().map(|(host, _)| host),
             salt,
             REPORTERS_PER_DOMAIN,
--- a/crates/oatdale-mesh/src/member/upkeep.rs
+++ b/crates/oatdale-mesh/src/member/upkeep.rs
@@ -1,7 +1,7 @@
 //! Timer-driven work of a member: heartbeats, links, failure detection and peer views.
 
 use super::{Member, Output};
-use crate::reach::FULL_MESH;
+use crate::reach::FULL_MESH_LIMIT;
 use crate::types::{Event, HostId, ListedHost, LocalState, PeerState};
 use crate::wire::{
     FLAG_ACCEPTING, FLAG_LEAVING, FLAG_SERVICE_DOWN, FLAG_WANTED, Heartbeat, MAX_RECORD_BYTES,
@@ -102,7 +102,7 @@
     }
 
     fn is_small_fleet(&self) -> bool {
-        self.roster.present().count() < FULL_MESH
+        self.roster.present().count() < FULL_MESH_LIMIT
     }
 
     /// Interval between heartbeats: doubled in a larger fleet, where the suspect timeout is longer
@@ -291,7 +291,7 @@
     /// Closes links to silent hosts, which are then dialed again. Such a link may be half open: the
     /// host is gone but no packet says so.
     fn close_silent_links(&mut self) {
-        let silent: Vec<super::Conn> = self
+        let silent: Vec<super::ConnId> = self
             .links
             .iter()
             .filter(|(host, _)| {
--- a/crates/oatdale-mesh/src/rank.rs
+++ b/crates/oatdale-mesh/src/rank.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Hashes a number with the finalizer of SplitMix64.
-pub(crate) fn mix(mut x: u64) -> u64 {
+pub(crate) fn mix64(mut x: u64) -> u64 {
     x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -13,11 +13,15 @@
 
 /// Returns the score of a host in the ranking of `salt`; the lowest score ranks first.
 pub(crate) fn score(host: HostId, salt: u64) -> u64 {
-    mix(host.0 ^ mix(salt))
+    mix64(host.0 ^ mix64(salt))
 }
 
 /// Returns the first `count` hosts in the ranking of `salt`.
-pub(crate) fn first(hosts: impl Iterator<Item = HostId>, salt: u64, count: usize) -> Vec<HostId> {
+pub(crate) fn top_ranked(
+    hosts: impl Iterator<Item = HostId>,
+    salt: u64,
+    count: usize,
+) -> Vec<HostId> {
     let mut ranked: Vec<(u64, HostId)> = hosts.map(|h| (score(h, salt), h)).collect();
     ranked.sort_unstable();
     ranked.truncate(count);
@@ -33,7 +37,7 @@
     let mut assigned: BTreeMap<HostId, (usize, usize)> =
         hosts.iter().map(|h| (*h, (0, 0))).collect();
     for domain in others {
-        let salt = report_salt(of, *domain);
+        let salt = reporter_salt(of, *domain);
         let primary = assigned
             .iter()
             .min_by_key(|(h, d)| (d.0, d.1, score(**h, salt)));
@@ -56,11 +60,11 @@
 }
 
 /// Returns the salt of the ranking of reporters from the failure domain `of` to `to`.
-pub(crate) fn report_salt(of: u32, to: u32) -> u64 {
+pub(crate) fn reporter_salt(of: u32, to: u32) -> u64 {
     (u64::from(of) << 32) | u64::from(to)
 }
 
 /// Returns the salt of the ranking of nodes that watch the configuration key for a failure domain.
-pub(crate) fn watch_salt(domain: u32) -> u64 {
-    mix(u64::from(domain))
+pub(crate) fn watcher_salt(domain: u32) -> u64 {
+    mix64(u64::from(domain))
 }
--- a/crates/oatdale-mesh/src/reach.rs
+++ b/crates/oatdale-mesh/src/reach.rs
@@ -4,7 +4,7 @@
 
 /// Number of hosts from which a node keeps links only within its failure domain, apart from the
 /// links of reporters and holders.
-pub(crate) const FULL_MESH: usize = 24;
+pub(crate) const FULL_MESH_LIMIT: usize = 24;
 
 /// Returns the live peers that a node of `domain` always has a link to, so that
 /// [`Command::Forward`](crate::Command::Forward) can deliver to them.
@@ -22,6 +22,6 @@
     peers
         .iter()
         .filter(|p| p.state == PeerState::Alive)
-        .filter(|p| node_count < FULL_MESH || p.domain == domain)
+        .filter(|p| node_count < FULL_MESH_LIMIT || p.domain == domain)
         .collect()
 }
--- a/crates/oatdale-mesh/src/wire.rs
+++ b/crates/oatdale-mesh/src/wire.rs
@@ -159,7 +159,10 @@
     fn estimated_size(&self) -> usize {
         match self {
             Message::Cards(cards) => cards.len() * 120,
-            Message::Steps(steps) => steps.iter().map(|s| 40 + delta::size(&s.delta)).sum(),
+            Message::Steps(steps) => steps
+                .iter()
+                .map(|s| 40 + delta::estimated_size(&s.delta))
+                .sum(),
             Message::Chunk(chunk) => 40 + chunk.bytes.len(),
             Message::Hold(records) => records.iter().map(|r| 64 + r.record.len()).sum(),
             Message::Forward(payload) => payload.len(),
--- a/crates/oatdale-mesh/tests/holds.rs
+++ b/crates/oatdale-mesh/tests/holds.rs
@@ -41,7 +41,7 @@
         fleet.nodes[*i]
             .member
             .as_ref()
-            .is_some_and(|m| m.held_bytes() > 0)
+            .is_some_and(|m| m.replica_bytes() > 0)
     };
     (0..fleet.nodes.len()).filter(holds).collect()
 }
--- a/crates/oatdale-mesh/tests/membership.rs
+++ b/crates/oatdale-mesh/tests/membership.rs
@@ -34,7 +34,7 @@
         fleet
             .nodes
             .iter()
-            .all(|n| n.member.as_ref().expect("up").linked().count() == 8)
+            .all(|n| n.member.as_ref().expect("up").linked_hosts().count() == 8)
     );
 }
 
@@ -62,7 +62,7 @@
     let most_links = fleet
         .nodes
         .iter()
-        .map(|n| n.member.as_ref().expect("up").linked().count())
+        .map(|n| n.member.as_ref().expect("up").linked_hosts().count())
         .max();
     assert!(most_links.expect("nodes") < 40, "{most_links:?}");
 }
@@ -81,7 +81,12 @@
         .run_until(CONVERGENCE_TIME, Fleet::views_agree)
         .expect("all nodes see each other");
     fleet.run(CONVERGENCE_TIME);
-    let links = fleet.nodes[0].member.as_ref().expect("up").linked().count();
+    let links = fleet.nodes[0]
+        .member
+        .as_ref()
+        .expect("up")
+        .linked_hosts()
+        .count();
     assert!(links < 30, "{links}");
 }
 
--- a/crates/oatdale-mesh/tests/reach.rs
+++ b/crates/oatdale-mesh/tests/reach.rs
@@ -23,11 +23,11 @@
     let mut fewest_peers = usize::MAX;
     for node in &fleet.nodes {
         let member = node.member.as_ref().expect("up");
-        let linked: BTreeSet<HostId> = member.linked().collect();
+        let linked_hosts: BTreeSet<HostId> = member.linked_hosts().collect();
         let peers = reachable(&node.app.peers, &format!("hall-{}", node.domain));
         for peer in &peers {
             assert!(
-                linked.contains(&HostId::of(&peer.host)),
+                linked_hosts.contains(&HostId::of(&peer.host)),
                 "{} has no link to {}",
                 node.name,
                 peer.host
--- a/crates/oatdale-mesh/tests/spec.rs
+++ b/crates/oatdale-mesh/tests/spec.rs
@@ -1,10 +1,10 @@
 //! Model checking of how a configuration spreads, by exhaustive search of the reachable states.
 //!
-//! The specification calls the functions that the implementation uses: `newer` decides which
-//! revision replaces which, `settled` decides when a joiner has asked enough peers.
+//! The specification calls the functions that the implementation uses: `supersedes` decides which
+//! revision replaces which, `enough_answers` decides whether enough peers have answered a joiner.
 
 use oatdale_check::{Spec, explore};
-use oatdale_mesh::{newer, settled};
+use oatdale_mesh::{enough_answers, supersedes};
 
 const NODE_COUNT: usize = 3;
 const MAX_REVISION: u8 = 3;
@@ -109,7 +109,7 @@
     fn accepts(&self, current: u8, offered: u8) -> bool {
         match self.mutation {
             Mutation::AcceptsAnyRevision => offered != current,
-            _ => newer(u64::from(current), u64::from(offered)),
+            _ => supersedes(u64::from(current), u64::from(offered)),
         }
     }
 
@@ -257,7 +257,7 @@
         let all_answered = reachable.clone().all(|p| answers[p].is_some());
         let enough = match self.mutation {
             Mutation::AcceptsFirstAnswer => answer_count > 0,
-            _ => settled(answer_count, NODE_COUNT - 1, all_answered),
+            _ => enough_answers(answer_count, NODE_COUNT - 1, all_answered),
         };
         let Some(best) = answers
             .iter()
--- a/crates/oatdale-mesh/tests/support/app.rs
+++ b/crates/oatdale-mesh/tests/support/app.rs
@@ -229,7 +229,7 @@
             let missing: Vec<&str> = missing
                 .filter(|n| *n != node.name && !seen.contains(n))
                 .collect();
-            let links = node.member.as_ref().map_or(0, |m| m.linked().count());
+            let links = node.member.as_ref().map_or(0, |m| m.linked_hosts().count());
             text += &format!(
                 "\n{}: revision {}, {links} links, ended: {}, does not see {missing:?} alive",
                 node.name,
--- a/crates/oatdale-mesh/tests/support/fleet.rs
+++ b/crates/oatdale-mesh/tests/support/fleet.rs
@@ -9,7 +9,7 @@
 use super::faults::RunStats;
 use super::network::Connection;
 use oatdale_mesh::{
-    Card, Conn, Event, HostId, Input, Intervals, LocalState, Member, MemberConfig, Output,
+    Card, ConnId, Event, HostId, Input, Intervals, LocalState, Member, MemberConfig, Output,
 };
 use rand_pcg::Pcg64;
 use rand_pcg::rand_core::{Rng, SeedableRng};
@@ -67,7 +67,7 @@
         node: usize,
         generation: u64,
         address: SocketAddr,
-        myself: bool,
+        is_self: bool,
     },
     Frame {
         conn: u64,
@@ -308,7 +308,7 @@
                     return;
                 };
                 if connection.open[end] {
-                    let conn = Conn(conn * 2 + end as u64);
+                    let conn = ConnId(conn * 2 + end as u64);
                     self.deliver_input(
                         connection.ends[end],
                         Input::Connected { conn, card, dialed },
@@ -319,9 +319,9 @@
                 node,
                 generation,
                 address,
-                myself,
+                is_self,
             } if self.nodes[node].generation == generation => {
-                self.deliver_input(node, Input::DialFailed { address, myself });
+                self.deliver_input(node, Input::DialFailed { address, is_self });
             }
             ScheduledEvent::DialFailed { .. } => {}
             ScheduledEvent::Tick { node, tick_epoch } => self.tick(node, tick_epoch),
--- a/crates/oatdale-mesh/tests/support/network.rs
+++ b/crates/oatdale-mesh/tests/support/network.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use super::fleet::{Fleet, ScheduledEvent, ms};
-use oatdale_mesh::{Card, Conn, Frame, Input};
+use oatdale_mesh::{Card, ConnId, Frame, Input};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
 /// Bytes that the authentication tag (8) and the WebSocket header and mask (6) add to each frame.
 pub(crate) const FRAMING_BYTES: usize = 8 + 6;
 
-/// A connection between two nodes; the dialer is end 0, the acceptor end 1. The `Conn` of an end is
-/// twice the connection's id plus the end.
+/// A connection between two nodes; the dialer is end 0, the acceptor end 1. The `ConnId` of an end
+/// is twice the connection's id plus the end.
 #[derive(Clone, Copy)]
 pub(super) struct Connection {
     /// The node at each end.
@@ -53,7 +53,7 @@
                 node: from,
                 generation,
                 address,
-                myself: from == to,
+                is_self: from == to,
             };
             return self.schedule(self.now + after, failed);
         }
@@ -126,7 +126,7 @@
             let frame = Frame::decode(&bytes).expect("an encoded frame decodes");
             self.nodes[connection.ends[to]].processing_time +=
                 start.map_or(Duration::ZERO, |s| s.elapsed());
-            let conn = Conn(conn * 2 + to as u64);
+            let conn = ConnId(conn * 2 + to as u64);
             self.deliver_input(connection.ends[to], Input::Received { conn, frame });
         }
     }
@@ -146,7 +146,7 @@
         {
             self.deliver_input(
                 connection.ends[to],
-                Input::Disconnected(Conn(conn * 2 + to as u64)),
+                Input::Disconnected(ConnId(conn * 2 + to as u64)),
             );
         }
     }
@@ -164,7 +164,7 @@
         }
     }
 
-    pub(super) fn send(&mut self, i: usize, conn: Conn, frame: &Frame) {
+    pub(super) fn send(&mut self, i: usize, conn: ConnId, frame: &Frame) {
         let (conn, end) = (conn.0 / 2, (conn.0 % 2) as usize);
         let Some(connection) = self.connections.get(&conn).copied() else {
             return;
