--- a/crates/oatdale-mesh/src/lib.rs
+++ b/crates/oatdale-mesh/src/lib.rs
@@ -48,7 +48,7 @@
 mod auth;
 mod cfg;
 mod delta;
-mod duty;
+mod driver;
 mod error;
 mod link;
 mod member;
@@ -59,7 +59,7 @@
 
 pub use crate::addresses::{Address, addresses};
 pub use crate::cfg::{Intervals, Listen, MIN_KEY_BYTES, MeshConfig};
-pub use crate::duty::run;
+pub use crate::driver::run;
 pub use crate::error::{Error, Result};
 pub use crate::member::{ConnId, Input, Member, MemberConfig, Output, enough_answers, supersedes};
 pub use crate::reach::reachable;
--- a/crates/oatdale-mesh/src/member.rs
+++ b/crates/oatdale-mesh/src/member.rs
@@ -3,29 +3,29 @@
 //! Every occurrence is an [`Input`] at a time counted from the member's start and yields a list of
 //! [`Output`]s. The same code runs over sockets and over a test's in-memory links.
 
-mod config;
+mod config_replica;
+mod config_sync;
 mod counters;
 mod dialer;
-mod holds;
-mod inbox;
+mod handlers;
 mod limits;
+mod maintenance;
 mod orphans;
+mod record_store;
 mod roster;
 mod shares;
-mod spread;
 mod summary;
-mod upkeep;
 
-pub use self::spread::{enough_answers, supersedes};
+pub use self::config_replica::{enough_answers, supersedes};
 
+use self::config_replica::ConfigReplica;
 use self::counters::Counters;
 use self::dialer::Dialer;
-use self::holds::RecordStore;
+use self::maintenance::RosterSync;
+use self::record_store::RecordStore;
 use self::roster::Roster;
 use self::shares::Shares;
-use self::spread::ConfigReplica;
 use self::summary::Summaries;
-use self::upkeep::RosterSync;
 use crate::cfg::Intervals;
 use crate::types::{Event, HoldAck, HostId, ListedHost, LocalState, Stop};
 use crate::wire::{Card, Frame, Message};
--- a/crates/oatdale-mesh/src/member/config.rs
+++ b/crates/oatdale-mesh/src/member/config_sync.rs
@@ -1,6 +1,6 @@
 //! Exchanges the configuration with peers.
 
-use super::spread::{FetchReply, Progress};
+use super::config_replica::{FetchReply, Progress};
 use super::{Member, enough_answers};
 use crate::rank;
 use crate::types::{Event, HostId};
