--- a/crates/oatdale-node/src/place.rs
+++ b/crates/oatdale-node/src/place.rs
@@ -49,7 +49,7 @@
 }
 
 impl Duty {
-    fn current(&mut self) -> oatdale_placement::Live {
+    fn current(&mut self) -> oatdale_placement::LiveConfig {
         let live = self.live.take();
         (live.revision, live.cfg.clone())
     }
@@ -59,7 +59,7 @@
     fn stand(
         &mut self,
         pools: &mut BTreeMap<String, watch::Sender<bool>>,
-        orders: &watch::Sender<oatdale_placement::Live>,
+        orders: &watch::Sender<oatdale_placement::LiveConfig>,
     ) {
         let live = self.live.get();
         let wanted: Vec<&str> = live
@@ -91,18 +91,18 @@
     fn start(
         &self,
         pool: &str,
-        orders: &watch::Sender<oatdale_placement::Live>,
+        orders: &watch::Sender<oatdale_placement::LiveConfig>,
     ) -> watch::Sender<bool> {
         let candidate = watch::Sender::new(false);
         let start = Instant::now();
         let placer = Placer {
             kv: self.kv.clone(),
-            orders: self.engines.clone(),
+            engines: self.engines.clone(),
             settings: Settings::new(pool, &self.host, self.incarnation),
             // The system's clock goes on while this process is paused; the runtime's may be
             // paused by tests.
             clock: Arc::new(move || start.elapsed()),
-            live: orders.subscribe(),
+            config: orders.subscribe(),
             candidate: candidate.subscribe(),
         };
         tokio::spawn(oatdale_placement::run(placer));
--- a/crates/oatdale-placement/src/lib.rs
+++ b/crates/oatdale-placement/src/lib.rs
@@ -13,13 +13,13 @@
 //! assert_eq!(plan(&[], 7, Revision(3), 2), Vec::<Step>::new());
 //! ```
 
+mod engine_control;
 mod lease;
-mod orders;
 mod placer;
 mod plan;
 
-pub use crate::orders::EngineControl;
-pub use crate::placer::{Live, Placer, Settings, run};
+pub use crate::engine_control::EngineControl;
+pub use crate::placer::{LiveConfig, Placer, Settings, run};
 pub use crate::plan::{DesiredState, OrderReason, Step, desired_states, plan};
 
 /// Reads a clock that keeps running while the process is paused, as the time since a fixed instant.
--- a/crates/oatdale-placement/src/placer.rs
+++ b/crates/oatdale-placement/src/placer.rs
@@ -2,8 +2,8 @@
 //! orders where it differs from the configuration.
 
 use crate::PauseClock;
+use crate::engine_control::EngineControl;
 use crate::lease::{Acquisition, Lease};
-use crate::orders::EngineControl;
 use crate::plan::{DesiredState, OrderReason, Step, desired_states, plan};
 use futures::future::join_all;
 use log::{info, warn};
@@ -16,7 +16,7 @@
 use tokio::time::{sleep, timeout};
 
 /// The configuration in force on this node and its revision.
-pub type Live = (Revision, Arc<Config>);
+pub type LiveConfig = (Revision, Arc<Config>);
 
 /// Settings of the placement of a pool.
 #[derive(Clone, PartialEq, Debug)]
@@ -61,13 +61,13 @@
     /// Client of the key-value service.
     pub kv: K,
     /// Client of the engines.
-    pub orders: O,
+    pub engines: O,
     /// Settings.
     pub settings: Settings,
     /// Clock that keeps running while the process is paused.
     pub clock: PauseClock,
     /// Configuration in force on this node.
-    pub live: watch::Receiver<Live>,
+    pub config: watch::Receiver<LiveConfig>,
     /// Whether this node should try to acquire the lease; a few candidates per pool are enough.
     pub candidate: watch::Receiver<bool>,
 }
@@ -185,7 +185,7 @@
 
     /// Reads the state of all engines and sends an order to each that differs from the desired one.
     async fn reconcile(&mut self, lease: &Lease) -> Result<(), StopReason> {
-        let (revision, cfg) = self.live.borrow_and_update().clone();
+        let (revision, cfg) = self.config.borrow_and_update().clone();
         let Some(pool) = cfg.pools.find(|pool| pool.name == self.settings.pool) else {
             return Ok(());
         };
@@ -214,7 +214,7 @@
 
     async fn read_state(&self, desired: DesiredState) -> Option<(DesiredState, Held)> {
         let held = self
-            .orders
+            .engines
             .held(desired.address, self.settings.call_timeout)
             .await;
         match held {
@@ -256,7 +256,7 @@
             return Err(StopReason::LeaseExpired);
         }
         match self
-            .orders
+            .engines
             .order(desired.address, order, self.settings.call_timeout)
             .await
         {
--- a/crates/oatdale-placement/tests/placer.rs
+++ b/crates/oatdale-placement/tests/placer.rs
@@ -7,7 +7,7 @@
 use oatdale_config::{Config, Domain, Endpoint, EndpointKey, Key, Model, Pool, PoolKey, PoolKind};
 use oatdale_config::{Price, Revision, Version, VersionState};
 use oatdale_fakes::{KvFault, MemKv};
-use oatdale_placement::{Live, PauseClock, Placer, Settings, run};
+use oatdale_placement::{LiveConfig, PauseClock, Placer, Settings, run};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::watch;
@@ -15,7 +15,7 @@
 use tokio::time::{Instant, sleep};
 
 /// Returns a configuration with one pool of `engines` that should hold only `version` of one model.
-fn live(revision: u64, engines: u16, version: &str) -> Live {
+fn live_config(revision: u64, engines: u16, version: &str) -> LiveConfig {
     let mut cfg = Config::default();
     let domain = cfg.domains.push(Domain {
         name: "hcm-1".to_owned(),
@@ -56,26 +56,26 @@
 
 /// A node that is a candidate for the pool.
 struct Node {
-    live: watch::Sender<Live>,
+    config: watch::Sender<LiveConfig>,
     candidate: watch::Sender<bool>,
     task: JoinHandle<()>,
 }
 
-fn node(kv: &MemKv, name: &str, engines: &Engines, live: Live, start: Instant) -> Node {
+fn node(kv: &MemKv, name: &str, engines: &Engines, config: LiveConfig, start: Instant) -> Node {
     let clock: PauseClock = Arc::new(move || start.elapsed());
-    let (live, live_rx) = watch::channel(live);
+    let (config, config_rx) = watch::channel(config);
     let (candidate, candidate_rx) = watch::channel(true);
     let placer = Placer {
         kv: kv.client(name),
-        orders: engines.clone(),
+        engines: engines.clone(),
         settings: Settings::new("language", name, 1),
         clock,
-        live: live_rx,
+        config: config_rx,
         candidate: candidate_rx,
     };
     let task = tokio::spawn(run(placer));
     Node {
-        live,
+        config,
         candidate,
         task,
     }
@@ -89,13 +89,13 @@
 async fn engines_get_the_configured_versions_and_at_most_two_load_at_once() {
     let (kv, start, mut engines) = (MemKv::new(1), Instant::now(), Engines::new(true));
     engines.load_duration = 10 * SECOND;
-    let node = node(&kv, "a", &engines, live(1, 9, "1"), start);
+    let node = node(&kv, "a", &engines, live_config(1, 9, "1"), start);
     sleep(100 * SECOND).await;
     for index in 0..9 {
         assert_eq!(engines.state_of(index).versions, full_names("1"));
     }
     assert_eq!(*engines.max_loading.lock().unwrap(), 2);
-    node.live.send_replace(live(2, 9, "2"));
+    node.config.send_replace(live_config(2, 9, "2"));
     sleep(100 * SECOND).await;
     for index in 0..9 {
         assert_eq!(engines.state_of(index).versions, full_names("2"));
@@ -108,9 +108,9 @@
 #[tokio::test(start_paused = true)]
 async fn another_node_takes_over_from_a_partitioned_holder() {
     let (kv, start, engines) = (MemKv::new(1), Instant::now(), Engines::new(true));
-    let _a = node(&kv, "a", &engines, live(1, 1, "1"), start);
+    let _a = node(&kv, "a", &engines, live_config(1, 1, "1"), start);
     sleep(SECOND).await;
-    let _b = node(&kv, "b", &engines, live(1, 1, "1"), start);
+    let _b = node(&kv, "b", &engines, live_config(1, 1, "1"), start);
     let first = engines.state_of(0).fencing;
     kv.cut("a");
     sleep(40 * SECOND).await;
@@ -124,15 +124,15 @@
 // new holder reads the engine and sends its order again.
 async fn deliver_late_order(fencing: bool) -> (Engines, Duration) {
     let (kv, start, engines) = (MemKv::new(1), Instant::now(), Engines::new(fencing));
-    let a = node(&kv, "a", &engines, live(1, 1, "1"), start);
+    let a = node(&kv, "a", &engines, live_config(1, 1, "1"), start);
     sleep(10 * SECOND).await;
     assert_eq!(engines.state_of(0).versions, full_names("1"));
     *engines.order_delay.lock().unwrap() = 60 * SECOND;
-    a.live.send_replace(live(2, 1, "old"));
+    a.config.send_replace(live_config(2, 1, "old"));
     sleep(4 * SECOND).await;
     kv.cut("a");
     let other = engines.separate_client();
-    let _b = node(&kv, "b", &other, live(3, 1, "new"), start);
+    let _b = node(&kv, "b", &other, live_config(3, 1, "new"), start);
     sleep(50 * SECOND).await;
     assert_eq!(engines.state_of(0).versions, full_names("new"));
     let received_before = engines.orders_at(0).len();
@@ -181,13 +181,13 @@
 #[tokio::test(start_paused = true)]
 async fn a_holder_paused_past_its_lease_sends_no_order() {
     let (kv, start, engines) = (MemKv::new(1), Instant::now(), Engines::new(false));
-    let a = node(&kv, "a", &engines, live(1, 1, "1"), start);
+    let a = node(&kv, "a", &engines, live_config(1, 1, "1"), start);
     sleep(10 * SECOND).await;
     kv.pause("a");
     sleep(4 * SECOND).await;
-    let _b = node(&kv, "b", &engines, live(3, 1, "new"), start);
+    let _b = node(&kv, "b", &engines, live_config(3, 1, "new"), start);
     sleep(40 * SECOND).await;
-    a.live.send_replace(live(2, 1, "old"));
+    a.config.send_replace(live_config(2, 1, "old"));
     let before = engines.orders_at(0).len();
     kv.resume("a");
     sleep(40 * SECOND).await;
@@ -206,10 +206,10 @@
 #[tokio::test(start_paused = true)]
 async fn a_holder_sends_no_order_once_its_lease_may_have_expired() {
     let (kv, start, engines) = (MemKv::new(1), Instant::now(), Engines::new(false));
-    let a = node(&kv, "a", &engines, live(1, 1, "1"), start);
+    let a = node(&kv, "a", &engines, live_config(1, 1, "1"), start);
     sleep(10 * SECOND).await;
     kv.cut("a");
-    a.live.send_replace(live(2, 1, "2"));
+    a.config.send_replace(live_config(2, 1, "2"));
     sleep(5 * SECOND).await;
     assert_eq!(
         engines.state_of(0).revision,
@@ -217,7 +217,7 @@
         "enough of the lease remained"
     );
     sleep(10 * SECOND).await;
-    a.live.send_replace(live(3, 1, "3"));
+    a.config.send_replace(live_config(3, 1, "3"));
     sleep(20 * SECOND).await;
     assert_eq!(engines.state_of(0).revision, 2);
     kv.mend("a");
@@ -231,7 +231,7 @@
 async fn a_pause_between_reading_an_engine_and_ordering_prevents_the_order() {
     let (kv, start, engines) = (MemKv::new(1), Instant::now(), Engines::new(false));
     *engines.read_delay.lock().unwrap() = 14 * SECOND;
-    let _a = node(&kv, "a", &engines, live(1, 1, "1"), start);
+    let _a = node(&kv, "a", &engines, live_config(1, 1, "1"), start);
     sleep(40 * SECOND).await;
     assert_eq!(engines.orders_at(0), []);
     *engines.read_delay.lock().unwrap() = Duration::ZERO;
@@ -246,7 +246,7 @@
     let (kv, start, mut engines) = (MemKv::new(1), Instant::now(), Engines::new(true));
     engines.drops_responses = true;
     kv.script("a", [KvFault::Pass, KvFault::LostAnswer]);
-    let _a = node(&kv, "a", &engines, live(1, 1, "1"), start);
+    let _a = node(&kv, "a", &engines, live_config(1, 1, "1"), start);
     sleep(60 * SECOND).await;
     assert_eq!(kv.counters().lost_answers, 1);
     assert_eq!(engines.state_of(0).versions, full_names("1"));
@@ -258,14 +258,14 @@
 #[tokio::test(start_paused = true)]
 async fn a_holder_with_an_older_configuration_sends_no_order() {
     let (kv, start, engines) = (MemKv::new(1), Instant::now(), Engines::new(false));
-    let a = node(&kv, "a", &engines, live(5, 1, "5"), start);
+    let a = node(&kv, "a", &engines, live_config(5, 1, "5"), start);
     sleep(10 * SECOND).await;
     a.candidate.send_replace(false);
     sleep(10 * SECOND).await;
-    let b = node(&kv, "b", &engines, live(4, 1, "4"), start);
+    let b = node(&kv, "b", &engines, live_config(4, 1, "4"), start);
     sleep(30 * SECOND).await;
     assert_eq!(engines.state_of(0).versions, full_names("5"));
-    b.live.send_replace(live(6, 1, "6"));
+    b.config.send_replace(live_config(6, 1, "6"));
     sleep(10 * SECOND).await;
     assert_eq!(engines.state_of(0).versions, full_names("6"));
 }
@@ -273,7 +273,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_placer_releases_its_lease_when_its_node_stops() {
     let (kv, start, engines) = (MemKv::new(1), Instant::now(), Engines::new(true));
-    let a = node(&kv, "a", &engines, live(1, 1, "1"), start);
+    let a = node(&kv, "a", &engines, live_config(1, 1, "1"), start);
     sleep(5 * SECOND).await;
     drop(a.candidate);
     sleep(5 * SECOND).await;
