--- a/crates/oatdale-mesh/src/member/handlers.rs
+++ b/crates/oatdale-mesh/src/member/handlers.rs
@@ -210,7 +210,7 @@
             );
         }
         if update == CardUpdate::Restarted {
-            self.shares.forget_host(host);
+            self.shares.remove_host(host);
             self.record_store.clear_acks(host);
             // A link to the previous process is useless, and the transport detects its loss late.
             if let Some(conn) = self.links.get(&host).map(|l| l.conn) {
@@ -259,7 +259,7 @@
 
     fn on_peer_leave(&mut self, host: HostId) {
         self.roster.mark_left(host, self.now);
-        self.shares.forget_host(host);
+        self.shares.remove_host(host);
         self.on_membership_change();
     }
 
--- a/crates/oatdale-mesh/src/member/maintenance.rs
+++ b/crates/oatdale-mesh/src/member/maintenance.rs
@@ -68,7 +68,7 @@
             now,
         );
         for peer in &removed {
-            self.shares.forget_host(peer.host);
+            self.shares.remove_host(peer.host);
         }
         if self.roster.take_changed() {
             self.on_membership_change();
--- a/crates/oatdale-mesh/src/member/shares.rs
+++ b/crates/oatdale-mesh/src/member/shares.rs
@@ -198,7 +198,7 @@
     }
 
     /// Removes a host whose process is gone; its share becomes free.
-    pub(crate) fn forget_host(&mut self, host: HostId) {
+    pub(crate) fn remove_host(&mut self, host: HostId) {
         self.host_demand.remove(&host);
         self.recent_shares
             .retain(|(claimant, _), _| *claimant != Claimant::Host(host));
--- a/crates/oatdale-mesh/src/types.rs
+++ b/crates/oatdale-mesh/src/types.rs
@@ -150,7 +150,7 @@
 /// An event that the mesh reports to the node.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Event {
-    /// Enough peers were asked for the newest configuration, or the wait for them timed out.
+    /// Enough peers have offered their configuration, or the wait for them timed out.
     /// A node that could not read the key-value service serves requests only after this event.
     Joined {
         /// Number of peers that responded.
--- a/crates/oatdale-mesh/tests/membership.rs
+++ b/crates/oatdale-mesh/tests/membership.rs
@@ -244,7 +244,7 @@
     assert!(fleet.nodes[3].app.ended);
 }
 
-/// A partition lasts until the nodes of each side have forgotten the other. After it heals they
+/// A partition lasts until the nodes of each side have removed the other. After it heals they
 /// must reconnect without a restart.
 #[test]
 fn halves_reconnect_after_a_long_partition() {
