--- a/crates/oatdale-journal/examples/rates.rs
+++ b/crates/oatdale-journal/examples/rates.rs
@@ -21,8 +21,8 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, sleep_until};
 
-const EPOCH: u64 = 1_800_000_000_000;
-const SECONDS: u64 = 20;
+const EPOCH_MS: u64 = 1_800_000_000_000;
+const RUN_SECONDS: u64 = 20;
 
 /// How records find an appender.
 #[derive(Clone, Copy, PartialEq, Debug)]
@@ -33,7 +33,7 @@
 
 /// What one run showed.
 #[derive(Default)]
-struct Seen {
+struct RunStats {
     bills: u64,
     claims: u64,
     refused: u64,
@@ -75,7 +75,9 @@
         let before = kv.counters();
         let mut bills = 0;
         for _ in 0..2 {
-            bills += drive(&handles, Mode::Forwarded, 1_000, start).await.bills;
+            bills += run_load(&handles, Mode::Forwarded, 1_000, start)
+                .await
+                .bills;
         }
         let bytes = kv.counters().bytes - before.bytes;
         let writes = kv.counters().writes - before.writes;
@@ -100,24 +102,24 @@
     let handles = start_nodes(&kv, mode, nodes, start);
     sleep(Duration::from_secs(3)).await;
     let before = kv.counters();
-    let seen = drive(&handles, mode, rate, start).await;
+    let stats = run_load(&handles, mode, rate, start).await;
     let after = kv.counters();
-    let seen_counts = (seen.bills, seen.claims);
+    let totals = (stats.bills, stats.claims);
     let reads = after.reads + after.watches - before.reads - before.watches;
     println!(
         "{:<10} {:>5}  {:>5}  {:>8.1}  {:>7.1}  {:>9}  {:>7}  {:>16}  {:>15}",
         format!("{mode:?}").to_lowercase(),
         nodes,
         rate,
-        (after.writes - before.writes) as f64 / SECONDS as f64,
-        reads as f64 / SECONDS as f64,
+        (after.writes - before.writes) as f64 / RUN_SECONDS as f64,
+        reads as f64 / RUN_SECONDS as f64,
         after.throttled - before.throttled,
-        seen.refused,
-        quantiles(seen.claim_ms),
-        quantiles(seen.bill_ms),
+        stats.refused,
+        quantiles(stats.claim_ms),
+        quantiles(stats.bill_ms),
     );
     if mode == Mode::Forwarded && nodes == 8 {
-        print_sizes(&kv, &seen_counts).await;
+        print_sizes(&kv, &totals).await;
     }
 }
 
@@ -125,29 +127,29 @@
 async fn print_sizes(kv: &MemKv, counts: &(u64, u64)) {
     let stored = kv.list("journal/", None, usize::MAX).await;
     let stored = stored.expect("no fault is switched on");
-    let sum = |part: &str| -> (usize, usize) {
-        let values = stored.iter().filter(|entry| entry.key.contains(part));
+    let count_and_bytes = |key_part: &str| -> (usize, usize) {
+        let values = stored.iter().filter(|entry| entry.key.contains(key_part));
         let sizes = values.map(|entry| entry.value.len());
         sizes.fold((0, 0), |(n, bytes), size| (n + 1, bytes + size))
     };
-    let (slots, ring) = sum("/slot/");
-    let (pages, paged) = sum("/page/");
+    let (slots, segment_bytes) = count_and_bytes("/slot/");
+    let (pages, page_bytes) = count_and_bytes("/page/");
     println!(
-        "           stored: {slots} segments of {} bytes on average, {pages} pages of {paged} bytes \
+        "           stored: {slots} segments of {} bytes on average, {pages} pages of {page_bytes} bytes \
          in all; {} bills, {} claims",
-        ring / slots.max(1),
+        segment_bytes / slots.max(1),
         counts.0,
         counts.1
     );
 }
 
 fn start_nodes(kv: &MemKv, mode: Mode, nodes: usize, start: Instant) -> Vec<JournalHandle> {
-    let clock = Arc::new(move || Millis(EPOCH + start.elapsed().as_millis() as u64));
+    let clock = Arc::new(move || Millis(EPOCH_MS + start.elapsed().as_millis() as u64));
     let shards = Settings::new(0).meta.shards;
     (0..nodes)
         .map(|n| {
-            let own = |s: &u16| mode == Mode::Forwarded && usize::from(*s) % nodes == n;
-            let preferred = Preferred((0..shards).filter(own).map(ShardId).collect());
+            let is_preferred = |s: &u16| mode == Mode::Forwarded && usize::from(*s) % nodes == n;
+            let preferred = Preferred((0..shards).filter(is_preferred).map(ShardId).collect());
             let (_, preferred) = watch::channel(preferred);
             let settings = Settings::new(n as u64 + 1);
             let name = format!("node-{n}");
@@ -158,62 +160,73 @@
         .collect()
 }
 
-async fn drive(handles: &[JournalHandle], mode: Mode, rate: u64, start: Instant) -> Seen {
+async fn run_load(handles: &[JournalHandle], mode: Mode, rate: u64, start: Instant) -> RunStats {
     // The time makes the requests of a second call others than the first one's.
     let mut rng = Pcg64Mcg::seed_from_u64(start.elapsed().as_secs());
-    let first = Instant::now();
+    let load_start = Instant::now();
     let mut tasks = Vec::new();
-    for n in 0..rate * SECONDS {
-        sleep_until(first + Duration::from_secs_f64(n as f64 / rate as f64)).await;
-        let at = Millis(EPOCH + start.elapsed().as_millis() as u64);
+    for n in 0..rate * RUN_SECONDS {
+        sleep_until(load_start + Duration::from_secs_f64(n as f64 / rate as f64)).await;
+        let at = Millis(EPOCH_MS + start.elapsed().as_millis() as u64);
         let record = BillRecord::Close(closing(rng.random(), at));
-        let own = rng.random_range(0..handles.len());
-        let shard = handles[own].shard_of_bill(&record).unwrap_or(ShardId(0));
-        let to = handles[target(mode, own, shard, handles.len())].clone();
+        let local_node = rng.random_range(0..handles.len());
+        let shard = handles[local_node]
+            .shard_of_bill(&record)
+            .unwrap_or(ShardId(0));
+        let bill_handle = handles[appender_index(mode, local_node, shard, handles.len())].clone();
         let key = (n % 100 == 0).then(|| ClaimKey(rng.random()));
-        let claim_to = key.map(|key| {
-            let shard = handles[own].shard_of_claim(key).unwrap_or(ShardId(0));
-            handles[target(mode, own, shard, handles.len())].clone()
+        let claim_handle = key.map(|key| {
+            let shard = handles[local_node]
+                .shard_of_claim(key)
+                .unwrap_or(ShardId(0));
+            handles[appender_index(mode, local_node, shard, handles.len())].clone()
         });
-        tasks.push(tokio::spawn(request(to, record, key.zip(claim_to))));
+        tasks.push(tokio::spawn(send_request(
+            bill_handle,
+            record,
+            key.zip(claim_handle),
+        )));
     }
-    let mut seen = Seen::default();
+    let mut stats = RunStats::default();
     for task in tasks {
         let (claim, bill) = task.await.expect("requests don't panic");
-        seen.add(claim, bill);
+        stats.add(claim, bill);
     }
-    seen
+    stats
 }
 
-fn target(mode: Mode, own: usize, shard: ShardId, nodes: usize) -> usize {
+fn appender_index(mode: Mode, local_node: usize, shard: ShardId, nodes: usize) -> usize {
     match mode {
         Mode::Forwarded => usize::from(shard.0) % nodes,
-        Mode::Direct => own,
+        Mode::Direct => local_node,
     }
 }
 
 /// One request: its claim, if it has a key, and its bill, each with the time until it was durable.
-async fn request(
-    to: JournalHandle,
+async fn send_request(
+    bill_handle: JournalHandle,
     record: BillRecord,
     claim: Option<(ClaimKey, JournalHandle)>,
 ) -> (Option<Result<u64, ()>>, Result<u64, ()>) {
-    let since = Instant::now();
-    let claimed = match claim {
+    let started = Instant::now();
+    let claim_result = match claim {
         Some((key, handle)) => {
             let result = handle.claim(key, record.request()).await;
             let won = matches!(result, Ok(Claim::Won { .. }));
-            Some(won.then(|| since.elapsed().as_millis() as u64).ok_or(()))
+            Some(won.then(|| started.elapsed().as_millis() as u64).ok_or(()))
         }
         None => None,
     };
-    let since = Instant::now();
-    let billed = to.bill(vec![record]).await;
-    let took = since.elapsed().as_millis() as u64;
-    (claimed, billed.map(|()| took).map_err(|_| ()))
+    let started = Instant::now();
+    let bill_result = bill_handle.bill(vec![record]).await;
+    let elapsed_ms = started.elapsed().as_millis() as u64;
+    (
+        claim_result,
+        bill_result.map(|()| elapsed_ms).map_err(|_| ()),
+    )
 }
 
-impl Seen {
+impl RunStats {
     fn add(&mut self, claim: Option<Result<u64, ()>>, bill: Result<u64, ()>) {
         match claim {
             Some(Ok(ms)) => {
--- a/crates/oatdale-journal/src/duty.rs
+++ b/crates/oatdale-journal/src/duty.rs
@@ -37,7 +37,7 @@
     /// How long a call to the service may take.
     pub call_timeout: Duration,
     /// How long a claim or pin may wait in all; a bill waits five times as long.
-    pub patience: Duration,
+    pub max_wait: Duration,
     /// How many jobs may wait, over all shards and for each.
     pub queue: usize,
 }
@@ -51,7 +51,7 @@
             preferred_pace: Duration::from_millis(100),
             other_pace: Duration::from_millis(500),
             call_timeout: Duration::from_secs(1),
-            patience: Duration::from_secs(2),
+            max_wait: Duration::from_secs(2),
             queue: 8_192,
         }
     }
@@ -93,7 +93,7 @@
 
 /// Runs the duty until all handles are gone and everything that waits has had its answer.
 pub async fn run<K: Kv>(mut duty: Duty<K>) {
-    let Some(meta) = duty.agree().await else {
+    let Some(meta) = duty.wait_for_meta().await else {
         return;
     };
     duty.meta.send_replace(Some(meta));
@@ -102,32 +102,32 @@
     for shard in (0..meta.shards).map(ShardId) {
         let (tx, rx) = mpsc::channel(duty.settings.queue);
         senders.push(tx);
-        shards.push(duty.shard(shard, meta, rx).run());
+        shards.push(duty.new_shard(shard, meta, rx).run());
     }
-    tokio::join!(spread(duty.jobs, senders, meta), join_all(shards));
+    tokio::join!(dispatch_jobs(duty.jobs, senders, meta), join_all(shards));
 }
 
 impl<K: Kv> Duty<K> {
     /// Asks for the journal's settings until they come, and refuses everything meanwhile.
-    async fn agree(&mut self) -> Option<Meta> {
+    async fn wait_for_meta(&mut self) -> Option<Meta> {
         loop {
-            let error = match self.settings.meta.agree(&self.kv).await {
+            let error = match self.settings.meta.read_or_init(&self.kv).await {
                 Ok(meta) => return Some(meta),
                 Err(error) => error,
             };
             warn!("journal: its settings can't be read yet: {error}");
-            let again = Instant::now() + crate::error::RETRY_AFTER;
+            let retry_at = Instant::now() + crate::error::RETRY_AFTER;
             loop {
                 tokio::select! {
                     biased;
-                    () = sleep_until(again) => break,
+                    () = sleep_until(retry_at) => break,
                     job = self.jobs.recv() => job?.fail(error.clone()),
                 }
             }
         }
     }
 
-    fn shard(&self, id: ShardId, meta: Meta, jobs: mpsc::Receiver<Job>) -> Shard<K> {
+    fn new_shard(&self, id: ShardId, meta: Meta, jobs: mpsc::Receiver<Job>) -> Shard<K> {
         let Settings {
             writer,
             call_timeout,
@@ -145,7 +145,7 @@
 }
 
 /// Gives each job to its shard, or refuses it if too many wait there.
-async fn spread(mut jobs: mpsc::Receiver<Job>, shards: Vec<mpsc::Sender<Job>>, meta: Meta) {
+async fn dispatch_jobs(mut jobs: mpsc::Receiver<Job>, shards: Vec<mpsc::Sender<Job>>, meta: Meta) {
     while let Some(job) = jobs.recv().await {
         let shard = job.record.shard(meta.shards);
         if let Err(error) = shards[usize::from(shard.0)].try_send(job) {
--- a/crates/oatdale-journal/src/fold.rs
+++ b/crates/oatdale-journal/src/fold.rs
@@ -42,7 +42,7 @@
 
 /// A claim that was won.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
-pub struct Held {
+pub struct HeldClaim {
     /// The request that won it.
     pub by: RequestId,
     /// When, on the journal's clock.
@@ -53,7 +53,7 @@
 
 /// A session's pin and its place in time.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
-pub(crate) struct Pinned {
+pub(crate) struct StoredPin {
     pub(crate) pin: Pin,
     pub(crate) at: Millis,
 }
@@ -83,9 +83,9 @@
 pub struct Fold {
     pub(crate) retention: Retention,
     pub(crate) clock: Millis,
-    pub(crate) claims: BTreeMap<ClaimKey, Held>,
+    pub(crate) claims: BTreeMap<ClaimKey, HeldClaim>,
     pub(crate) released: BTreeMap<RequestId, Millis>,
-    pub(crate) pins: BTreeMap<SessionKey, Pinned>,
+    pub(crate) pins: BTreeMap<SessionKey, StoredPin>,
     pub(crate) open: BTreeMap<RequestId, (Opening, Millis)>,
     /// The open requests by the time of their record, oldest first.
     pub(crate) open_order: BTreeSet<(Millis, RequestId)>,
@@ -110,10 +110,10 @@
 
     /// Applies one segment that was written at `at` by its writer's clock.
     pub fn apply(&mut self, at: Millis, records: &[Record]) -> Vec<Entry> {
-        self.tick(at);
+        self.advance_clock(at);
         let mut entries = self.close_overdue();
         for record in records {
-            entries.extend(self.record(record));
+            entries.extend(self.apply_record(record));
         }
         entries
     }
@@ -124,22 +124,22 @@
     }
 
     /// Who holds a claim, unless it has expired.
-    pub fn claim(&self, key: ClaimKey) -> Option<Held> {
+    pub fn claim(&self, key: ClaimKey) -> Option<HeldClaim> {
         let held = self.claims.get(&key)?;
-        self.is_fresh(held.at, self.retention.claims)
+        self.is_retained(held.at, self.retention.claims)
             .then_some(*held)
     }
 
     /// Whether a request gave its claim back.
     pub fn is_released(&self, request: RequestId) -> bool {
         let at = self.released.get(&request);
-        at.is_some_and(|at| self.is_fresh(*at, self.retention.claims))
+        at.is_some_and(|at| self.is_retained(*at, self.retention.claims))
     }
 
     /// A session's pin, unless it has expired.
     pub fn pin(&self, session: SessionKey) -> Option<&Pin> {
         let pinned = self.pins.get(&session)?;
-        self.is_fresh(pinned.at, self.retention.pins)
+        self.is_retained(pinned.at, self.retention.pins)
             .then_some(&pinned.pin)
     }
 
@@ -153,12 +153,12 @@
         let request = record.request();
         let settled = self.settled.contains_key(&request);
         let open = self.open.contains_key(&request);
-        let fresh = self.is_fresh(record.opened_at(), self.retention.bills);
+        let retained = self.is_retained(record.opened_at(), self.retention.bills);
         match record {
             // Once the time is over a request counts as forgotten, also where it is still held.
             BillRecord::Open(_) if open => BillState::Known,
             BillRecord::Close(_) if open => BillState::New,
-            _ if !fresh => BillState::TooLate,
+            _ if !retained => BillState::TooLate,
             _ if settled => BillState::Known,
             _ => BillState::New,
         }
@@ -173,23 +173,23 @@
             ..
         } = self.retention;
         let clock = self.clock;
-        let fresh = |at: Millis, span: u64| clock.0 < at.0.saturating_add(span);
-        self.claims.retain(|_, held| fresh(held.at, claims));
-        self.released.retain(|_, at| fresh(*at, claims));
-        self.pins.retain(|_, pinned| fresh(pinned.at, pins));
-        self.settled.retain(|_, opened| fresh(*opened, bills));
+        let retained = |at: Millis, retention_ms: u64| clock.0 < at.0.saturating_add(retention_ms);
+        self.claims.retain(|_, held| retained(held.at, claims));
+        self.released.retain(|_, at| retained(*at, claims));
+        self.pins.retain(|_, pinned| retained(pinned.at, pins));
+        self.settled.retain(|_, opened| retained(*opened, bills));
     }
 
-    fn is_fresh(&self, at: Millis, span: u64) -> bool {
-        self.clock.0 < at.0.saturating_add(span)
+    fn is_retained(&self, at: Millis, retention_ms: u64) -> bool {
+        self.clock.0 < at.0.saturating_add(retention_ms)
     }
 
-    fn tick(&mut self, at: Millis) {
-        let first = self.clock == Millis(0);
-        let most = self.clock.0.saturating_add(MAX_TICK);
-        self.clock = match first {
+    fn advance_clock(&mut self, at: Millis) {
+        let is_first_segment = self.clock == Millis(0);
+        let max_clock = self.clock.0.saturating_add(MAX_TICK);
+        self.clock = match is_first_segment {
             true => at,
-            false => Millis(at.0.clamp(self.clock.0, most)),
+            false => Millis(at.0.clamp(self.clock.0, max_clock)),
         };
     }
 
@@ -197,26 +197,26 @@
     fn close_overdue(&mut self) -> Vec<Entry> {
         let mut entries = Vec::new();
         while let Some((at, request)) = self.open_order.first().copied() {
-            if self.is_fresh(at, self.retention.open) {
+            if self.is_retained(at, self.retention.open) {
                 break;
             }
             let Some((opening, _)) = self.open.get(&request) else {
                 break;
             };
-            let closing = interrupted(opening, self.clock);
-            entries.push(self.settle(&closing));
+            let closing = interrupted_closing(opening, self.clock);
+            entries.push(self.settle_bill(&closing));
         }
         entries
     }
 
-    fn record(&mut self, record: &Record) -> Option<Entry> {
+    fn apply_record(&mut self, record: &Record) -> Option<Entry> {
         match record {
             Record::Claim { key, by } => {
-                self.take_claim(*key, *by);
+                self.apply_claim(*key, *by);
                 None
             }
             Record::Release { key, by } => {
-                self.release(*key, *by);
+                self.apply_release(*key, *by);
                 None
             }
             Record::Finish { key, by, outcome } => {
@@ -227,20 +227,20 @@
                 None
             }
             Record::Pin { session, pin } => {
-                self.take_pin(*session, pin);
+                self.apply_pin(*session, pin);
                 None
             }
-            Record::Bill(bill) => self.bill(bill),
+            Record::Bill(bill) => self.apply_bill(bill),
         }
     }
 
     /// The first claim of a key wins. One whose request gave it back before is void: its write was
     /// on its way when the request was refused, and nobody would ever use it.
-    fn take_claim(&mut self, key: ClaimKey, by: RequestId) {
+    fn apply_claim(&mut self, key: ClaimKey, by: RequestId) {
         if self.claim(key).is_some() || self.is_released(by) {
             return;
         }
-        let held = Held {
+        let held = HeldClaim {
             by,
             at: self.clock,
             finished: None,
@@ -248,7 +248,7 @@
         self.claims.insert(key, held);
     }
 
-    fn release(&mut self, key: ClaimKey, by: RequestId) {
+    fn apply_release(&mut self, key: ClaimKey, by: RequestId) {
         self.released.insert(by, self.clock);
         let held = self.claims.get(&key);
         if held.is_some_and(|held| held.by == by) {
@@ -256,18 +256,18 @@
         }
     }
 
-    fn take_pin(&mut self, session: SessionKey, pin: &Pin) {
+    fn apply_pin(&mut self, session: SessionKey, pin: &Pin) {
         if self.pin(session).is_some() {
             return;
         }
-        let pinned = Pinned {
+        let pinned = StoredPin {
             pin: pin.clone(),
             at: self.clock,
         };
         self.pins.insert(session, pinned);
     }
 
-    fn bill(&mut self, record: &BillRecord) -> Option<Entry> {
+    fn apply_bill(&mut self, record: &BillRecord) -> Option<Entry> {
         match (self.bill_state(record), record) {
             (BillState::New, BillRecord::Open(opening)) => {
                 let value = (opening.clone(), self.clock);
@@ -275,13 +275,13 @@
                 self.open_order.insert((self.clock, opening.request));
                 None
             }
-            (BillState::New, BillRecord::Close(closing)) => Some(self.settle(closing)),
+            (BillState::New, BillRecord::Close(closing)) => Some(self.settle_bill(closing)),
             (BillState::TooLate, BillRecord::Close(closing)) => Some(Entry::Late(closing.clone())),
             (BillState::TooLate, BillRecord::Open(_)) | (BillState::Known, _) => None,
         }
     }
 
-    fn settle(&mut self, closing: &Closing) -> Entry {
+    fn settle_bill(&mut self, closing: &Closing) -> Entry {
         if let Some((_, at)) = self.open.remove(&closing.request) {
             self.open_order.remove(&(at, closing.request));
         }
@@ -291,7 +291,7 @@
 }
 
 /// The bill of a request whose node and holders all vanished.
-fn interrupted(opening: &Opening, now: Millis) -> Closing {
+fn interrupted_closing(opening: &Opening, now: Millis) -> Closing {
     Closing {
         request: opening.request,
         customer: opening.customer.clone(),
--- a/crates/oatdale-journal/src/handle.rs
+++ b/crates/oatdale-journal/src/handle.rs
@@ -91,8 +91,8 @@
     /// The first error of any record. Some records may be durable; writing them again is safe.
     /// [`TooLate`](JournalError::TooLate) is final.
     pub async fn bill(&self, records: Vec<BillRecord>) -> Result<()> {
-        let waits: Vec<_> = records.into_iter().map(|r| self.bill_one(r)).collect();
-        let results = join_all(waits).await;
+        let writes: Vec<_> = records.into_iter().map(|r| self.bill_one(r)).collect();
+        let results = join_all(writes).await;
         results.into_iter().collect()
     }
 
@@ -100,7 +100,7 @@
     /// preferred for it answers fastest.
     pub fn shard_of_claim(&self, key: ClaimKey) -> Option<ShardId> {
         let by = RequestId(0);
-        self.shard(&Record::Claim { key, by })
+        self.shard_of(&Record::Claim { key, by })
     }
 
     /// The shard of a session's pin.
@@ -109,12 +109,12 @@
             versions: Vec::new(),
             opened_at: Millis(0),
         };
-        self.shard(&Record::Pin { session, pin })
+        self.shard_of(&Record::Pin { session, pin })
     }
 
     /// The shard of a bill record.
     pub fn shard_of_bill(&self, record: &BillRecord) -> Option<ShardId> {
-        self.shard(&Record::Bill(record.clone()))
+        self.shard_of(&Record::Bill(record.clone()))
     }
 
     /// What all nodes agreed on, once the service has told.
@@ -128,7 +128,7 @@
         rx.await.unwrap_or(Err(JournalError::Stopped))
     }
 
-    fn shard(&self, record: &Record) -> Option<ShardId> {
+    fn shard_of(&self, record: &Record) -> Option<ShardId> {
         self.meta().map(|meta| record.shard(meta.shards))
     }
 
--- a/crates/oatdale-journal/src/job.rs
+++ b/crates/oatdale-journal/src/job.rs
@@ -21,18 +21,18 @@
 pub(crate) struct Job {
     pub(crate) record: Record,
     pub(crate) bytes: usize,
-    pub(crate) since: Instant,
+    pub(crate) submitted_at: Instant,
     /// Whether the log's end was looked at since the job came.
-    pub(crate) checked: bool,
+    pub(crate) log_end_read: bool,
     reply: Reply,
 }
 
 /// What the fold says of a job.
-pub(crate) enum Verdict {
+pub(crate) enum Resolution {
     /// It must be written.
     Write,
     /// The end of the log must be read before it can be answered.
-    Look,
+    ReadLog,
     Claim(Result<Claim>),
     Pin(Pin),
     Done(Result<()>),
@@ -43,8 +43,8 @@
         Job {
             record,
             bytes,
-            since: Instant::now(),
-            checked: false,
+            submitted_at: Instant::now(),
+            log_end_read: false,
             reply,
         }
     }
@@ -61,73 +61,73 @@
 
     /// How long the job waits where a claim waits for `claim`. Nobody but a holder waits for a
     /// bill, and giving one up only means that it is written again.
-    pub(crate) fn patience(&self, claim: Duration) -> Duration {
+    pub(crate) fn max_wait(&self, claim_max_wait: Duration) -> Duration {
         match self.record {
-            Record::Bill(_) => claim * 5,
-            _ => claim,
+            Record::Bill(_) => claim_max_wait * 5,
+            _ => claim_max_wait,
         }
     }
 
     /// Looks the answer up in a fold.
-    pub(crate) fn verdict(&self, fold: &Fold) -> Verdict {
+    pub(crate) fn resolve(&self, fold: &Fold) -> Resolution {
         match &self.record {
-            Record::Claim { key, by } => self.claim_verdict(fold.claim(*key), fold, *by),
-            Record::Release { by, .. } if fold.is_released(*by) => Verdict::Done(Ok(())),
-            Record::Release { .. } => Verdict::Write,
+            Record::Claim { key, by } => self.resolve_claim(fold.claim(*key), fold, *by),
+            Record::Release { by, .. } if fold.is_released(*by) => Resolution::Done(Ok(())),
+            Record::Release { .. } => Resolution::Write,
             Record::Finish { key, by, .. } => match fold.claim(*key) {
-                Some(held) if held.by == *by && held.finished.is_none() => Verdict::Write,
-                _ => Verdict::Done(Ok(())),
+                Some(held) if held.by == *by && held.finished.is_none() => Resolution::Write,
+                _ => Resolution::Done(Ok(())),
             },
             Record::Pin { session, .. } => match fold.pin(*session) {
-                Some(pin) => Verdict::Pin(pin.clone()),
-                None => Verdict::Write,
+                Some(pin) => Resolution::Pin(pin.clone()),
+                None => Resolution::Write,
             },
             Record::Bill(bill) => match fold.bill_state(bill) {
-                BillState::New => Verdict::Write,
-                BillState::Known => Verdict::Done(Ok(())),
+                BillState::New => Resolution::Write,
+                BillState::Known => Resolution::Done(Ok(())),
                 BillState::TooLate => {
                     let request = bill.request();
-                    Verdict::Done(Err(JournalError::TooLate { request }))
+                    Resolution::Done(Err(JournalError::TooLate { request }))
                 }
             },
         }
     }
 
-    fn claim_verdict(
+    fn resolve_claim(
         &self,
-        held: Option<crate::fold::Held>,
+        held: Option<crate::fold::HeldClaim>,
         fold: &Fold,
         by: crate::record::RequestId,
-    ) -> Verdict {
+    ) -> Resolution {
         match held {
-            Some(held) if held.by == by => Verdict::Claim(Ok(self.won(fold))),
+            Some(held) if held.by == by => Resolution::Claim(Ok(self.won_claim(fold))),
             // The holder may have given the key back since this process last read the log.
-            Some(_) if !self.checked => Verdict::Look,
-            Some(held) => Verdict::Claim(Ok(Claim::Lost {
+            Some(_) if !self.log_end_read => Resolution::ReadLog,
+            Some(held) => Resolution::Claim(Ok(Claim::Lost {
                 by: held.by,
                 finished: held.finished,
             })),
             None if fold.is_released(by) => {
-                Verdict::Claim(Err(JournalError::Released { request: by }))
+                Resolution::Claim(Err(JournalError::Released { request: by }))
             }
-            None => Verdict::Write,
+            None => Resolution::Write,
         }
     }
 
     /// A claim may be used for a quarter of its retention, counted from before it was written.
-    fn won(&self, fold: &Fold) -> Claim {
+    fn won_claim(&self, fold: &Fold) -> Claim {
         let usable = Duration::from_millis(fold.retention.claims / 4);
-        let dispatch_by = self.since + usable;
+        let dispatch_by = self.submitted_at + usable;
         Claim::Won { dispatch_by }
     }
 
     /// Answers the caller, if there is one and it still waits.
-    pub(crate) fn answer(self, verdict: Verdict) {
+    pub(crate) fn answer(self, resolution: Resolution) {
         // A caller that has gone needs no answer; its record is in the log all the same.
-        let _ = match (self.reply, verdict) {
-            (Reply::Claim(tx), Verdict::Claim(result)) => tx.send(result).is_ok(),
-            (Reply::Pin(tx), Verdict::Pin(pin)) => tx.send(Ok(pin)).is_ok(),
-            (Reply::Done(tx), Verdict::Done(result)) => tx.send(result).is_ok(),
+        let _ = match (self.reply, resolution) {
+            (Reply::Claim(tx), Resolution::Claim(result)) => tx.send(result).is_ok(),
+            (Reply::Pin(tx), Resolution::Pin(pin)) => tx.send(Ok(pin)).is_ok(),
+            (Reply::Done(tx), Resolution::Done(result)) => tx.send(result).is_ok(),
             _ => false,
         };
     }
--- a/crates/oatdale-journal/src/lib.rs
+++ b/crates/oatdale-journal/src/lib.rs
@@ -46,7 +46,7 @@
 pub use crate::duty::{Duty, Preferred, Settings, WallClock, journal, run};
 pub use crate::error::{JournalError, Result};
 pub use crate::export::{Exporter, Ledger};
-pub use crate::fold::{BillState, Entry, Fold, Held, MAX_TICK, Retention};
+pub use crate::fold::{BillState, Entry, Fold, HeldClaim, MAX_TICK, Retention};
 pub use crate::handle::{Claim, JournalHandle, MAX_RECORD};
 pub use crate::meta::Meta;
 pub use crate::record::{
--- a/crates/oatdale-journal/src/log.rs
+++ b/crates/oatdale-journal/src/log.rs
@@ -9,7 +9,7 @@
 use crate::error::{JournalError, RETRY_AFTER, Result};
 use crate::fold::{Entry, Fold};
 use crate::meta::{Meta, manifest_key, slot_key, slot_prefix};
-use crate::page::{Touched, unpack_state};
+use crate::page::{ChangedKey, apply_state_page};
 use crate::record::{Millis, Record, ShardId};
 use crate::wire::{Manifest, WireRecord, WireSegment, decode, encode};
 use log::debug;
@@ -18,11 +18,11 @@
 use tokio::time::timeout;
 
 /// How many slots a look at the log's end asks for when nothing suggests that there is more.
-const SHORT_LOOK: usize = 2;
+const SHORT_READ_SLOTS: usize = 2;
 
 /// How many it asks for when there is more to read, or when this process writes one segment after
 /// the other and so profits from knowing the slots ahead.
-const LONG_LOOK: usize = 16;
+const LONG_READ_SLOTS: usize = 16;
 
 /// How often a look starts again from the pages because compactors were faster.
 const MAX_RESTARTS: usize = 16;
@@ -35,16 +35,16 @@
     /// It was never written.
     Absent,
     /// Its last segment has this revision.
-    Holds(ModRevision),
+    Occupied(ModRevision),
 }
 
 /// What became of an append.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(crate) enum Append {
+pub(crate) enum AppendOutcome {
     /// The segment is in the log.
     Stored,
     /// Another segment took its place, or the answer was lost: read on, then look again.
-    Raced,
+    Unconfirmed,
 }
 
 /// A shard as this process knows it.
@@ -57,21 +57,21 @@
     pub(crate) call_timeout: Duration,
     pub(crate) fold: Fold,
     /// The number that the next segment will have.
-    pub(crate) next: u64,
+    pub(crate) next_seq: u64,
     pub(crate) manifest: Manifest,
     pub(crate) manifest_revision: Option<ModRevision>,
     /// What became final since the manifest, with its segment's number.
     pub(crate) entries: Vec<(u64, Entry)>,
     /// What may have changed since the manifest, with its segment's number.
-    pub(crate) touched: Vec<(u64, Touched)>,
+    pub(crate) changed_keys: Vec<(u64, ChangedKey)>,
     /// Bytes of the segments since the manifest.
-    pub(crate) bytes: usize,
+    pub(crate) uncompacted_bytes: usize,
     /// Counts this process's compactions, whatever became of them.
-    pub(crate) attempts: u64,
+    pub(crate) compaction_attempts: u64,
     slots: Vec<Slot>,
     loaded: bool,
     /// Whether the last segment is this process's.
-    wrote_last: bool,
+    wrote_last_segment: bool,
 }
 
 impl<K: Kv> Log<K> {
@@ -89,16 +89,16 @@
             writer,
             call_timeout,
             fold: Fold::new(meta.retention),
-            next: 0,
+            next_seq: 0,
             manifest: Manifest::default(),
             manifest_revision: None,
             entries: Vec::new(),
-            touched: Vec::new(),
-            bytes: 0,
-            attempts: 0,
+            changed_keys: Vec::new(),
+            uncompacted_bytes: 0,
+            compaction_attempts: 0,
             slots: vec![Slot::Unknown; meta.slots as usize],
             loaded: false,
-            wrote_last: false,
+            wrote_last_segment: false,
         }
     }
 
@@ -108,12 +108,12 @@
             if !self.loaded && !self.load().await? {
                 continue;
             }
-            let mut look = match self.wrote_last {
-                true => LONG_LOOK,
-                false => SHORT_LOOK,
+            let mut slot_count = match self.wrote_last_segment {
+                true => LONG_READ_SLOTS,
+                false => SHORT_READ_SLOTS,
             };
-            while !self.read_on(look).await? {
-                look = LONG_LOOK;
+            while !self.read_slots(slot_count).await? {
+                slot_count = LONG_READ_SLOTS;
             }
             if self.loaded {
                 return Ok(());
@@ -127,24 +127,24 @@
 
     /// Whether the next append needs no reading first.
     pub(crate) fn is_at_end(&self) -> bool {
-        self.loaded && self.slots[self.slot()] != Slot::Unknown
+        self.loaded && self.slots[self.next_slot()] != Slot::Unknown
     }
 
     /// Whether the ring has no slot whose segment is on a page.
     pub(crate) fn is_full(&self) -> bool {
-        self.next >= self.manifest.next + self.meta.slots
+        self.next_seq >= self.manifest.next_seq + self.meta.slots
     }
 
     /// Tries to write the next segment. The log must be at its end and the ring not full.
-    pub(crate) async fn append(&mut self, at: Millis, records: &[Record]) -> Result<Append> {
-        let slot = self.slot();
+    pub(crate) async fn append(&mut self, at: Millis, records: &[Record]) -> Result<AppendOutcome> {
+        let slot = self.next_slot();
         let cond = match self.slots[slot] {
-            Slot::Unknown => return Ok(Append::Raced),
+            Slot::Unknown => return Ok(AppendOutcome::Unconfirmed),
             Slot::Absent => Condition::Absent,
-            Slot::Holds(revision) => Condition::Is(revision),
+            Slot::Occupied(revision) => Condition::Is(revision),
         };
         let segment = WireSegment {
-            seq: self.next,
+            seq: self.next_seq,
             writer: self.writer,
             at: at.0,
             records: records.iter().map(WireRecord::from).collect(),
@@ -156,19 +156,19 @@
         // dropped call is sure to be without effect.
         self.slots[slot] = Slot::Unknown;
         let put = self.kv.put(&key, value.into(), cond, None);
-        match bounded(self.call_timeout, put).await {
+        match with_timeout(self.call_timeout, put).await {
             Ok(Put::Stored(revision)) => {
-                self.take(slot, revision, at, records, bytes);
-                self.wrote_last = true;
-                Ok(Append::Stored)
+                self.apply_segment(slot, revision, at, records, bytes);
+                self.wrote_last_segment = true;
+                Ok(AppendOutcome::Stored)
             }
-            Ok(Put::Conflict(_)) => Ok(Append::Raced),
+            Ok(Put::Conflict(_)) => Ok(AppendOutcome::Unconfirmed),
             Err(KvError::Unknown { message }) => {
                 debug!(
                     "journal shard {}: segment {}: {message}",
-                    self.shard.0, self.next
+                    self.shard.0, self.next_seq
                 );
-                Ok(Append::Raced)
+                Ok(AppendOutcome::Unconfirmed)
             }
             Err(error) => Err(error.into()),
         }
@@ -179,17 +179,17 @@
         let (manifest, revision) = self.read_manifest().await?;
         let mut fold = Fold::new(self.meta.retention);
         for key in &manifest.state {
-            let page = bounded(self.call_timeout, self.kv.get(key)).await?;
+            let page = with_timeout(self.call_timeout, self.kv.get(key)).await?;
             let Some(page) = page else { return Ok(false) };
-            unpack_state(&mut fold, key, &page.value)?;
+            apply_state_page(&mut fold, key, &page.value)?;
         }
         self.fold = fold;
-        self.next = manifest.next;
+        self.next_seq = manifest.next_seq;
         self.manifest = manifest;
         self.manifest_revision = revision;
         self.entries.clear();
-        self.touched.clear();
-        self.bytes = 0;
+        self.changed_keys.clear();
+        self.uncompacted_bytes = 0;
         self.slots.fill(Slot::Unknown);
         self.loaded = true;
         Ok(true)
@@ -197,30 +197,30 @@
 
     pub(crate) async fn read_manifest(&self) -> Result<(Manifest, Option<ModRevision>)> {
         let key = manifest_key(self.shard);
-        match bounded(self.call_timeout, self.kv.get(&key)).await? {
+        match with_timeout(self.call_timeout, self.kv.get(&key)).await? {
             Some(entry) => Ok((decode(&key, &entry.value)?, Some(entry.revision))),
             None => Ok((Manifest::default(), None)),
         }
     }
 
     /// Reads some slots from the next one on; true at the log's end.
-    async fn read_on(&mut self, look: usize) -> Result<bool> {
-        let first = self.slot();
+    async fn read_slots(&mut self, slot_count: usize) -> Result<bool> {
+        let first_slot = self.next_slot();
         let prefix = slot_prefix(self.shard);
-        let after = first
+        let after = first_slot
             .checked_sub(1)
             .map(|slot| slot_key(self.shard, slot as u64));
-        let list = self.kv.list(&prefix, after.as_deref(), look);
-        let found = bounded(self.call_timeout, list).await?;
-        let mut found = found.into_iter().peekable();
+        let list = self.kv.list(&prefix, after.as_deref(), slot_count);
+        let listed = with_timeout(self.call_timeout, list).await?;
+        let mut listed = listed.into_iter().peekable();
         let mut at_end = false;
-        for slot in first..(first + look).min(self.slots.len()) {
-            let wanted = slot_key(self.shard, slot as u64);
-            let entry = found.next_if(|entry| entry.key == wanted);
+        for slot in first_slot..(first_slot + slot_count).min(self.slots.len()) {
+            let expected_key = slot_key(self.shard, slot as u64);
+            let entry = listed.next_if(|entry| entry.key == expected_key);
             match entry {
                 // Past the end, slots still hold the round before, which the next appends replace.
-                Some(entry) if at_end => self.slots[slot] = Slot::Holds(entry.revision),
-                Some(entry) => at_end = self.read_slot(slot, &entry)?,
+                Some(entry) if at_end => self.slots[slot] = Slot::Occupied(entry.revision),
+                Some(entry) => at_end = self.apply_slot(slot, &entry)?,
                 None => {
                     self.slots[slot] = Slot::Absent;
                     at_end = true;
@@ -231,29 +231,29 @@
     }
 
     /// Takes in one slot; true if the log ends before it.
-    fn read_slot(&mut self, slot: usize, entry: &KvEntry) -> Result<bool> {
+    fn apply_slot(&mut self, slot: usize, entry: &KvEntry) -> Result<bool> {
         let segment: WireSegment = decode(&entry.key, &entry.value)?;
         match segment.seq {
-            seq if seq == self.next => {
+            seq if seq == self.next_seq => {
                 let records: Vec<Record> = segment.records.into_iter().map(Record::from).collect();
                 let at = Millis(segment.at);
-                self.take(slot, entry.revision, at, &records, entry.value.len());
-                self.wrote_last = segment.writer == self.writer;
+                self.apply_segment(slot, entry.revision, at, &records, entry.value.len());
+                self.wrote_last_segment = segment.writer == self.writer;
                 Ok(false)
             }
-            seq if seq < self.next => {
-                self.slots[slot] = Slot::Holds(entry.revision);
+            seq if seq < self.next_seq => {
+                self.slots[slot] = Slot::Occupied(entry.revision);
                 Ok(true)
             }
             _ => {
                 // Others wrote a whole round meanwhile; the pages hold what was overwritten.
-                self.forget();
+                self.invalidate();
                 Ok(true)
             }
         }
     }
 
-    fn take(
+    fn apply_segment(
         &mut self,
         slot: usize,
         revision: ModRevision,
@@ -261,35 +261,35 @@
         records: &[Record],
         bytes: usize,
     ) {
-        let seq = self.next;
+        let seq = self.next_seq;
         let entries = self.fold.apply(at, records);
-        let by_records = records.iter().flat_map(Touched::by_record);
-        let by_entries = entries.iter().map(Touched::by_entry);
-        let touched = by_records.chain(by_entries);
-        self.touched.extend(touched.map(|t| (seq, t)));
+        let record_changes = records.iter().flat_map(ChangedKey::of_record);
+        let entry_changes = entries.iter().map(ChangedKey::of_entry);
+        let changes = record_changes.chain(entry_changes);
+        self.changed_keys.extend(changes.map(|t| (seq, t)));
         self.entries.extend(entries.into_iter().map(|e| (seq, e)));
-        self.bytes += bytes;
-        self.slots[slot] = Slot::Holds(revision);
-        self.next += 1;
+        self.uncompacted_bytes += bytes;
+        self.slots[slot] = Slot::Occupied(revision);
+        self.next_seq += 1;
     }
 
-    fn slot(&self) -> usize {
-        self.meta.slot(self.next) as usize
+    fn next_slot(&self) -> usize {
+        self.meta.slot_of(self.next_seq) as usize
     }
 
     /// Forgets everything; the next [`catch_up`](Log::catch_up) starts from the pages.
-    pub(crate) fn forget(&mut self) {
+    pub(crate) fn invalidate(&mut self) {
         self.loaded = false;
     }
 }
 
 /// Bounds a call: one whose time runs out may have had an effect.
-pub(crate) async fn bounded<T>(
+pub(crate) async fn with_timeout<T>(
     limit: Duration,
     call: impl Future<Output = oatdale_platform::Result<T>>,
 ) -> oatdale_platform::Result<T> {
-    let late = |_| KvError::Unknown {
+    let timed_out = |_| KvError::Unknown {
         message: format!("no answer within {} ms", limit.as_millis()),
     };
-    timeout(limit, call).await.map_err(late)?
+    timeout(limit, call).await.map_err(timed_out)?
 }
--- a/crates/oatdale-journal/src/meta.rs
+++ b/crates/oatdale-journal/src/meta.rs
@@ -7,7 +7,7 @@
 use oatdale_platform::{Condition, Kv, KvError};
 
 /// The key of what all nodes agree on.
-const META: &str = "journal/meta";
+const META_KEY: &str = "journal/meta";
 
 /// What the first node fixes for all; later nodes take what is stored, whatever their settings.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -36,18 +36,18 @@
     /// # Errors
     ///
     /// [`Unavailable`](crate::JournalError::Unavailable) if the service gives no answer.
-    pub async fn agree(self, kv: &impl Kv) -> Result<Meta> {
-        if let Some(entry) = kv.get(META).await? {
-            return Ok(decode::<WireMeta>(META, &entry.value)?.into());
+    pub async fn read_or_init(self, kv: &impl Kv) -> Result<Meta> {
+        if let Some(entry) = kv.get(META_KEY).await? {
+            return Ok(decode::<WireMeta>(META_KEY, &entry.value)?.into());
         }
         let value = encode(&WireMeta::from(self)).into();
         // A lost race and a lost answer look alike here: the stored value is the truth.
-        match kv.put(META, value, Condition::Absent, None).await {
+        match kv.put(META_KEY, value, Condition::Absent, None).await {
             Ok(_) | Err(KvError::Unknown { .. }) => {}
             Err(error) => return Err(error.into()),
         }
-        match kv.get(META).await? {
-            Some(entry) => Ok(decode::<WireMeta>(META, &entry.value)?.into()),
+        match kv.get(META_KEY).await? {
+            Some(entry) => Ok(decode::<WireMeta>(META_KEY, &entry.value)?.into()),
             None => Err(KvError::Unavailable {
                 message: "the journal's settings are not stored yet".to_owned(),
             }
@@ -56,7 +56,7 @@
     }
 
     /// The slot of a segment's number; the ring is the log's last segments.
-    pub(crate) fn slot(&self, seq: u64) -> u64 {
+    pub(crate) fn slot_of(&self, seq: u64) -> u64 {
         seq % self.slots
     }
 }
@@ -100,10 +100,10 @@
 impl Manifest {
     /// Whether a page is not listed now and never will be again, so that it may be deleted. A
     /// page of a later generation may be on its way to be listed.
-    pub(crate) fn is_over(&self, shard: ShardId, page: &str) -> bool {
-        let old = page_generation(shard, page).is_some_and(|g| g <= self.generation);
+    pub(crate) fn is_obsolete(&self, shard: ShardId, page: &str) -> bool {
+        let not_newer = page_generation(shard, page).is_some_and(|g| g <= self.generation);
         let mut listed = self.state.iter().chain(&self.bills);
-        old && !listed.any(|key| key == page)
+        not_newer && !listed.any(|key| key == page)
     }
 }
 
--- a/crates/oatdale-journal/src/page.rs
+++ b/crates/oatdale-journal/src/page.rs
@@ -1,28 +1,28 @@
 //! Pages: a shard's state and its final bills, each below the service's limit for a value.
 
 use crate::error::Result;
-use crate::fold::{Entry, Fold, Pinned};
+use crate::fold::{Entry, Fold, StoredPin};
 use crate::record::{ClaimKey, Millis, Pin, Record, RequestId, SessionKey};
-use crate::wire::{WireItem, decode_items, encode, held, join};
+use crate::wire::{WireItem, decode_items, encode, held_claim, join_key};
 use std::collections::BTreeSet;
 
 /// The size that a page may reach; the service takes a megabyte.
-pub(crate) const MAX_PAGE: usize = 900_000;
+pub(crate) const MAX_PAGE_BYTES: usize = 900_000;
 
 /// Packs items into as few pages as hold them.
-pub(crate) fn pack(items: impl Iterator<Item = WireItem>) -> Vec<Vec<u8>> {
+pub(crate) fn pack_pages(items: impl Iterator<Item = WireItem>) -> Vec<Vec<u8>> {
     let mut pages: Vec<Vec<u8>> = Vec::new();
     for item in items {
         let bytes = encode(&item);
         match pages.last_mut() {
-            Some(page) if page.len() + bytes.len() <= MAX_PAGE => page.extend(bytes),
+            Some(page) if page.len() + bytes.len() <= MAX_PAGE_BYTES => page.extend(bytes),
             _ => pages.push(bytes),
         }
     }
     pages
 }
 
-/// The items that [`unpack_state`] makes the fold of again.
+/// The items that [`apply_state_page`] makes the fold of again.
 pub(crate) fn state_items(fold: &Fold) -> impl Iterator<Item = WireItem> {
     let clock = std::iter::once(WireItem::Clock(fold.clock.0));
     let claims = fold.claims.iter().map(|(k, h)| WireItem::claim(*k, h));
@@ -43,48 +43,52 @@
 
 /// What a record or an entry may have changed in the fold.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub(crate) enum Touched {
+pub(crate) enum ChangedKey {
     Claim(ClaimKey),
     Released(RequestId),
     Pin(SessionKey),
     Request(RequestId),
 }
 
-impl Touched {
+impl ChangedKey {
     /// What a record may change.
-    pub(crate) fn by_record(record: &Record) -> impl Iterator<Item = Touched> {
-        let (one, two) = match record {
-            Record::Claim { key, .. } | Record::Finish { key, .. } => (Touched::Claim(*key), None),
-            Record::Release { key, by } => (Touched::Claim(*key), Some(Touched::Released(*by))),
-            Record::Pin { session, .. } => (Touched::Pin(*session), None),
-            Record::Bill(bill) => (Touched::Request(bill.request()), None),
+    pub(crate) fn of_record(record: &Record) -> impl Iterator<Item = ChangedKey> {
+        let (first, second) = match record {
+            Record::Claim { key, .. } | Record::Finish { key, .. } => {
+                (ChangedKey::Claim(*key), None)
+            }
+            Record::Release { key, by } => {
+                (ChangedKey::Claim(*key), Some(ChangedKey::Released(*by)))
+            }
+            Record::Pin { session, .. } => (ChangedKey::Pin(*session), None),
+            Record::Bill(bill) => (ChangedKey::Request(bill.request()), None),
         };
-        std::iter::once(one).chain(two)
+        std::iter::once(first).chain(second)
     }
 
     /// What became final; it may have come from no record.
-    pub(crate) fn by_entry(entry: &Entry) -> Touched {
+    pub(crate) fn of_entry(entry: &Entry) -> ChangedKey {
         match entry {
-            Entry::Bill(closing) | Entry::Late(closing) => Touched::Request(closing.request),
+            Entry::Bill(closing) | Entry::Late(closing) => ChangedKey::Request(closing.request),
         }
     }
 
     /// The item that makes a fold with the state before like `fold`, if one is needed.
-    fn item(self, fold: &Fold) -> Option<WireItem> {
+    fn delta_item(self, fold: &Fold) -> Option<WireItem> {
         match self {
-            Touched::Claim(key) => Some(match fold.claims.get(&key) {
+            ChangedKey::Claim(key) => Some(match fold.claims.get(&key) {
                 Some(held) => WireItem::claim(key, held),
                 None => WireItem::unclaimed(key),
             }),
-            Touched::Released(request) => {
+            ChangedKey::Released(request) => {
                 let at = fold.released.get(&request)?;
                 Some(WireItem::Released(request.0, at.0))
             }
-            Touched::Pin(session) => {
+            ChangedKey::Pin(session) => {
                 let pinned = fold.pins.get(&session)?;
                 Some(WireItem::pin(session, pinned))
             }
-            Touched::Request(request) => match fold.open.get(&request) {
+            ChangedKey::Request(request) => match fold.open.get(&request) {
                 Some((opening, at)) => Some(WireItem::Open(opening.into(), at.0)),
                 None => {
                     let opened = fold.settled.get(&request)?;
@@ -96,25 +100,25 @@
 }
 
 /// The items that add what was touched to pages of the state before.
-pub(crate) fn added_items(
+pub(crate) fn delta_items(
     fold: &Fold,
-    touched: impl Iterator<Item = Touched>,
+    changed_keys: impl Iterator<Item = ChangedKey>,
 ) -> impl Iterator<Item = WireItem> {
-    let touched: BTreeSet<Touched> = touched.collect();
+    let changed_keys: BTreeSet<ChangedKey> = changed_keys.collect();
     let clock = std::iter::once(WireItem::Clock(fold.clock.0));
-    clock.chain(touched.into_iter().filter_map(|t| t.item(fold)))
+    clock.chain(changed_keys.into_iter().filter_map(|t| t.delta_item(fold)))
 }
 
 /// Adds a page of state to a fold.
-pub(crate) fn unpack_state(fold: &mut Fold, key: &str, bytes: &[u8]) -> Result<()> {
+pub(crate) fn apply_state_page(fold: &mut Fold, key: &str, bytes: &[u8]) -> Result<()> {
     for item in decode_items(key, bytes)? {
-        add(fold, item);
+        apply_item(fold, item);
     }
     Ok(())
 }
 
 /// Reads a page of bills.
-pub(crate) fn unpack_bills(key: &str, bytes: &[u8]) -> Result<Vec<Entry>> {
+pub(crate) fn decode_bill_page(key: &str, bytes: &[u8]) -> Result<Vec<Entry>> {
     let entry = |item| match item {
         WireItem::Bill(closing) => Some(Entry::Bill(closing.into())),
         WireItem::Late(closing) => Some(Entry::Late(closing.into())),
@@ -126,29 +130,29 @@
         .collect())
 }
 
-fn add(fold: &mut Fold, item: WireItem) {
+fn apply_item(fold: &mut Fold, item: WireItem) {
     match item {
         WireItem::Clock(at) => fold.clock = Millis(at),
         WireItem::Claim(key, by, at, finished) => {
-            let key = ClaimKey(join(key));
-            fold.claims.insert(key, held(by, at, finished));
+            let key = ClaimKey(join_key(key));
+            fold.claims.insert(key, held_claim(by, at, finished));
         }
         WireItem::Released(request, at) => {
             fold.released.insert(RequestId(request), Millis(at));
         }
         WireItem::Unclaimed(key) => {
-            fold.claims.remove(&ClaimKey(join(key)));
+            fold.claims.remove(&ClaimKey(join_key(key)));
         }
         WireItem::Pin(session, versions, opened_at, at) => {
             let pin = Pin {
                 versions,
                 opened_at: Millis(opened_at),
             };
-            let pinned = Pinned {
+            let pinned = StoredPin {
                 pin,
                 at: Millis(at),
             };
-            fold.pins.insert(SessionKey(join(session)), pinned);
+            fold.pins.insert(SessionKey(join_key(session)), pinned);
         }
         WireItem::Open(opening, at) => {
             let request = RequestId(opening.0);
--- a/crates/oatdale-journal/src/record.rs
+++ b/crates/oatdale-journal/src/record.rs
@@ -150,14 +150,14 @@
 impl Record {
     /// The shard of `shards` that the record belongs to; all records of a key share it.
     pub fn shard(&self, shards: u16) -> ShardId {
-        let spread = match self {
+        let key_hash = match self {
             Record::Claim { key, .. }
             | Record::Release { key, .. }
-            | Record::Finish { key, .. } => spread(&key.0),
-            Record::Pin { session, .. } => spread(&session.0),
-            Record::Bill(bill) => spread(&bill.request().0.to_be_bytes()),
+            | Record::Finish { key, .. } => fnv1a(&key.0),
+            Record::Pin { session, .. } => fnv1a(&session.0),
+            Record::Bill(bill) => fnv1a(&bill.request().0.to_be_bytes()),
         };
-        ShardId((spread % u64::from(shards)) as u16)
+        ShardId((key_hash % u64::from(shards)) as u16)
     }
 }
 
@@ -168,7 +168,7 @@
 }
 
 /// FNV-1a; every node and every release must give the same shard for a key.
-fn spread(bytes: &[u8]) -> u64 {
+fn fnv1a(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
     })
--- a/crates/oatdale-journal/src/shard.rs
+++ b/crates/oatdale-journal/src/shard.rs
@@ -2,8 +2,8 @@
 
 use crate::duty::{Preferred, Settings, WallClock};
 use crate::error::{JournalError, RETRY_AFTER, Result};
-use crate::job::{Job, Verdict};
-use crate::log::{Append, Log};
+use crate::job::{Job, Resolution};
+use crate::log::{AppendOutcome, Log};
 use crate::record::Record;
 use log::{debug, warn};
 use oatdale_platform::Kv;
@@ -14,20 +14,20 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 /// A segment's records hold at most this many bytes.
-const MAX_SEGMENT: usize = 256_000;
+const MAX_SEGMENT_BYTES: usize = 256_000;
 
 /// The longest wait after the first lost race for a segment; it doubles with each further one.
-const BACK_OFF: Duration = Duration::from_millis(10);
+const BASE_BACK_OFF: Duration = Duration::from_millis(10);
 
 /// Stands for "never" where a clock needs a time.
-const FAR_OFF: Duration = Duration::from_secs(365 * 24 * 3600);
+const FAR_FUTURE: Duration = Duration::from_secs(365 * 24 * 3600);
 
 /// How often the pace may be halved.
-const MAX_STRAIN: u32 = 3;
+const MAX_INTERVAL_DOUBLINGS: u32 = 3;
 
 /// How far the journal's clock may be ahead of this host's, in milliseconds, before a log line
 /// says so.
-const MAX_SKEW: u64 = 60_000;
+const MAX_CLOCK_SKEW_MS: u64 = 60_000;
 
 pub(crate) struct Shard<K> {
     log: Log<K>,
@@ -40,14 +40,14 @@
     /// The next append may start then.
     next_append: Instant,
     /// How often the pace is halved because others append, or the service asks to wait.
-    strain: u32,
+    interval_doublings: u32,
     /// Until then the service is taken to be down, and jobs are refused at once.
-    down_until: Instant,
+    unavailable_until: Instant,
     /// The next compaction may start then.
     compact_after: Instant,
     /// No later than the first moment at which a job has waited too long.
-    impatience: Instant,
-    open: bool,
+    earliest_expiry: Instant,
+    rx_open: bool,
 }
 
 impl<K: Kv> Shard<K> {
@@ -69,140 +69,140 @@
             preferred,
             rng: Pcg64Mcg::seed_from_u64(seed),
             next_append: now,
-            strain: 0,
-            down_until: now,
+            interval_doublings: 0,
+            unavailable_until: now,
             compact_after: now,
-            impatience: now + FAR_OFF,
-            open: true,
+            earliest_expiry: now + FAR_FUTURE,
+            rx_open: true,
         }
     }
 
     pub(crate) async fn run(mut self) {
-        while self.gather().await {
-            self.next_append = Instant::now() + self.pace();
-            match self.settle().await {
+        while self.collect_jobs().await {
+            self.next_append = Instant::now() + self.append_interval();
+            match self.process_jobs().await {
                 Ok(()) => {}
-                Err(JournalError::Throttled { retry_after }) => self.slow_down(retry_after),
+                Err(JournalError::Throttled { retry_after }) => self.delay_append(retry_after),
                 Err(error) => {
-                    self.give_up(&error);
-                    if !self.open {
+                    self.mark_unavailable(&error);
+                    if !self.rx_open {
                         // Nobody waits for what is left, and the process is about to end.
                         return;
                     }
                 }
             }
-            self.drop_impatient();
+            self.fail_expired();
         }
     }
 
     /// Collects jobs until the next append may start; false if there will be none.
-    async fn gather(&mut self) -> bool {
+    async fn collect_jobs(&mut self) -> bool {
         if self.jobs.is_empty() {
             match self.rx.recv().await {
-                Some(job) => self.take(job),
+                Some(job) => self.accept(job),
                 None => return false,
             }
         }
         loop {
-            let start = self.next_append.max(self.down_until);
+            let start = self.next_append.max(self.unavailable_until);
             tokio::select! {
                 biased;
-                job = self.rx.recv(), if self.open && self.jobs.len() < self.settings.queue => {
+                job = self.rx.recv(), if self.rx_open && self.jobs.len() < self.settings.queue => {
                     match job {
-                        Some(job) => self.take(job),
-                        None => self.open = false,
+                        Some(job) => self.accept(job),
+                        None => self.rx_open = false,
                     }
                 }
-                () = sleep_until(self.impatience), if self.impatience < start => {
-                    self.drop_impatient();
+                () = sleep_until(self.earliest_expiry), if self.earliest_expiry < start => {
+                    self.fail_expired();
                 }
                 () = sleep_until(start) => break,
             }
         }
-        !self.jobs.is_empty() || self.open
+        !self.jobs.is_empty() || self.rx_open
     }
 
     /// Takes a job in, or refuses it at once while the service is down.
-    fn take(&mut self, job: Job) {
+    fn accept(&mut self, job: Job) {
         let now = Instant::now();
-        match now < self.down_until && job.has_caller() {
+        match now < self.unavailable_until && job.has_caller() {
             true => job.fail(JournalError::Unavailable {
-                retry_after: self.down_until - now,
+                retry_after: self.unavailable_until - now,
                 message: "no answer a moment ago".to_owned(),
             }),
             false => {
-                self.impatience = self.impatience.min(self.end_of_patience(&job));
+                self.earliest_expiry = self.earliest_expiry.min(self.expires_at(&job));
                 self.jobs.push(job);
             }
         }
     }
 
     /// When a job is given up; never for one that nobody waits for.
-    fn end_of_patience(&self, job: &Job) -> Instant {
+    fn expires_at(&self, job: &Job) -> Instant {
         match job.has_caller() {
-            true => job.since + job.patience(self.settings.patience),
-            false => job.since + FAR_OFF,
+            true => job.submitted_at + job.max_wait(self.settings.max_wait),
+            false => job.submitted_at + FAR_FUTURE,
         }
     }
 
     /// Answers what can be answered and appends the rest, until one append is through.
-    async fn settle(&mut self) -> Result<()> {
-        let mut lost = 0;
+    async fn process_jobs(&mut self) -> Result<()> {
+        let mut lost_races = 0;
         loop {
-            let must_look = self.answer_known();
+            let must_read = self.answer_from_fold();
             if self.jobs.is_empty() {
                 return Ok(());
             }
-            if must_look || !self.log.is_at_end() {
-                self.look().await?;
+            if must_read || !self.log.is_at_end() {
+                self.read_to_end().await?;
                 continue;
             }
-            self.make_room().await?;
+            self.compact_if_due().await?;
             if self.log.is_full() || !self.log.is_at_end() {
                 continue;
             }
-            let batch = self.batch();
+            let batch = self.next_batch();
             let now = (self.clock)();
-            if self.log.append(now, &batch).await? == Append::Stored {
-                self.answer_known();
-                self.ease(lost);
+            if self.log.append(now, &batch).await? == AppendOutcome::Stored {
+                self.answer_from_fold();
+                self.adjust_interval(lost_races);
                 return Ok(());
             }
-            self.look().await?;
-            self.answer_known();
-            lost += 1;
-            self.back_off(lost).await;
+            self.read_to_end().await?;
+            self.answer_from_fold();
+            lost_races += 1;
+            self.back_off(lost_races).await;
         }
     }
 
     /// Answers jobs from the fold; true if one needs a look at the log's end first.
-    fn answer_known(&mut self) -> bool {
-        let mut must_look = false;
+    fn answer_from_fold(&mut self) -> bool {
+        let mut must_read = false;
         for job in std::mem::take(&mut self.jobs) {
-            match job.verdict(&self.log.fold) {
-                Verdict::Write => self.jobs.push(job),
-                Verdict::Look => {
-                    must_look = true;
+            match job.resolve(&self.log.fold) {
+                Resolution::Write => self.jobs.push(job),
+                Resolution::ReadLog => {
+                    must_read = true;
                     self.jobs.push(job);
                 }
-                verdict => job.answer(verdict),
+                resolution => job.answer(resolution),
             }
         }
-        must_look
+        must_read
     }
 
     /// Reads the log to its end.
-    async fn look(&mut self) -> Result<()> {
+    async fn read_to_end(&mut self) -> Result<()> {
         self.log.catch_up().await?;
         for job in &mut self.jobs {
-            job.checked = true;
+            job.log_end_read = true;
         }
-        let (journal, host) = (self.log.fold.clock(), (self.clock)());
-        if journal.0 > host.0.saturating_add(MAX_SKEW) {
+        let (journal_clock, host_clock) = (self.log.fold.clock(), (self.clock)());
+        if journal_clock.0 > host_clock.0.saturating_add(MAX_CLOCK_SKEW_MS) {
             warn!(
                 "journal shard {}: its clock is {} ms ahead of this host's",
                 self.log.shard.0,
-                journal.0 - host.0
+                journal_clock.0 - host_clock.0
             );
         }
         Ok(())
@@ -210,9 +210,9 @@
 
     /// Compacts when it is time. A failure matters only once the ring is full; until then appends
     /// go on and the next try waits, or this process would do nothing but try.
-    async fn make_room(&mut self) -> Result<()> {
-        let put_off = Instant::now() < self.compact_after && !self.log.is_full();
-        if put_off || !self.log.wants_compaction() {
+    async fn compact_if_due(&mut self) -> Result<()> {
+        let deferred = Instant::now() < self.compact_after && !self.log.is_full();
+        if deferred || !self.log.needs_compaction() {
             return Ok(());
         }
         self.compact_after = Instant::now() + RETRY_AFTER;
@@ -230,11 +230,11 @@
     }
 
     /// The oldest jobs' records, urgent ones first, as many as a segment holds.
-    fn batch(&self) -> Vec<Record> {
+    fn next_batch(&self) -> Vec<Record> {
         let mut bytes = 0;
         let fits = |job: &&Job| {
             bytes += job.bytes;
-            bytes <= MAX_SEGMENT
+            bytes <= MAX_SEGMENT_BYTES
         };
         let urgent = self.jobs.iter().filter(|job| job.is_urgent());
         let bills = self.jobs.iter().filter(|job| !job.is_urgent());
@@ -244,68 +244,72 @@
 
     /// Waits a drawn time after the `lost`th lost race in a row, so that appenders don't meet
     /// again. The wait grows, since many that lose at once are too many for the log's pace.
-    async fn back_off(&mut self, lost: u32) {
+    async fn back_off(&mut self, lost_races: u32) {
         if self.jobs.is_empty() {
             return;
         }
-        let most = BACK_OFF.saturating_mul(2_u32.saturating_pow(lost - 1));
-        let wait = most.min(self.pace()).mul_f64(self.rng.random());
+        let max_back_off = BASE_BACK_OFF.saturating_mul(2_u32.saturating_pow(lost_races - 1));
+        let wait = max_back_off
+            .min(self.append_interval())
+            .mul_f64(self.rng.random());
         debug!(
-            "journal shard {}: lost {lost} races, waits {} ms",
+            "journal shard {}: lost {lost_races} races, waits {} ms",
             self.log.shard.0,
             wait.as_millis()
         );
         sleep(wait).await;
-        self.drop_impatient();
+        self.fail_expired();
     }
 
     /// Puts the next append off because the service asked to wait. The time is drawn, since many
     /// were told the same.
-    fn slow_down(&mut self, retry_after: Duration) {
-        self.strain = (self.strain + 1).min(MAX_STRAIN);
-        let drawn = self.pace().mul_f64(self.rng.random());
-        self.next_append = Instant::now() + retry_after + drawn;
+    fn delay_append(&mut self, retry_after: Duration) {
+        self.interval_doublings = (self.interval_doublings + 1).min(MAX_INTERVAL_DOUBLINGS);
+        let jitter = self.append_interval().mul_f64(self.rng.random());
+        self.next_append = Instant::now() + retry_after + jitter;
     }
 
     /// Follows how many others append: races mean that all of them ask too often.
-    fn ease(&mut self, lost: u32) {
-        self.strain = match lost {
-            0 => self.strain.saturating_sub(1),
-            1 => self.strain,
-            _ => (self.strain + 1).min(MAX_STRAIN),
+    fn adjust_interval(&mut self, lost_races: u32) {
+        self.interval_doublings = match lost_races {
+            0 => self.interval_doublings.saturating_sub(1),
+            1 => self.interval_doublings,
+            _ => (self.interval_doublings + 1).min(MAX_INTERVAL_DOUBLINGS),
         };
     }
 
-    fn pace(&self) -> Duration {
+    fn append_interval(&self) -> Duration {
         let preferred = self.preferred.borrow().0.contains(&self.log.shard);
-        let pace = match preferred {
+        let append_interval = match preferred {
             true => self.settings.preferred_pace,
             false => self.settings.other_pace,
         };
-        pace * 2_u32.pow(self.strain)
+        append_interval * 2_u32.pow(self.interval_doublings)
     }
 
     /// Refuses everything that a caller waits for, and everything that comes within a while.
-    fn give_up(&mut self, error: &JournalError) {
+    fn mark_unavailable(&mut self, error: &JournalError) {
         warn!("journal shard {}: {error}", self.log.shard.0);
-        self.down_until = Instant::now() + RETRY_AFTER;
-        self.fail(error, |_| true);
+        self.unavailable_until = Instant::now() + RETRY_AFTER;
+        self.fail_jobs(error, |_| true);
     }
 
     /// Refuses what has waited too long, such as for a race that others keep winning.
-    fn drop_impatient(&mut self) {
-        let patience = self.settings.patience;
+    fn fail_expired(&mut self) {
+        let max_wait = self.settings.max_wait;
         let error = JournalError::Unavailable {
             retry_after: RETRY_AFTER,
-            message: format!("no room in the log within {} ms", patience.as_millis()),
+            message: format!("no room in the log within {} ms", max_wait.as_millis()),
         };
         let now = Instant::now();
-        self.fail(&error, |job| now >= job.since + job.patience(patience));
-        let ends = self.jobs.iter().map(|job| self.end_of_patience(job));
-        self.impatience = ends.min().unwrap_or(now + FAR_OFF);
+        self.fail_jobs(&error, |job| {
+            now >= job.submitted_at + job.max_wait(max_wait)
+        });
+        let expiries = self.jobs.iter().map(|job| self.expires_at(job));
+        self.earliest_expiry = expiries.min().unwrap_or(now + FAR_FUTURE);
     }
 
-    fn fail(&mut self, error: &JournalError, pred: impl Fn(&Job) -> bool) {
+    fn fail_jobs(&mut self, error: &JournalError, pred: impl Fn(&Job) -> bool) {
         for job in std::mem::take(&mut self.jobs) {
             match job.has_caller() && pred(&job) {
                 true => job.fail(error.clone()),
--- a/crates/oatdale-journal/src/wire.rs
+++ b/crates/oatdale-journal/src/wire.rs
@@ -1,14 +1,14 @@
 //! The journal's values as CBOR, with short names since every request writes some.
 
 use crate::error::{JournalError, Result};
-use crate::fold::{Entry, Held, Pinned};
+use crate::fold::{Entry, HeldClaim, StoredPin};
 use crate::record::{
     BillRecord, ClaimKey, Closing, MicroUnits, Millis, Opening, Outcome, Pin, Record, RequestId,
     SessionKey,
 };
 use serde::{Deserialize, Serialize};
 
-type Key = (u128, u128);
+type KeyHalves = (u128, u128);
 
 #[derive(Serialize, Deserialize)]
 pub(crate) struct WireSegment {
@@ -25,13 +25,13 @@
 #[derive(Serialize, Deserialize)]
 pub(crate) enum WireRecord {
     #[serde(rename = "c")]
-    Claim(Key, u128),
+    Claim(KeyHalves, u128),
     #[serde(rename = "r")]
-    Release(Key, u128),
+    Release(KeyHalves, u128),
     #[serde(rename = "f")]
-    Finish(Key, u128, bool),
+    Finish(KeyHalves, u128, bool),
     #[serde(rename = "p")]
-    Pin(Key, Vec<String>, u64),
+    Pin(KeyHalves, Vec<String>, u64),
     #[serde(rename = "o")]
     Open(WireOpening),
     #[serde(rename = "b")]
@@ -63,14 +63,14 @@
     #[serde(rename = "t")]
     Clock(u64),
     #[serde(rename = "c")]
-    Claim(Key, u128, u64, Option<bool>),
+    Claim(KeyHalves, u128, u64, Option<bool>),
     /// The key is free again.
     #[serde(rename = "u")]
-    Unclaimed(Key),
+    Unclaimed(KeyHalves),
     #[serde(rename = "r")]
     Released(u128, u64),
     #[serde(rename = "p")]
-    Pin(Key, Vec<String>, u64, u64),
+    Pin(KeyHalves, Vec<String>, u64, u64),
     #[serde(rename = "o")]
     Open(WireOpening, u64),
     #[serde(rename = "s")]
@@ -92,13 +92,13 @@
     pub(crate) writer: u64,
     /// The first segment that the pages do not cover.
     #[serde(rename = "n")]
-    pub(crate) next: u64,
+    pub(crate) next_seq: u64,
     /// Names of the pages of state; each adds to those before.
     #[serde(rename = "s")]
     pub(crate) state: Vec<String>,
     /// How many compactions only added to the state since it was last written as a whole.
     #[serde(rename = "d", default)]
-    pub(crate) additions: u64,
+    pub(crate) incremental_compactions: u64,
     /// Names of the pages of bills that nobody took yet, oldest first.
     #[serde(rename = "b")]
     pub(crate) bills: Vec<String>,
@@ -151,13 +151,13 @@
 impl From<&Record> for WireRecord {
     fn from(record: &Record) -> Self {
         match record {
-            Record::Claim { key, by } => WireRecord::Claim(split(key.0), by.0),
-            Record::Release { key, by } => WireRecord::Release(split(key.0), by.0),
+            Record::Claim { key, by } => WireRecord::Claim(split_key(key.0), by.0),
+            Record::Release { key, by } => WireRecord::Release(split_key(key.0), by.0),
             Record::Finish { key, by, outcome } => {
-                WireRecord::Finish(split(key.0), by.0, is_complete(*outcome))
+                WireRecord::Finish(split_key(key.0), by.0, is_complete(*outcome))
             }
             Record::Pin { session, pin } => {
-                WireRecord::Pin(split(session.0), pin.versions.clone(), pin.opened_at.0)
+                WireRecord::Pin(split_key(session.0), pin.versions.clone(), pin.opened_at.0)
             }
             Record::Bill(BillRecord::Open(opening)) => WireRecord::Open(opening.into()),
             Record::Bill(BillRecord::Close(closing)) => WireRecord::Close(closing.into()),
@@ -169,20 +169,20 @@
     fn from(wire: WireRecord) -> Self {
         match wire {
             WireRecord::Claim(key, by) => Record::Claim {
-                key: ClaimKey(join(key)),
+                key: ClaimKey(join_key(key)),
                 by: RequestId(by),
             },
             WireRecord::Release(key, by) => Record::Release {
-                key: ClaimKey(join(key)),
+                key: ClaimKey(join_key(key)),
                 by: RequestId(by),
             },
             WireRecord::Finish(key, by, complete) => Record::Finish {
-                key: ClaimKey(join(key)),
+                key: ClaimKey(join_key(key)),
                 by: RequestId(by),
-                outcome: outcome(complete),
+                outcome: to_outcome(complete),
             },
             WireRecord::Pin(session, versions, at) => Record::Pin {
-                session: SessionKey(join(session)),
+                session: SessionKey(join_key(session)),
                 pin: Pin {
                     versions,
                     opened_at: Millis(at),
@@ -245,7 +245,7 @@
             input_tokens: input,
             output_tokens: output,
             price: MicroUnits(price),
-            outcome: outcome(complete),
+            outcome: to_outcome(complete),
             opened_at: Millis(opened),
             closed_at: Millis(closed),
         }
@@ -262,40 +262,45 @@
 }
 
 impl WireItem {
-    pub(crate) fn claim(key: ClaimKey, held: &Held) -> Self {
+    pub(crate) fn claim(key: ClaimKey, held: &HeldClaim) -> Self {
         let finished = held.finished.map(is_complete);
-        WireItem::Claim(split(key.0), held.by.0, held.at.0, finished)
+        WireItem::Claim(split_key(key.0), held.by.0, held.at.0, finished)
     }
 
     pub(crate) fn unclaimed(key: ClaimKey) -> Self {
-        WireItem::Unclaimed(split(key.0))
+        WireItem::Unclaimed(split_key(key.0))
     }
 
-    pub(crate) fn pin(session: SessionKey, pinned: &Pinned) -> Self {
+    pub(crate) fn pin(session: SessionKey, pinned: &StoredPin) -> Self {
         let Pin {
             versions,
             opened_at,
         } = &pinned.pin;
-        WireItem::Pin(split(session.0), versions.clone(), opened_at.0, pinned.at.0)
+        WireItem::Pin(
+            split_key(session.0),
+            versions.clone(),
+            opened_at.0,
+            pinned.at.0,
+        )
     }
 }
 
-pub(crate) fn held(by: u128, at: u64, finished: Option<bool>) -> Held {
-    Held {
+pub(crate) fn held_claim(by: u128, at: u64, finished: Option<bool>) -> HeldClaim {
+    HeldClaim {
         by: RequestId(by),
         at: Millis(at),
-        finished: finished.map(outcome),
+        finished: finished.map(to_outcome),
     }
 }
 
 /// Two numbers take 34 bytes in CBOR where a list of 32 bytes takes up to 66.
-fn split(bytes: [u8; 32]) -> Key {
+fn split_key(bytes: [u8; 32]) -> KeyHalves {
     let (high, low) = bytes.split_at(16);
     let number = |half: &[u8]| half.iter().fold(0, |n, b| n << 8 | u128::from(*b));
     (number(high), number(low))
 }
 
-pub(crate) fn join((high, low): Key) -> [u8; 32] {
+pub(crate) fn join_key((high, low): KeyHalves) -> [u8; 32] {
     let mut bytes = [0; 32];
     bytes[..16].copy_from_slice(&high.to_be_bytes());
     bytes[16..].copy_from_slice(&low.to_be_bytes());
@@ -306,7 +311,7 @@
     outcome == Outcome::Complete
 }
 
-fn outcome(complete: bool) -> Outcome {
+fn to_outcome(complete: bool) -> Outcome {
     match complete {
         true => Outcome::Complete,
         false => Outcome::Interrupted,
@@ -325,11 +330,11 @@
     ///
     /// [`Corrupt`](JournalError::Corrupt) if it is anything else.
     pub fn from_slice(bytes: &[u8]) -> Result<Self> {
-        const HELD: &str = "a held bill";
-        match Record::from(decode::<WireRecord>(HELD, bytes)?) {
+        const HELD_BILL_KEY: &str = "a held bill";
+        match Record::from(decode::<WireRecord>(HELD_BILL_KEY, bytes)?) {
             Record::Bill(record) => Ok(record),
             _ => Err(JournalError::Corrupt {
-                key: HELD.to_owned(),
+                key: HELD_BILL_KEY.to_owned(),
                 message: "it is another record".to_owned(),
             }),
         }
