--- a/crates/oatdale-journal/src/job.rs
+++ b/crates/oatdale-journal/src/job.rs
@@ -21,7 +21,7 @@
 pub(crate) struct Job {
     pub(crate) record: Record,
     pub(crate) bytes: usize,
-    pub(crate) submitted_at: Instant,
+    pub(crate) queued_at: Instant,
     /// Whether the log's end was looked at since the job came.
     pub(crate) log_end_read: bool,
     reply: Reply,
@@ -43,7 +43,7 @@
         Job {
             record,
             bytes,
-            submitted_at: Instant::now(),
+            queued_at: Instant::now(),
             log_end_read: false,
             reply,
         }
@@ -117,7 +117,7 @@
     /// A claim may be used for a quarter of its retention, counted from before it was written.
     fn won_claim(&self, fold: &Fold) -> Claim {
         let usable = Duration::from_millis(fold.retention.claims / 4);
-        let dispatch_by = self.submitted_at + usable;
+        let dispatch_by = self.queued_at + usable;
         Claim::Won { dispatch_by }
     }
 
--- a/crates/oatdale-journal/src/log.rs
+++ b/crates/oatdale-journal/src/log.rs
@@ -9,7 +9,7 @@
 use crate::error::{JournalError, RETRY_AFTER, Result};
 use crate::fold::{Entry, Fold};
 use crate::meta::{Meta, manifest_key, slot_key, slot_prefix};
-use crate::page::{ChangedKey, apply_state_page};
+use crate::page::{StateKey, apply_state_page};
 use crate::record::{Millis, Record, ShardId};
 use crate::wire::{Manifest, WireRecord, WireSegment, decode, encode};
 use log::debug;
@@ -63,7 +63,7 @@
     /// What became final since the manifest, with its segment's number.
     pub(crate) entries: Vec<(u64, Entry)>,
     /// What may have changed since the manifest, with its segment's number.
-    pub(crate) changed_keys: Vec<(u64, ChangedKey)>,
+    pub(crate) changed_keys: Vec<(u64, StateKey)>,
     /// Bytes of the segments since the manifest.
     pub(crate) uncompacted_bytes: usize,
     /// Counts this process's compactions, whatever became of them.
@@ -263,8 +263,8 @@
     ) {
         let seq = self.next_seq;
         let entries = self.fold.apply(at, records);
-        let record_changes = records.iter().flat_map(ChangedKey::of_record);
-        let entry_changes = entries.iter().map(ChangedKey::of_entry);
+        let record_changes = records.iter().flat_map(StateKey::of_record);
+        let entry_changes = entries.iter().map(StateKey::of_entry);
         let changes = record_changes.chain(entry_changes);
         self.changed_keys.extend(changes.map(|t| (seq, t)));
         self.entries.extend(entries.into_iter().map(|e| (seq, e)));
--- a/crates/oatdale-journal/src/page.rs
+++ b/crates/oatdale-journal/src/page.rs
@@ -43,52 +43,48 @@
 
 /// What a record or an entry may have changed in the fold.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub(crate) enum ChangedKey {
+pub(crate) enum StateKey {
     Claim(ClaimKey),
     Released(RequestId),
     Pin(SessionKey),
     Request(RequestId),
 }
 
-impl ChangedKey {
+impl StateKey {
     /// What a record may change.
-    pub(crate) fn of_record(record: &Record) -> impl Iterator<Item = ChangedKey> {
+    pub(crate) fn of_record(record: &Record) -> impl Iterator<Item = StateKey> {
         let (first, second) = match record {
-            Record::Claim { key, .. } | Record::Finish { key, .. } => {
-                (ChangedKey::Claim(*key), None)
-            }
-            Record::Release { key, by } => {
-                (ChangedKey::Claim(*key), Some(ChangedKey::Released(*by)))
-            }
-            Record::Pin { session, .. } => (ChangedKey::Pin(*session), None),
-            Record::Bill(bill) => (ChangedKey::Request(bill.request()), None),
+            Record::Claim { key, .. } | Record::Finish { key, .. } => (StateKey::Claim(*key), None),
+            Record::Release { key, by } => (StateKey::Claim(*key), Some(StateKey::Released(*by))),
+            Record::Pin { session, .. } => (StateKey::Pin(*session), None),
+            Record::Bill(bill) => (StateKey::Request(bill.request()), None),
         };
         std::iter::once(first).chain(second)
     }
 
     /// What became final; it may have come from no record.
-    pub(crate) fn of_entry(entry: &Entry) -> ChangedKey {
+    pub(crate) fn of_entry(entry: &Entry) -> StateKey {
         match entry {
-            Entry::Bill(closing) | Entry::Late(closing) => ChangedKey::Request(closing.request),
+            Entry::Bill(closing) | Entry::Late(closing) => StateKey::Request(closing.request),
         }
     }
 
     /// The item that makes a fold with the state before like `fold`, if one is needed.
     fn delta_item(self, fold: &Fold) -> Option<WireItem> {
         match self {
-            ChangedKey::Claim(key) => Some(match fold.claims.get(&key) {
+            StateKey::Claim(key) => Some(match fold.claims.get(&key) {
                 Some(held) => WireItem::claim(key, held),
                 None => WireItem::unclaimed(key),
             }),
-            ChangedKey::Released(request) => {
+            StateKey::Released(request) => {
                 let at = fold.released.get(&request)?;
                 Some(WireItem::Released(request.0, at.0))
             }
-            ChangedKey::Pin(session) => {
+            StateKey::Pin(session) => {
                 let pinned = fold.pins.get(&session)?;
                 Some(WireItem::pin(session, pinned))
             }
-            ChangedKey::Request(request) => match fold.open.get(&request) {
+            StateKey::Request(request) => match fold.open.get(&request) {
                 Some((opening, at)) => Some(WireItem::Open(opening.into(), at.0)),
                 None => {
                     let opened = fold.settled.get(&request)?;
@@ -102,9 +98,9 @@
 /// The items that add what was touched to pages of the state before.
 pub(crate) fn delta_items(
     fold: &Fold,
-    changed_keys: impl Iterator<Item = ChangedKey>,
+    changed_keys: impl Iterator<Item = StateKey>,
 ) -> impl Iterator<Item = WireItem> {
-    let changed_keys: BTreeSet<ChangedKey> = changed_keys.collect();
+    let changed_keys: BTreeSet<StateKey> = changed_keys.collect();
     let clock = std::iter::once(WireItem::Clock(fold.clock.0));
     clock.chain(changed_keys.into_iter().filter_map(|t| t.delta_item(fold)))
 }
--- a/crates/oatdale-journal/src/shard.rs
+++ b/crates/oatdale-journal/src/shard.rs
@@ -140,8 +140,8 @@
     /// When a job is given up; never for one that nobody waits for.
     fn expires_at(&self, job: &Job) -> Instant {
         match job.has_caller() {
-            true => job.submitted_at + job.max_wait(self.settings.max_wait),
-            false => job.submitted_at + FAR_FUTURE,
+            true => job.queued_at + job.max_wait(self.settings.max_wait),
+            false => job.queued_at + FAR_FUTURE,
         }
     }
 
@@ -302,9 +302,7 @@
             message: format!("no room in the log within {} ms", max_wait.as_millis()),
         };
         let now = Instant::now();
-        self.fail_jobs(&error, |job| {
-            now >= job.submitted_at + job.max_wait(max_wait)
-        });
+        self.fail_jobs(&error, |job| now >= job.queued_at + job.max_wait(max_wait));
         let expiries = self.jobs.iter().map(|job| self.expires_at(job));
         self.earliest_expiry = expiries.min().unwrap_or(now + FAR_FUTURE);
     }
