--- a/crates/oatdale-journal/examples/rates.rs
+++ b/crates/oatdale-journal/examples/rates.rs
@@ -1,12 +1,14 @@
-//! Calls a second at the key-value service against requests and appenders, on a paused clock.
+//! Measures the call rate at the key-value service for several request rates and numbers of nodes,
+//! on a paused clock.
 //!
-//! Each request writes one bill; one in a hundred also claims a key. "Forwarded" gives every
-//! record to the node that is preferred for its shard, as nodes do over the mesh; "direct" lets
-//! each node append for itself, as nodes do that can't reach one another. The stand-in answers in
-//! 4 ms and takes 300 writes and 2,000 reads a second. Same seed, same table.
+//! Each request writes one bill; one in a hundred also claims a key. In mode "forwarded" every
+//! record goes to the node that is preferred for its shard, as nodes do over the mesh; in mode
+//! "direct" each node appends its own records, as nodes do that can't reach one another. The
+//! simulated service responds in 4 ms and accepts 300 writes and 2,000 reads per second. Runs with
+//! the same seed print the same table.
 //!
-//! With the argument `growth` it shows instead how many bytes are written every 40 s while
-//! the number of remembered bills grows.
+//! With the argument `growth` it prints instead how many bytes are written every 40 s while the
+//! number of retained bills grows.
 
 use oatdale_fakes::{KvFaults, KvLimits, MemKv};
 use oatdale_journal::{
@@ -24,14 +26,14 @@
 const EPOCH_MS: u64 = 1_800_000_000_000;
 const RUN_SECONDS: u64 = 20;
 
-/// How records find an appender.
+/// Which node appends a record.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Mode {
     Forwarded,
     Direct,
 }
 
-/// What one run showed.
+/// Results of one run.
 #[derive(Default)]
 struct RunStats {
     bills: u64,
@@ -62,10 +64,11 @@
         .enable_time()
         .start_paused(true)
         .build();
-    rt.expect("a runtime with a clock only").block_on(run);
+    rt.expect("building a runtime without I/O must succeed")
+        .block_on(run);
 }
 
-/// Bytes that 8 nodes write at 1,000 req/s, forwarded, over five minutes.
+/// Prints the bytes that 8 nodes write at 1,000 req/s in mode forwarded, over five minutes.
 async fn growth() {
     let kv = MemKv::new(1);
     let start = Instant::now();
@@ -82,7 +85,7 @@
         let bytes = kv.counters().bytes - before.bytes;
         let writes = kv.counters().writes - before.writes;
         println!(
-            "{bills} bills: {writes} writes of {bytes} bytes, {} a bill",
+            "{bills} bills: {writes} writes of {bytes} bytes in total, {} bytes per bill",
             bytes / bills
         );
     }
@@ -123,10 +126,10 @@
     }
 }
 
-/// What lies at the service after a run in which nobody exported.
+/// Prints the sizes of the stored values after a run without an export.
 async fn print_sizes(kv: &MemKv, counts: &(u64, u64)) {
     let stored = kv.list("journal/", None, usize::MAX).await;
-    let stored = stored.expect("no fault is switched on");
+    let stored = stored.expect("listing fails only with injected faults");
     let count_and_bytes = |key_part: &str| -> (usize, usize) {
         let values = stored.iter().filter(|entry| entry.key.contains(key_part));
         let sizes = values.map(|entry| entry.value.len());
@@ -136,7 +139,7 @@
     let (pages, page_bytes) = count_and_bytes("/page/");
     println!(
         "           stored: {slots} segments of {} bytes on average, {pages} pages of {page_bytes} bytes \
-         in all; {} bills, {} claims",
+         in total; {} bills, {} claims",
         segment_bytes / slots.max(1),
         counts.0,
         counts.1
@@ -161,7 +164,7 @@
 }
 
 async fn run_load(handles: &[JournalHandle], mode: Mode, rate: u64, start: Instant) -> RunStats {
-    // The time makes the requests of a second call others than the first one's.
+    // Seeded with the elapsed time, so that a second call sends other requests than the first.
     let mut rng = Pcg64Mcg::seed_from_u64(start.elapsed().as_secs());
     let load_start = Instant::now();
     let mut tasks = Vec::new();
@@ -189,7 +192,7 @@
     }
     let mut stats = RunStats::default();
     for task in tasks {
-        let (claim, bill) = task.await.expect("requests don't panic");
+        let (claim, bill) = task.await.expect("request task must not panic");
         stats.add(claim, bill);
     }
     stats
@@ -202,7 +205,8 @@
     }
 }
 
-/// One request: its claim, if it has a key, and its bill, each with the time until it was durable.
+/// Sends one request: its claim, if it has a key, and its bill. Returns for each the milliseconds
+/// until it was durable.
 async fn send_request(
     bill_handle: JournalHandle,
     record: BillRecord,
--- a/crates/oatdale-journal/src/compact.rs
+++ b/crates/oatdale-journal/src/compact.rs
@@ -1,8 +1,9 @@
-//! Moves a shard's state and final bills to pages, so that the ring's slots can be used again.
+//! Compaction: writes a shard's state and final bills to pages, so that the ring's slots can be
+//! reused.
 //!
-//! The manifest alone says which pages count, and it is replaced by compare-and-swap. A page is
-//! listed first by the generation in its name. So a page that no longer is, or never was, listed
-//! by a manifest of its own or a later generation will never be again, and may be deleted.
+//! Only the pages that the manifest lists are valid; the manifest is replaced by compare-and-swap.
+//! A page's name contains the first generation that may list the page. So a page that a manifest
+//! of this or a later generation does not list will never be listed again, and may be deleted.
 
 use crate::error::{JournalError, Result};
 use crate::log::{Log, with_timeout};
@@ -12,30 +13,32 @@
 use log::{debug, info, warn};
 use oatdale_platform::{Condition, Kv, KvError, Put};
 
-/// How many pages of bills a manifest may list; more would not fit below a megabyte.
+/// Maximum number of bill pages in a manifest, so that the manifest stays below one megabyte.
 pub const MAX_BILL_PAGES: usize = 8_000;
 
-/// How many compactions may only add to the state before it is written as a whole again. Writing
-/// all of it each time would make bytes grow with what is remembered; never doing so would leave
-/// a fresh reader with ever more pages.
+/// Number of incremental compactions before the complete state is written again. Writing it each
+/// time would make the written bytes grow with the retained state; never writing it would make a
+/// new reader load ever more pages.
 const MAX_INCREMENTAL_COMPACTIONS: u64 = 64;
 
-/// Segments hold at most this many bytes before they go to pages.
+/// Size of uncompacted segments at which a compaction is due, in bytes.
 const MAX_UNCOMPACTED_BYTES: usize = 4_000_000;
 
-/// How often a lost answer to the manifest's write is asked after.
+/// Number of attempts to write a page or a manifest when the response is lost.
 const MAX_WRITE_ATTEMPTS: usize = 3;
 
 impl<K: Kv> Log<K> {
-    /// Whether it is time to compact.
+    /// Whether a compaction is due.
     pub(crate) fn needs_compaction(&self) -> bool {
         let segments = self.next_seq - self.manifest.next_seq;
         segments >= self.meta.slots / 2 || self.uncompacted_bytes >= MAX_UNCOMPACTED_BYTES
     }
 
-    /// Compacts up to where this process has read; false if another compactor was faster.
+    /// Compacts the log up to where this process has read it. Returns false if another compactor
+    /// was faster.
     pub(crate) async fn compact(&mut self) -> Result<bool> {
-        // One call here saves writing pages for nothing when another compactor is done already.
+        // Reading the manifest first avoids writing pages in vain when another compactor has
+        // already finished.
         let known_generation = self.manifest.generation;
         self.refresh_manifest().await?;
         if self.manifest.generation != known_generation {
@@ -82,7 +85,8 @@
         self.publish(manifest, &written_pages).await
     }
 
-    /// Replaces the manifest by one of the next generation and takes note of whichever won.
+    /// Tries to replace the manifest by one of the next generation, and keeps the one that won.
+    /// Returns whether `manifest` won.
     async fn publish(&mut self, manifest: Manifest, written_pages: &[String]) -> Result<bool> {
         let previous = std::mem::take(&mut self.manifest);
         match self.swap_manifest(&manifest).await {
@@ -108,7 +112,7 @@
                 Ok(false)
             }
             Err(error) => {
-                // Whether the swap took effect is open: read everything again before going on.
+                // The swap may have taken effect: reload the log before the next use.
                 self.manifest = previous;
                 self.invalidate();
                 Err(error)
@@ -116,7 +120,8 @@
         }
     }
 
-    /// Writes a manifest over the known one; false if somebody else did before.
+    /// Replaces the known manifest by `manifest`. Returns false if another writer replaced it
+    /// first.
     pub(crate) async fn swap_manifest(&mut self, manifest: &Manifest) -> Result<bool> {
         let key = manifest_key(self.shard);
         let value = bytes::Bytes::from(encode(manifest));
@@ -133,18 +138,22 @@
                 }
                 Ok(Put::Conflict(_)) => return self.is_stored(manifest).await,
                 Err(KvError::Unknown { message }) => {
-                    debug!("journal shard {}: manifest: {message}", self.shard.0);
+                    debug!(
+                        "journal shard {}: write of the manifest not confirmed: {message}",
+                        self.shard.0
+                    );
                 }
                 Err(error) => return Err(error.into()),
             }
         }
         Err(JournalError::Unavailable {
             retry_after: crate::error::RETRY_AFTER,
-            message: "no answer to the manifest's write".to_owned(),
+            message: "no response to the write of the manifest".to_owned(),
         })
     }
 
-    /// After a conflict: whether the write that won was this one, whose answer had been lost.
+    /// Whether the stored manifest is `manifest`. After a conflict this tells whether an earlier
+    /// attempt succeeded whose response was lost.
     async fn is_stored(&mut self, manifest: &Manifest) -> Result<bool> {
         let (stored, revision) = self.read_manifest().await?;
         let is_same = stored == *manifest;
@@ -154,7 +163,7 @@
         Ok(is_same)
     }
 
-    /// Reads the manifest again and drops what its pages cover.
+    /// Reads the manifest again and drops the entries and keys that its pages cover.
     pub(crate) async fn refresh_manifest(&mut self) -> Result<()> {
         let (manifest, revision) = self.read_manifest().await?;
         if manifest.next_seq > self.next_seq {
@@ -166,7 +175,7 @@
         self.entries.retain(|(seq, _)| *seq >= manifest.next_seq);
         self.changed_keys
             .retain(|(seq, _)| *seq >= manifest.next_seq);
-        // Also where all else is forgotten: which pages may be deleted is judged by it.
+        // Updated even after `invalidate`, since it decides which pages may be deleted.
         self.manifest = manifest;
         self.manifest_revision = revision;
         Ok(())
@@ -188,41 +197,43 @@
         Ok(written_pages)
     }
 
-    /// Writes one page. Nobody else uses its name, so a conflict means that an earlier try took
-    /// effect whose answer was lost.
+    /// Writes one page. Its name is unique, so a conflict means that an earlier attempt succeeded
+    /// whose response was lost.
     async fn write_page(&self, key: &str, page: bytes::Bytes) -> Result<()> {
         for _ in 0..MAX_WRITE_ATTEMPTS {
             let put = self.kv.put(key, page.clone(), Condition::Absent, None);
             match with_timeout(self.call_timeout, put).await {
                 Ok(Put::Stored(_)) => return Ok(()),
                 Ok(Put::Conflict(_)) => return self.verify_page(key, &page).await,
-                Err(KvError::Unknown { message }) => debug!("journal: page {key}: {message}"),
+                Err(KvError::Unknown { message }) => debug!("journal: writing {key}: {message}"),
                 Err(error) => return Err(error.into()),
             }
         }
         Err(JournalError::Unavailable {
             retry_after: crate::error::RETRY_AFTER,
-            message: format!("no answer to the write of {key}"),
+            message: format!("no response to the write of {key}"),
         })
     }
 
-    /// Makes sure that a page which was there already is this one. Two writers with one number
-    /// would otherwise lose each other's bills without a sign.
+    /// Checks that a page that already exists has this content. Otherwise two processes with the
+    /// same writer number would silently lose each other's bills.
     async fn verify_page(&self, key: &str, page: &[u8]) -> Result<()> {
         let stored = with_timeout(self.call_timeout, self.kv.get(key)).await?;
         match stored.is_some_and(|entry| *entry.value == *page) {
             true => Ok(()),
             false => Err(JournalError::Corrupt {
                 key: key.to_owned(),
-                message: "another writer has the same number".to_owned(),
+                message:
+                    "the page exists with other content: another process has the same writer number"
+                        .to_owned(),
             }),
         }
     }
 
-    /// Deletes those of some pages that the manifest does not list. A page may be listed although
-    /// this process saw its own manifest lose: the manifest won, its answer was lost, and another
-    /// compactor took its bills over. Whoever is reading a deleted page finds it missing and
-    /// starts again from the new manifest.
+    /// Deletes those of `pages` that the manifest does not list. A page may be listed although this
+    /// process saw its own manifest lose: its manifest was stored, the response was lost, and the
+    /// manifest of another compactor kept the bill pages. A reader that finds a page missing starts
+    /// again from the new manifest.
     async fn delete_unlisted_pages(&self, pages: &[String]) {
         let manifest = &self.manifest;
         for key in pages
@@ -230,12 +241,12 @@
             .filter(|key| manifest.is_obsolete(self.shard, key))
         {
             if let Err(error) = self.delete_page(key).await {
-                warn!("journal: page {key} is left for the export: {error}");
+                warn!("journal: page {key} not deleted, the next export will delete it: {error}");
             }
         }
     }
 
-    /// Deletes a page that no manifest lists any more.
+    /// Deletes a page that no manifest lists any more, if it exists.
     pub(crate) async fn delete_page(&self, key: &str) -> Result<()> {
         let stored = with_timeout(self.call_timeout, self.kv.get(key)).await?;
         if let Some(entry) = stored {
--- a/crates/oatdale-journal/src/duty.rs
+++ b/crates/oatdale-journal/src/duty.rs
@@ -1,4 +1,5 @@
-//! The journal's duty: it takes jobs from its handles and spreads them over the shards.
+//! The journal's background task, which receives jobs from the handles and dispatches them to the
+//! shards.
 
 use crate::error::JournalError;
 use crate::handle::JournalHandle;
@@ -15,35 +16,35 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep_until};
 
-/// Reads the wall clock.
+/// Function that returns the wall-clock time.
 pub type WallClock = Arc<dyn Fn() -> Millis + Send + Sync>;
 
-/// Shards that this node appends to for all nodes. It only sets the pace: whoever appends, the
-/// log stays right.
+/// Shards that this node appends to on behalf of all nodes. This only affects how often the node
+/// appends; the log is correct whichever node appends.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct Preferred(pub Vec<ShardId>);
 
-/// How the duty works.
+/// Settings of the journal's background task.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Settings {
-    /// What to store if this node is the first.
+    /// Shared settings to store if no node has stored any yet.
     pub meta: Meta,
-    /// Tells this incarnation of the node from every other; draw it at random.
+    /// Random number that identifies this incarnation of the node.
     pub writer: u64,
-    /// The shortest time between two appends to a shard that prefers this node.
+    /// Minimum interval between appends to a shard that this node is preferred for.
     pub preferred_pace: Duration,
-    /// The shortest time between two appends to any other shard.
+    /// Minimum interval between appends to any other shard.
     pub other_pace: Duration,
-    /// How long a call to the service may take.
+    /// Timeout of a call to the key-value service.
     pub call_timeout: Duration,
-    /// How long a claim or pin may wait in all; a bill waits five times as long.
+    /// Maximum total time that a claim or pin may wait; a bill may wait five times as long.
     pub max_wait: Duration,
-    /// How many jobs may wait, over all shards and for each.
+    /// Capacity of the shared job queue and of each shard's job queue.
     pub queue: usize,
 }
 
 impl Settings {
-    /// The usual settings of a node whose incarnation is `writer`.
+    /// Returns the default settings of a node whose incarnation is `writer`.
     pub fn new(writer: u64) -> Self {
         Settings {
             meta: Meta::default(),
@@ -57,7 +58,7 @@
     }
 }
 
-/// What [`run`] needs.
+/// The journal's background task, executed by [`run`].
 pub struct Duty<K> {
     kv: K,
     settings: Settings,
@@ -67,7 +68,7 @@
     meta: watch::Sender<Option<Meta>>,
 }
 
-/// Makes a journal: a handle to clone, and the duty to [`run`].
+/// Creates a journal: a handle that can be cloned, and the background task for [`run`].
 pub fn journal<K: Kv>(
     kv: K,
     settings: Settings,
@@ -91,7 +92,7 @@
     (handle, duty)
 }
 
-/// Runs the duty until all handles are gone and everything that waits has had its answer.
+/// Runs the journal until all handles are dropped and every queued job has been answered.
 pub async fn run<K: Kv>(mut duty: Duty<K>) {
     let Some(meta) = duty.wait_for_meta().await else {
         return;
@@ -108,14 +109,15 @@
 }
 
 impl<K: Kv> Duty<K> {
-    /// Asks for the journal's settings until they come, and refuses everything meanwhile.
+    /// Retries until the journal's shared settings are available, and fails all jobs meanwhile.
+    /// Returns `None` once all handles are dropped.
     async fn wait_for_meta(&mut self) -> Option<Meta> {
         loop {
             let error = match self.settings.meta.read_or_init(&self.kv).await {
                 Ok(meta) => return Some(meta),
                 Err(error) => error,
             };
-            warn!("journal: its settings can't be read yet: {error}");
+            warn!("journal: failed to read the shared settings: {error}");
             let retry_at = Instant::now() + crate::error::RETRY_AFTER;
             loop {
                 tokio::select! {
@@ -144,7 +146,7 @@
     }
 }
 
-/// Gives each job to its shard, or refuses it if too many wait there.
+/// Sends each job to its shard, or fails it if the shard's queue is full.
 async fn dispatch_jobs(mut jobs: mpsc::Receiver<Job>, shards: Vec<mpsc::Sender<Job>>, meta: Meta) {
     while let Some(job) = jobs.recv().await {
         let shard = job.record.shard(meta.shards);
--- a/crates/oatdale-journal/src/error.rs
+++ b/crates/oatdale-journal/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the journal could not do what it was asked.
+//! Errors of the journal.
 
 use crate::record::RequestId;
 use oatdale_platform::KvError;
@@ -8,72 +8,73 @@
 /// Result of a call to the journal.
 pub type Result<T, E = JournalError> = std::result::Result<T, E>;
 
-/// Why the journal could not do what it was asked.
+/// An error of a journal operation.
 #[derive(Clone, PartialEq, Eq, Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum JournalError {
-    /// The key-value service gives no answer. The record may still be written, so a claim that
-    /// ends this way is neither won nor lost: do not dispatch, and
-    /// [`release`](crate::JournalHandle::release) it.
-    #[snafu(display("the journal can't reach the key-value service: {message}"))]
+    /// The key-value service did not respond. The record may still be written, so a claim that
+    /// fails this way is neither won nor lost: do not dispatch the request, and
+    /// [`release`](crate::JournalHandle::release) the claim.
+    #[snafu(display("journal unavailable: {message}"))]
     Unavailable {
-        /// When asking again may help.
+        /// How long to wait before a retry.
         retry_after: Duration,
-        /// What was seen.
+        /// Description of the failure.
         message: String,
     },
-    /// The key-value service's rate limit refused a call.
-    #[snafu(display("the key-value service asks the journal to wait"))]
+    /// The key-value service rejected a call because of its rate limit.
+    #[snafu(display("the key-value service throttled the journal"))]
     Throttled {
-        /// How long to wait.
+        /// How long to wait before a retry.
         retry_after: Duration,
     },
-    /// More records wait than the duty takes.
-    #[snafu(display("too many records wait for the journal"))]
+    /// A queue of records that wait to be appended is full.
+    #[snafu(display("the journal's queue is full"))]
     Overloaded {
-        /// When asking again may help.
+        /// How long to wait before a retry.
         retry_after: Duration,
     },
-    /// The journal has forgotten whether the request has a bill, so it takes none.
-    #[snafu(display("the bill of request {request} comes after the journal forgot the request"))]
+    /// The retention period is over, so the journal can no longer tell whether the request has a
+    /// bill, and accepts none.
+    #[snafu(display("the bill of request {request} arrived after the retention period"))]
     TooLate {
         /// The request.
         request: RequestId,
     },
-    /// The request gave its claim back before.
-    #[snafu(display("request {request} gave its claim back"))]
+    /// The request released its claim earlier.
+    #[snafu(display("request {request} already released its claim"))]
     Released {
         /// The request.
         request: RequestId,
     },
-    /// A record alone is larger than a segment may be.
-    #[snafu(display("a record of {bytes} bytes is over the limit of {limit}"))]
+    /// A single record exceeds the size limit of records.
+    #[snafu(display("record of {bytes} bytes exceeds the limit of {limit} bytes"))]
     TooLarge {
-        /// Its size.
+        /// Size of the record in bytes.
         bytes: usize,
-        /// The limit.
+        /// The limit in bytes.
         limit: usize,
     },
-    /// A stored value can't be read; nobody but the journal may write below its prefix.
-    #[snafu(display("the value of {key} is not the journal's: {message}"))]
+    /// A stored value is not valid; only the journal may write below its prefix.
+    #[snafu(display("invalid journal value at {key}: {message}"))]
     Corrupt {
         /// The key.
         key: String,
-        /// What is wrong.
+        /// Why the value is invalid.
         message: String,
     },
-    /// As many pages wait for an export as a shard can list.
-    #[snafu(display("{pages} pages of bills wait for an export; export them"))]
+    /// The shard's manifest lists as many bill pages as it can; bills must be exported first.
+    #[snafu(display("the journal shard is full: {pages} pages of bills wait for an export"))]
     Full {
-        /// How many.
+        /// Number of bill pages that wait for an export.
         pages: usize,
     },
-    /// The duty has ended.
-    #[snafu(display("the journal's duty has ended"))]
+    /// The task that runs the journal has stopped.
+    #[snafu(display("the journal task has stopped"))]
     Stopped,
 }
 
-/// How long to wait when the service does not say.
+/// Retry delay where the key-value service gives none.
 pub(crate) const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl From<KvError> for JournalError {
@@ -95,7 +96,7 @@
         }
     }
 
-    /// When asking again may help, if it may.
+    /// How long to wait before a retry; `None` if a retry can't succeed.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             JournalError::Unavailable { retry_after, .. }
--- a/crates/oatdale-journal/src/export.rs
+++ b/crates/oatdale-journal/src/export.rs
@@ -1,4 +1,4 @@
-//! Takes final bills out of the journal.
+//! Export of final bills from the journal.
 
 use crate::error::{JournalError, Result};
 use crate::fold::Entry;
@@ -12,53 +12,54 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// How many pages one step of an export reads.
+/// Maximum number of bill pages in one ledger.
 const PAGES_PER_LEDGER: usize = 16;
 
-/// How many stored pages one look for leftovers reads.
+/// Number of pages that one listing returns in the search for orphaned pages.
 const ORPHAN_SCAN_PAGES: usize = 8;
 
-/// How often a racing compactor may get ahead.
+/// Maximum number of conflicts with concurrent compactions or exports before giving up.
 const MAX_CONFLICTS: usize = 20;
 
-/// One log makes fewer compactions than this many bits count.
+/// Number of low bits for one log's count of compactions; a log makes fewer than 2^16.
 const COMPACTION_COUNT_BITS: u32 = 16;
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Some of a shard's bills, final and in journal order.
+/// The oldest final bills of a shard, in journal order.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Ledger {
     /// The shard.
     pub shard: ShardId,
     /// Bills, one for each request.
     pub bills: Vec<Closing>,
-    /// Closings that came after the journal forgot their requests: for the operators to judge,
-    /// since each may have a bill or not.
+    /// Closings that arrived after their requests' retention period. Operators have to judge them,
+    /// since each request may or may not have a bill.
     pub late: Vec<Closing>,
-    /// When the shard's last segment was written, on the journal's clock.
+    /// Time of the shard's last segment on the journal's clock.
     pub until: Millis,
-    /// Whether the shard has more bills.
+    /// Whether the shard has more bills than this ledger.
     pub more: bool,
-    /// The pages that were read.
+    /// Keys of the pages that were read.
     pages: Vec<String>,
 }
 
-/// Exports from a journal, shard by shard.
+/// Exports a journal's bills shard by shard.
 pub struct Exporter<K> {
     kv: K,
     meta: Meta,
     writer: u64,
-    /// How often a log was begun; names of pages hold it, since a name must never come again.
+    /// Number of logs created. It is part of page names, which must never be reused.
     logs_created: AtomicU64,
 }
 
 impl<K: Kv> Exporter<K> {
-    /// Reads the journal's settings; `writer` is drawn at random for each exporter.
+    /// Creates an exporter from the journal's shared settings, which it stores if there are none.
+    /// `writer` must be a random number, different for each exporter.
     ///
     /// # Errors
     ///
-    /// [`Unavailable`](JournalError::Unavailable) if the service gives no answer.
+    /// [`Unavailable`](JournalError::Unavailable) if the service does not respond.
     pub async fn new(kv: K, writer: u64) -> Result<Self> {
         let meta = Meta::default().read_or_init(&kv).await?;
         Ok(Exporter {
@@ -69,13 +70,13 @@
         })
     }
 
-    /// The shards to export.
+    /// Returns the shards to export.
     pub fn shards(&self) -> impl Iterator<Item = ShardId> + use<K> {
         (0..self.meta.shards).map(ShardId)
     }
 
-    /// Reads the oldest bills of a shard, everything durable included. Nothing is removed: asking
-    /// again gives the same lines first, until they are [truncated](Self::truncate).
+    /// Reads the oldest bills of a shard, out of all that are durable. Nothing is removed: another
+    /// call returns the same bills first, until they are [truncated](Self::truncate).
     ///
     /// # Errors
     ///
@@ -95,11 +96,11 @@
         Err(too_many_conflicts())
     }
 
-    /// Removes just what a ledger holds. Call it once the ledger is safely kept elsewhere.
+    /// Removes exactly the bills of a ledger. Call it once the ledger is stored durably elsewhere.
     ///
     /// # Errors
     ///
-    /// Any [`JournalError`]; calling it again is safe.
+    /// Any [`JournalError`]; a retry is safe.
     pub async fn truncate(&self, ledger: &Ledger) -> Result<()> {
         let mut log = self.new_log(ledger.shard);
         for _ in 0..MAX_CONFLICTS {
@@ -126,7 +127,7 @@
         log
     }
 
-    /// Reads the oldest pages of bills; `None` if another export truncated one meanwhile.
+    /// Reads the oldest bill pages. Returns `None` if another export truncated one meanwhile.
     async fn read_ledger(&self, log: &Log<K>) -> Result<Option<Ledger>> {
         let bill_pages = &log.manifest.bills;
         let pages = bill_pages[..bill_pages.len().min(PAGES_PER_LEDGER)].to_vec();
@@ -154,8 +155,9 @@
         Ok(Some(ledger))
     }
 
-    /// Deletes pages that no manifest lists: truncated ones, and those of compactors that died.
-    /// A page of a later generation than the manifest's may still be on its way to be listed.
+    /// Deletes pages that no manifest lists: truncated ones, and those of compactors that failed.
+    /// Pages of a later generation than the manifest's are kept, since a manifest that lists them
+    /// may still be written.
     async fn delete_orphan_pages(&self, log: &Log<K>) -> Result<()> {
         let prefix = page_prefix(log.shard);
         let mut after: Option<String> = None;
@@ -188,6 +190,6 @@
 fn too_many_conflicts() -> JournalError {
     JournalError::Unavailable {
         retry_after: crate::error::RETRY_AFTER,
-        message: "other writers kept getting ahead".to_owned(),
+        message: "too many conflicts with concurrent compactions or exports".to_owned(),
     }
 }
--- a/crates/oatdale-journal/src/fold.rs
+++ b/crates/oatdale-journal/src/fold.rs
@@ -1,9 +1,9 @@
-//! What a shard's records add up to: pure, the same at every reader.
+//! The state of a shard as a deterministic fold of its records, the same at every reader.
 //!
-//! Time in the fold is the journal's own: each segment carries its writer's clock, and the fold's
-//! clock follows the highest one seen by at most [`MAX_TICK`] a segment. So all readers forget at
-//! the same place of the log, and neither an outage nor one wrong clock makes them forget in a
-//! rush.
+//! The fold has its own clock: each segment carries its writer's time, and the fold's clock follows
+//! the highest time seen by at most [`MAX_TICK`] per segment. So state expires at the same position
+//! of the log at every reader, and neither an outage nor a single wrong clock makes much of it
+//! expire at once.
 
 use crate::record::{
     BillRecord, ClaimKey, Closing, MicroUnits, Millis, Opening, Outcome, Pin, Record, RequestId,
@@ -11,20 +11,20 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How far one segment may move the fold's clock, in milliseconds.
+/// Maximum advance of the fold's clock per segment, in milliseconds.
 pub const MAX_TICK: u64 = 500;
 
-/// How long the journal remembers, in milliseconds of its clock; the same for all nodes.
+/// Retention periods in milliseconds of the journal's clock, the same for all nodes.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct Retention {
-    /// A claim, from its record on.
+    /// Retention of a claim, counted from its record.
     pub claims: u64,
-    /// A pin, from its record on.
+    /// Retention of a pin, counted from its record.
     pub pins: u64,
-    /// Whether a request has a bill, from its opening on. Must exceed the longest request, unless
-    /// its opening is in the journal.
+    /// Retention of the fact that a request has a bill, counted from the request's opening time.
+    /// Must exceed the longest duration of a request whose opening is not in the journal.
     pub bills: u64,
-    /// How long a request whose opening is in the journal may lack a closing.
+    /// Maximum time from the record of a request's opening to its closing.
     pub open: u64,
 }
 
@@ -40,41 +40,41 @@
     }
 }
 
-/// A claim that was won.
+/// A key's claim and the request that holds it.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct HeldClaim {
-    /// The request that won it.
+    /// The request that won the claim.
     pub by: RequestId,
-    /// When, on the journal's clock.
+    /// Time of the claim's record on the journal's clock.
     pub at: Millis,
-    /// How the request ended, if its node said so.
+    /// How the request ended, if its node recorded it.
     pub finished: Option<Outcome>,
 }
 
-/// A session's pin and its place in time.
+/// A session's pin and the time of its record.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub(crate) struct StoredPin {
     pub(crate) pin: Pin,
     pub(crate) at: Millis,
 }
 
-/// What became final when a segment was applied.
+/// A final entry produced by applying a segment.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub enum Entry {
     /// The one bill of a request.
     Bill(Closing),
-    /// A closing that came after the journal forgot its request; no bill.
+    /// A closing that arrived after its request's retention period; not a bill.
     Late(Closing),
 }
 
-/// What a bill record would do.
+/// The effect that a bill record would have.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum BillState {
-    /// The journal has it, or has a closing that came first.
+    /// None: the journal has the record, or an earlier closing of the request.
     Known,
-    /// It is news.
+    /// The record would change the state.
     New,
-    /// The request may have been forgotten.
+    /// The request's retention period is over.
     TooLate,
 }
 
@@ -87,14 +87,14 @@
     pub(crate) released: BTreeMap<RequestId, Millis>,
     pub(crate) pins: BTreeMap<SessionKey, StoredPin>,
     pub(crate) open: BTreeMap<RequestId, (Opening, Millis)>,
-    /// The open requests by the time of their record, oldest first.
+    /// Open requests ordered by the time of their record, oldest first.
     pub(crate) open_order: BTreeSet<(Millis, RequestId)>,
-    /// Requests that have their bill, with their opening times.
+    /// Requests that have a bill, with their opening times.
     pub(crate) settled: BTreeMap<RequestId, Millis>,
 }
 
 impl Fold {
-    /// The state of an empty shard.
+    /// Returns the state of an empty shard.
     pub fn new(retention: Retention) -> Self {
         Fold {
             retention,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Applies one segment that was written at `at` by its writer's clock.
+    /// Applies one segment; `at` is its writer's time. Returns the entries that became final.
     pub fn apply(&mut self, at: Millis, records: &[Record]) -> Vec<Entry> {
         self.advance_clock(at);
         let mut entries = self.close_overdue();
@@ -118,25 +118,25 @@
         entries
     }
 
-    /// The journal's time.
+    /// Returns the time of the journal's clock.
     pub fn clock(&self) -> Millis {
         self.clock
     }
 
-    /// Who holds a claim, unless it has expired.
+    /// Returns the claim of a key, unless it has expired.
     pub fn claim(&self, key: ClaimKey) -> Option<HeldClaim> {
         let held = self.claims.get(&key)?;
         self.is_retained(held.at, self.retention.claims)
             .then_some(*held)
     }
 
-    /// Whether a request gave its claim back.
+    /// Whether a request released its claim.
     pub fn is_released(&self, request: RequestId) -> bool {
         let at = self.released.get(&request);
         at.is_some_and(|at| self.is_retained(*at, self.retention.claims))
     }
 
-    /// A session's pin, unless it has expired.
+    /// Returns a session's pin, unless it has expired.
     pub fn pin(&self, session: SessionKey) -> Option<&Pin> {
         let pinned = self.pins.get(&session)?;
         self.is_retained(pinned.at, self.retention.pins)
@@ -148,14 +148,15 @@
         self.open.contains_key(&request)
     }
 
-    /// What a bill record would do if it were appended now.
+    /// Returns the effect that a bill record would have if it were appended now.
     pub fn bill_state(&self, record: &BillRecord) -> BillState {
         let request = record.request();
         let settled = self.settled.contains_key(&request);
         let open = self.open.contains_key(&request);
         let retained = self.is_retained(record.opened_at(), self.retention.bills);
         match record {
-            // Once the time is over a request counts as forgotten, also where it is still held.
+            // After the retention period a request counts as expired even if `purge` has not
+            // removed it yet.
             BillRecord::Open(_) if open => BillState::Known,
             BillRecord::Close(_) if open => BillState::New,
             _ if !retained => BillState::TooLate,
@@ -164,7 +165,7 @@
         }
     }
 
-    /// Drops what has expired; every question has the same answer before and after.
+    /// Removes expired state. All queries return the same before and after.
     pub fn purge(&mut self) {
         let Retention {
             claims,
@@ -193,7 +194,7 @@
         };
     }
 
-    /// Closes requests whose closing never came, so that an acknowledged opening gets its bill.
+    /// Closes requests whose closing is overdue, so that every acknowledged opening gets a bill.
     fn close_overdue(&mut self) -> Vec<Entry> {
         let mut entries = Vec::new();
         while let Some((at, request)) = self.open_order.first().copied() {
@@ -234,8 +235,8 @@
         }
     }
 
-    /// The first claim of a key wins. One whose request gave it back before is void: its write was
-    /// on its way when the request was refused, and nobody would ever use it.
+    /// The first claim of a key wins. A claim whose request was released earlier is ignored: its
+    /// write was in flight when the request was refused, and the claim would never be used.
     fn apply_claim(&mut self, key: ClaimKey, by: RequestId) {
         if self.claim(key).is_some() || self.is_released(by) {
             return;
@@ -290,7 +291,7 @@
     }
 }
 
-/// The bill of a request whose node and holders all vanished.
+/// Returns the closing of a request whose node and bill holders have all failed.
 fn interrupted_closing(opening: &Opening, now: Millis) -> Closing {
     Closing {
         request: opening.request,
--- a/crates/oatdale-journal/src/handle.rs
+++ b/crates/oatdale-journal/src/handle.rs
@@ -1,4 +1,4 @@
-//! What callers of the journal hold.
+//! Handle through which callers use the journal.
 
 use crate::error::{JournalError, Result};
 use crate::job::{Job, Reply};
@@ -11,28 +11,28 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::Instant;
 
-/// The largest record, in bytes of CBOR; a segment holds many.
+/// Maximum size of a record in bytes of CBOR; a segment holds many records.
 pub const MAX_RECORD: usize = 64_000;
 
-/// What became of a claim.
+/// Result of a claim.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Claim {
-    /// The request alone may be dispatched, once, and only before `dispatch_by`: after that the
-    /// key may have expired and been won again.
+    /// The request won the key. Only it may be dispatched, once, and only before `dispatch_by`:
+    /// after that the claim may have expired and another request may have won the key.
     Won {
-        /// The last moment to dispatch; check it right before.
+        /// Deadline of the dispatch; check it immediately before dispatching.
         dispatch_by: Instant,
     },
     /// Another request has the key.
     Lost {
-        /// That request.
+        /// The request that has the key.
         by: RequestId,
-        /// How it ended, if its node said so.
+        /// How that request ended, if its node recorded it.
         finished: Option<Outcome>,
     },
 }
 
-/// A cheap handle of the journal's duty.
+/// A handle to the journal's background task, cheap to clone.
 #[derive(Clone)]
 pub struct JournalHandle {
     pub(crate) jobs: mpsc::Sender<Job>,
@@ -40,7 +40,7 @@
 }
 
 impl JournalHandle {
-    /// Claims a key for a request that must run at most once.
+    /// Claims a key for a request that must be dispatched at most once.
     ///
     /// # Errors
     ///
@@ -52,58 +52,58 @@
         rx.await.unwrap_or(Err(JournalError::Stopped))
     }
 
-    /// Gives a claim back whose request was never dispatched and never will be, so that the
-    /// caller's next try need not wait until the claim expires. Returns at once; the duty keeps
-    /// it until the service has it.
+    /// Releases the claim of a request that was not and will not be dispatched, so that the
+    /// caller's retry need not wait until the claim expires. Returns immediately; the background
+    /// task keeps the record until it is stored.
     ///
     /// # Errors
     ///
-    /// [`Overloaded`](JournalError::Overloaded) if too much waits already; the claim then goes
-    /// when it expires.
+    /// [`Overloaded`](JournalError::Overloaded) if the queue is full; the claim then stays until
+    /// it expires.
     pub fn release(&self, key: ClaimKey, by: RequestId) -> Result<()> {
         self.submit(Record::Release { key, by }, Reply::None)
     }
 
-    /// Says how the request that holds a claim ended, for callers that ask again.
+    /// Records how the request that holds a claim ended, for callers that retry it.
     ///
     /// # Errors
     ///
-    /// [`Overloaded`](JournalError::Overloaded) if too much waits already.
+    /// [`Overloaded`](JournalError::Overloaded) if the queue is full.
     pub fn finish(&self, key: ClaimKey, by: RequestId, outcome: Outcome) -> Result<()> {
         self.submit(Record::Finish { key, by, outcome }, Reply::None)
     }
 
-    /// Pins a session to versions, unless it is pinned already; returns what holds.
+    /// Pins a session to versions unless it is already pinned. Returns the pin in effect.
     ///
     /// # Errors
     ///
-    /// After an error the pin may or may not hold; asking again is safe.
+    /// After an error the pin may or may not be in effect; a retry is safe.
     pub async fn pin(&self, session: SessionKey, pin: Pin) -> Result<Pin> {
         let (tx, rx) = oneshot::channel();
         self.submit(Record::Pin { session, pin }, Reply::Pin(tx))?;
         rx.await.unwrap_or(Err(JournalError::Stopped))
     }
 
-    /// Writes bill records and returns once all are durable.
+    /// Writes bill records. Returns once all of them are durable.
     ///
     /// # Errors
     ///
-    /// The first error of any record. Some records may be durable; writing them again is safe.
-    /// [`TooLate`](JournalError::TooLate) is final.
+    /// The error of the first record that failed. Some records may be durable; writing them again
+    /// is safe. [`TooLate`](JournalError::TooLate) is permanent.
     pub async fn bill(&self, records: Vec<BillRecord>) -> Result<()> {
         let writes: Vec<_> = records.into_iter().map(|r| self.bill_one(r)).collect();
         let results = join_all(writes).await;
         results.into_iter().collect()
     }
 
-    /// The shard of a claim's key, once the journal's settings are known; the node that is
-    /// preferred for it answers fastest.
+    /// Returns the shard of a claim's key, or `None` until the journal's shared settings are known.
+    /// The node that is preferred for the shard answers fastest.
     pub fn shard_of_claim(&self, key: ClaimKey) -> Option<ShardId> {
         let by = RequestId(0);
         self.shard_of(&Record::Claim { key, by })
     }
 
-    /// The shard of a session's pin.
+    /// Returns the shard of a session's pin, or `None` until the shared settings are known.
     pub fn shard_of_pin(&self, session: SessionKey) -> Option<ShardId> {
         let pin = Pin {
             versions: Vec::new(),
@@ -112,12 +112,12 @@
         self.shard_of(&Record::Pin { session, pin })
     }
 
-    /// The shard of a bill record.
+    /// Returns the shard of a bill record, or `None` until the shared settings are known.
     pub fn shard_of_bill(&self, record: &BillRecord) -> Option<ShardId> {
         self.shard_of(&Record::Bill(record.clone()))
     }
 
-    /// What all nodes agreed on, once the service has told.
+    /// Returns the journal's shared settings, or `None` until they have been read.
     pub fn meta(&self) -> Option<Meta> {
         *self.meta.borrow()
     }
--- a/crates/oatdale-journal/src/job.rs
+++ b/crates/oatdale-journal/src/job.rs
@@ -1,4 +1,4 @@
-//! A record that waits for the log, and the answer it gets from the fold.
+//! A record queued for the log, and its resolution from the fold.
 
 use crate::error::{JournalError, Result};
 use crate::fold::{BillState, Fold};
@@ -8,30 +8,30 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Whom to tell.
+/// Channel that receives a job's result.
 pub(crate) enum Reply {
     Claim(oneshot::Sender<Result<Claim>>),
     Pin(oneshot::Sender<Result<Pin>>),
     Done(oneshot::Sender<Result<()>>),
-    /// Nobody; the job stays until the log has it.
+    /// No caller waits; the job stays queued until its record is in the log.
     None,
 }
 
-/// A record that waits for the log.
+/// A record queued for the log.
 pub(crate) struct Job {
     pub(crate) record: Record,
     pub(crate) bytes: usize,
     pub(crate) queued_at: Instant,
-    /// Whether the log's end was looked at since the job came.
+    /// Whether the log was read to its end since the job was submitted.
     pub(crate) log_end_read: bool,
     reply: Reply,
 }
 
-/// What the fold says of a job.
+/// How a job can be resolved with the state of the fold.
 pub(crate) enum Resolution {
-    /// It must be written.
+    /// The record must be written.
     Write,
-    /// The end of the log must be read before it can be answered.
+    /// The log must be read to its end before the job can be answered.
     ReadLog,
     Claim(Result<Claim>),
     Pin(Pin),
@@ -49,18 +49,19 @@
         }
     }
 
-    /// Whether a caller waits for the job before it can go on; bills only wait to be kept.
+    /// Whether a request is blocked until the job is answered. Bills are not urgent, since they
+    /// only have to become durable.
     pub(crate) fn is_urgent(&self) -> bool {
         !matches!(self.record, Record::Bill(_))
     }
 
-    /// Whether the job may be given up with an error; one that nobody waits for may not.
+    /// Whether a caller waits for the result. Only such a job may be failed with an error.
     pub(crate) fn has_caller(&self) -> bool {
         !matches!(self.reply, Reply::None)
     }
 
-    /// How long the job waits where a claim waits for `claim`. Nobody but a holder waits for a
-    /// bill, and giving one up only means that it is written again.
+    /// Returns how long the job may wait, given the limit for claims. Bills may wait longer: only
+    /// a node that holds the bill waits for them, and after a failure it writes them again.
     pub(crate) fn max_wait(&self, claim_max_wait: Duration) -> Duration {
         match self.record {
             Record::Bill(_) => claim_max_wait * 5,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Looks the answer up in a fold.
+    /// Resolves the job with the state of a fold.
     pub(crate) fn resolve(&self, fold: &Fold) -> Resolution {
         match &self.record {
             Record::Claim { key, by } => self.resolve_claim(fold.claim(*key), fold, *by),
@@ -101,7 +102,7 @@
     ) -> Resolution {
         match held {
             Some(held) if held.by == by => Resolution::Claim(Ok(self.won_claim(fold))),
-            // The holder may have given the key back since this process last read the log.
+            // The holder may have released the key since this process last read the log.
             Some(_) if !self.log_end_read => Resolution::ReadLog,
             Some(held) => Resolution::Claim(Ok(Claim::Lost {
                 by: held.by,
@@ -114,16 +115,17 @@
         }
     }
 
-    /// A claim may be used for a quarter of its retention, counted from before it was written.
+    /// Returns a won claim. Its dispatch deadline is a quarter of the claim retention after the job
+    /// was submitted, which precedes the record's write.
     fn won_claim(&self, fold: &Fold) -> Claim {
         let usable = Duration::from_millis(fold.retention.claims / 4);
         let dispatch_by = self.queued_at + usable;
         Claim::Won { dispatch_by }
     }
 
-    /// Answers the caller, if there is one and it still waits.
+    /// Sends the result to the caller, if one still waits.
     pub(crate) fn answer(self, resolution: Resolution) {
-        // A caller that has gone needs no answer; its record is in the log all the same.
+        // A failed send means that the caller no longer waits; its record is in the log anyway.
         let _ = match (self.reply, resolution) {
             (Reply::Claim(tx), Resolution::Claim(result)) => tx.send(result).is_ok(),
             (Reply::Pin(tx), Resolution::Pin(pin)) => tx.send(Ok(pin)).is_ok(),
@@ -132,7 +134,7 @@
         };
     }
 
-    /// Answers the caller with an error.
+    /// Sends an error to the caller, if one still waits.
     pub(crate) fn fail(self, error: JournalError) {
         let _ = match self.reply {
             Reply::Claim(tx) => tx.send(Err(error)).is_ok(),
--- a/crates/oatdale-journal/src/lib.rs
+++ b/crates/oatdale-journal/src/lib.rs
@@ -1,8 +1,8 @@
-//! Claims, pins and bills, kept in the platform's key-value service as a log that nobody owns.
+//! Claims, pins and bills, stored in the platform's key-value service as a log without a leader.
 //!
-//! Each shard is a log of segments; a segment is appended by compare-and-swap, and the first
-//! writer of a number wins. What the records add up to is computed by a pure [`Fold`], which is
-//! the same at every reader. docs/JOURNAL.md tells why it is so and how to run it.
+//! Each shard is a log of numbered segments. A segment is appended by compare-and-swap, and the
+//! first writer of a number wins. A deterministic [`Fold`] of the records gives the same state at
+//! every reader. docs/JOURNAL.md has the design rationale and the operation guide.
 //!
 //! ```
 //! use oatdale_fakes::MemKv;
--- a/crates/oatdale-journal/src/log.rs
+++ b/crates/oatdale-journal/src/log.rs
@@ -1,10 +1,11 @@
-//! One shard's log as one writer or reader follows it.
+//! One shard's log as seen by one writer or reader.
 //!
-//! The last segments lie in a ring of slots. Appending segment `n` replaces segment `n - slots`
-//! in its slot, on condition that the slot still has that segment's revision (or none, in the
-//! first round). Of several writers one wins, and a write that was on its way for however long
-//! loses, since a slot's revision never comes back. Deleting old segments and creating new keys
-//! if absent would not give that: a delayed create would succeed again on a deleted key.
+//! The latest segments are stored in a ring of slots. Appending segment `n` replaces segment
+//! `n - slots` in its slot, on condition that the slot still has that segment's revision (or does
+//! not exist yet, in the first round). Of several concurrent writers one wins, and a write that
+//! arrives late fails however long it was delayed, since a slot never returns to an earlier
+//! revision. Deleting old segments and creating new keys if absent would not guarantee this: a
+//! delayed create would succeed once the key has been deleted.
 
 use crate::error::{JournalError, RETRY_AFTER, Result};
 use crate::fold::{Entry, Fold};
@@ -17,60 +18,60 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// How many slots a look at the log's end asks for when nothing suggests that there is more.
+/// Number of slots to list at the log's end when no further segments are expected.
 const SHORT_READ_SLOTS: usize = 2;
 
-/// How many it asks for when there is more to read, or when this process writes one segment after
-/// the other and so profits from knowing the slots ahead.
+/// Number of slots to list when more segments follow, or when this process wrote the last segment:
+/// a process that appends repeatedly needs the revisions of the slots ahead.
 const LONG_READ_SLOTS: usize = 16;
 
-/// How often a look starts again from the pages because compactors were faster.
+/// Maximum number of times that a read restarts from the pages because a compactor was faster.
 const MAX_RESTARTS: usize = 16;
 
-/// What is known of a slot.
+/// What this process knows about a slot.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Slot {
-    /// Nothing that an append could rely on.
+    /// The state is unknown, so no append may use the slot.
     Unknown,
-    /// It was never written.
+    /// The slot has never been written.
     Absent,
-    /// Its last segment has this revision.
+    /// The slot holds a segment with this revision.
     Occupied(ModRevision),
 }
 
-/// What became of an append.
+/// Result of an append.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum AppendOutcome {
-    /// The segment is in the log.
+    /// The segment is stored in the log.
     Stored,
-    /// Another segment took its place, or the answer was lost: read on, then look again.
+    /// Another segment has the number, or the response was lost: read the log to find out.
     Unconfirmed,
 }
 
-/// A shard as this process knows it.
+/// A shard's log and state as far as this process has read them.
 pub(crate) struct Log<K> {
     pub(crate) kv: K,
     pub(crate) shard: ShardId,
     pub(crate) meta: Meta,
     pub(crate) writer: u64,
-    /// How long any one call may take.
+    /// Timeout of a single call to the key-value service.
     pub(crate) call_timeout: Duration,
     pub(crate) fold: Fold,
-    /// The number that the next segment will have.
+    /// Number of the next segment.
     pub(crate) next_seq: u64,
     pub(crate) manifest: Manifest,
     pub(crate) manifest_revision: Option<ModRevision>,
-    /// What became final since the manifest, with its segment's number.
+    /// Final bills and late closings that the manifest does not cover, with their segment numbers.
     pub(crate) entries: Vec<(u64, Entry)>,
-    /// What may have changed since the manifest, with its segment's number.
+    /// Keys that may have changed since the manifest, with their segment numbers.
     pub(crate) changed_keys: Vec<(u64, StateKey)>,
-    /// Bytes of the segments since the manifest.
+    /// Size of the segments that the manifest does not cover.
     pub(crate) uncompacted_bytes: usize,
-    /// Counts this process's compactions, whatever became of them.
+    /// Number of compactions that this process started, including failed ones.
     pub(crate) compaction_attempts: u64,
     slots: Vec<Slot>,
     loaded: bool,
-    /// Whether the last segment is this process's.
+    /// Whether this process wrote the last segment.
     wrote_last_segment: bool,
 }
 
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Reads everything up to the log's end.
+    /// Reads the log up to its end.
     pub(crate) async fn catch_up(&mut self) -> Result<()> {
         for _ in 0..MAX_RESTARTS {
             if !self.loaded && !self.load().await? {
@@ -121,21 +122,22 @@
         }
         Err(JournalError::Unavailable {
             retry_after: RETRY_AFTER,
-            message: "others write faster than this process reads".to_owned(),
+            message: "other writers append faster than this process reads the log".to_owned(),
         })
     }
 
-    /// Whether the next append needs no reading first.
+    /// Whether the log can be appended to without reading first.
     pub(crate) fn is_at_end(&self) -> bool {
         self.loaded && self.slots[self.next_slot()] != Slot::Unknown
     }
 
-    /// Whether the ring has no slot whose segment is on a page.
+    /// Whether the ring is full: no page covers any of its segments, so none may be replaced.
     pub(crate) fn is_full(&self) -> bool {
         self.next_seq >= self.manifest.next_seq + self.meta.slots
     }
 
-    /// Tries to write the next segment. The log must be at its end and the ring not full.
+    /// Tries to write the next segment. Requires that the log was read to its end and that the
+    /// ring is not full.
     pub(crate) async fn append(&mut self, at: Millis, records: &[Record]) -> Result<AppendOutcome> {
         let slot = self.next_slot();
         let cond = match self.slots[slot] {
@@ -152,8 +154,8 @@
         let value = encode(&segment);
         let bytes = value.len();
         let key = slot_key(self.shard, slot as u64);
-        // Until an answer says what the slot holds, nothing may be assumed of it: not even a
-        // dropped call is sure to be without effect.
+        // The slot's state is unknown until a response arrives: even a cancelled call may have
+        // taken effect.
         self.slots[slot] = Slot::Unknown;
         let put = self.kv.put(&key, value.into(), cond, None);
         match with_timeout(self.call_timeout, put).await {
@@ -165,7 +167,7 @@
             Ok(Put::Conflict(_)) => Ok(AppendOutcome::Unconfirmed),
             Err(KvError::Unknown { message }) => {
                 debug!(
-                    "journal shard {}: segment {}: {message}",
+                    "journal shard {}: append of segment {} not confirmed: {message}",
                     self.shard.0, self.next_seq
                 );
                 Ok(AppendOutcome::Unconfirmed)
@@ -174,7 +176,8 @@
         }
     }
 
-    /// Reads a manifest and its state; false if a compactor was faster.
+    /// Loads the manifest and its state pages. Returns false if a compactor deleted one of them
+    /// meanwhile.
     async fn load(&mut self) -> Result<bool> {
         let (manifest, revision) = self.read_manifest().await?;
         let mut fold = Fold::new(self.meta.retention);
@@ -203,7 +206,8 @@
         }
     }
 
-    /// Reads some slots from the next one on; true at the log's end.
+    /// Reads up to `slot_count` slots from the next one on. Returns true once the log's end is
+    /// reached.
     async fn read_slots(&mut self, slot_count: usize) -> Result<bool> {
         let first_slot = self.next_slot();
         let prefix = slot_prefix(self.shard);
@@ -218,7 +222,8 @@
             let expected_key = slot_key(self.shard, slot as u64);
             let entry = listed.next_if(|entry| entry.key == expected_key);
             match entry {
-                // Past the end, slots still hold the round before, which the next appends replace.
+                // Slots past the end still hold segments of the previous round, which the next
+                // appends replace.
                 Some(entry) if at_end => self.slots[slot] = Slot::Occupied(entry.revision),
                 Some(entry) => at_end = self.apply_slot(slot, &entry)?,
                 None => {
@@ -230,7 +235,7 @@
         Ok(at_end)
     }
 
-    /// Takes in one slot; true if the log ends before it.
+    /// Applies one slot's segment. Returns true if the log ends before it.
     fn apply_slot(&mut self, slot: usize, entry: &KvEntry) -> Result<bool> {
         let segment: WireSegment = decode(&entry.key, &entry.value)?;
         match segment.seq {
@@ -246,7 +251,8 @@
                 Ok(true)
             }
             _ => {
-                // Others wrote a whole round meanwhile; the pages hold what was overwritten.
+                // Other writers went once around the ring meanwhile; the pages cover the
+                // overwritten segments.
                 self.invalidate();
                 Ok(true)
             }
@@ -277,19 +283,19 @@
         self.meta.slot_of(self.next_seq) as usize
     }
 
-    /// Forgets everything; the next [`catch_up`](Log::catch_up) starts from the pages.
+    /// Makes the next [`catch_up`](Log::catch_up) reload the manifest and the pages.
     pub(crate) fn invalidate(&mut self) {
         self.loaded = false;
     }
 }
 
-/// Bounds a call: one whose time runs out may have had an effect.
+/// Limits a call's duration. A call that times out may have taken effect.
 pub(crate) async fn with_timeout<T>(
     limit: Duration,
     call: impl Future<Output = oatdale_platform::Result<T>>,
 ) -> oatdale_platform::Result<T> {
     let timed_out = |_| KvError::Unknown {
-        message: format!("no answer within {} ms", limit.as_millis()),
+        message: format!("no response within {} ms", limit.as_millis()),
     };
     timeout(limit, call).await.map_err(timed_out)?
 }
--- a/crates/oatdale-journal/src/meta.rs
+++ b/crates/oatdale-journal/src/meta.rs
@@ -1,4 +1,4 @@
-//! What all nodes agree on, and where the journal's values lie.
+//! Shared settings of the journal, and the keys of its values.
 
 use crate::error::Result;
 use crate::fold::Retention;
@@ -6,17 +6,18 @@
 use crate::wire::{Manifest, WireMeta, decode, encode};
 use oatdale_platform::{Condition, Kv, KvError};
 
-/// The key of what all nodes agree on.
+/// Key of the settings shared by all nodes.
 const META_KEY: &str = "journal/meta";
 
-/// What the first node fixes for all; later nodes take what is stored, whatever their settings.
+/// Settings shared by all nodes. The first node stores them; later nodes use the stored ones and
+/// ignore their own.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Meta {
-    /// How many independent logs there are.
+    /// Number of shards; each is an independent log.
     pub shards: u16,
-    /// How many segments a shard holds beside its pages.
+    /// Number of slots in a shard's ring of segments.
     pub slots: u64,
-    /// How long the journal remembers.
+    /// Retention periods of the journal's state.
     pub retention: Retention,
 }
 
@@ -31,17 +32,18 @@
 }
 
 impl Meta {
-    /// Reads what is stored, or stores `self` if nothing is. Two calls at most, once for a node.
+    /// Returns the stored settings, or stores `self` if there are none. Makes one call if settings
+    /// are stored, else three; each node does this once.
     ///
     /// # Errors
     ///
-    /// [`Unavailable`](crate::JournalError::Unavailable) if the service gives no answer.
+    /// [`Unavailable`](crate::JournalError::Unavailable) if the service does not respond.
     pub async fn read_or_init(self, kv: &impl Kv) -> Result<Meta> {
         if let Some(entry) = kv.get(META_KEY).await? {
             return Ok(decode::<WireMeta>(META_KEY, &entry.value)?.into());
         }
         let value = encode(&WireMeta::from(self)).into();
-        // A lost race and a lost answer look alike here: the stored value is the truth.
+        // Whether the write succeeded, conflicted or lost its response, the stored value counts.
         match kv.put(META_KEY, value, Condition::Absent, None).await {
             Ok(_) | Err(KvError::Unknown { .. }) => {}
             Err(error) => return Err(error.into()),
@@ -49,13 +51,13 @@
         match kv.get(META_KEY).await? {
             Some(entry) => Ok(decode::<WireMeta>(META_KEY, &entry.value)?.into()),
             None => Err(KvError::Unavailable {
-                message: "the journal's settings are not stored yet".to_owned(),
+                message: "no journal settings stored at journal/meta yet".to_owned(),
             }
             .into()),
         }
     }
 
-    /// The slot of a segment's number; the ring is the log's last segments.
+    /// Returns the slot of the segment with number `seq`; the ring holds the log's last segments.
     pub(crate) fn slot_of(&self, seq: u64) -> u64 {
         seq % self.slots
     }
@@ -77,9 +79,9 @@
     format!("journal/{:04}/page/", shard.0)
 }
 
-/// Pages are named by the manifest's generation that first lists them, by their writer and by its
-/// count of attempts, so that no page is ever written with a second content: a manifest that was
-/// on its way for long might list it.
+/// Returns a page's key: the generation of the manifest that first lists it, its writer and the
+/// writer's number of compaction attempts. No key is ever written with different content, since a
+/// delayed write of a manifest might still list it.
 pub(crate) fn page_key(
     shard: ShardId,
     generation: u64,
@@ -90,7 +92,7 @@
     format!("{prefix}{generation:016x}-{writer:016x}-{attempt}-{index:04}")
 }
 
-/// The generation in a page's name.
+/// Returns the generation in a page's key.
 fn page_generation(shard: ShardId, key: &str) -> Option<u64> {
     let name = key.strip_prefix(&page_prefix(shard))?;
     let (generation, _) = name.split_once('-')?;
@@ -98,8 +100,8 @@
 }
 
 impl Manifest {
-    /// Whether a page is not listed now and never will be again, so that it may be deleted. A
-    /// page of a later generation may be on its way to be listed.
+    /// Whether a page is not listed and never will be again, so that it may be deleted. A page of a
+    /// later generation is not obsolete, since a manifest that lists it may still be written.
     pub(crate) fn is_obsolete(&self, shard: ShardId, page: &str) -> bool {
         let not_newer = page_generation(shard, page).is_some_and(|g| g <= self.generation);
         let mut listed = self.state.iter().chain(&self.bills);
--- a/crates/oatdale-journal/src/page.rs
+++ b/crates/oatdale-journal/src/page.rs
@@ -1,4 +1,4 @@
-//! Pages: a shard's state and its final bills, each below the service's limit for a value.
+//! Pages of a shard's state and of its final bills, each below the service's value size limit.
 
 use crate::error::Result;
 use crate::fold::{Entry, Fold, StoredPin};
@@ -6,10 +6,10 @@
 use crate::wire::{WireItem, decode_items, encode, held_claim, join_key};
 use std::collections::BTreeSet;
 
-/// The size that a page may reach; the service takes a megabyte.
+/// Maximum size of a page in bytes; the service accepts values of up to a megabyte.
 pub(crate) const MAX_PAGE_BYTES: usize = 900_000;
 
-/// Packs items into as few pages as hold them.
+/// Packs encoded items into pages in order, and starts a new page when the next item does not fit.
 pub(crate) fn pack_pages(items: impl Iterator<Item = WireItem>) -> Vec<Vec<u8>> {
     let mut pages: Vec<Vec<u8>> = Vec::new();
     for item in items {
@@ -22,7 +22,7 @@
     pages
 }
 
-/// The items that [`apply_state_page`] makes the fold of again.
+/// Returns the items from which [`apply_state_page`] rebuilds the fold.
 pub(crate) fn state_items(fold: &Fold) -> impl Iterator<Item = WireItem> {
     let clock = std::iter::once(WireItem::Clock(fold.clock.0));
     let claims = fold.claims.iter().map(|(k, h)| WireItem::claim(*k, h));
@@ -41,7 +41,7 @@
         .chain(settled)
 }
 
-/// What a record or an entry may have changed in the fold.
+/// Key of the fold's state that a record or an entry may have changed.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(crate) enum StateKey {
     Claim(ClaimKey),
@@ -51,7 +51,7 @@
 }
 
 impl StateKey {
-    /// What a record may change.
+    /// Returns the keys that a record may change.
     pub(crate) fn of_record(record: &Record) -> impl Iterator<Item = StateKey> {
         let (first, second) = match record {
             Record::Claim { key, .. } | Record::Finish { key, .. } => (StateKey::Claim(*key), None),
@@ -62,14 +62,15 @@
         std::iter::once(first).chain(second)
     }
 
-    /// What became final; it may have come from no record.
+    /// Returns the key of a final entry, which need not come from a record.
     pub(crate) fn of_entry(entry: &Entry) -> StateKey {
         match entry {
             Entry::Bill(closing) | Entry::Late(closing) => StateKey::Request(closing.request),
         }
     }
 
-    /// The item that makes a fold with the state before like `fold`, if one is needed.
+    /// Returns the item that brings this key from its previous state to its state in `fold`, if one
+    /// is needed.
     fn delta_item(self, fold: &Fold) -> Option<WireItem> {
         match self {
             StateKey::Claim(key) => Some(match fold.claims.get(&key) {
@@ -95,7 +96,7 @@
     }
 }
 
-/// The items that add what was touched to pages of the state before.
+/// Returns the items that bring the previous state pages up to date for the changed keys.
 pub(crate) fn delta_items(
     fold: &Fold,
     changed_keys: impl Iterator<Item = StateKey>,
@@ -105,7 +106,7 @@
     clock.chain(changed_keys.into_iter().filter_map(|t| t.delta_item(fold)))
 }
 
-/// Adds a page of state to a fold.
+/// Applies a state page to a fold.
 pub(crate) fn apply_state_page(fold: &mut Fold, key: &str, bytes: &[u8]) -> Result<()> {
     for item in decode_items(key, bytes)? {
         apply_item(fold, item);
@@ -113,7 +114,7 @@
     Ok(())
 }
 
-/// Reads a page of bills.
+/// Decodes a bill page.
 pub(crate) fn decode_bill_page(key: &str, bytes: &[u8]) -> Result<Vec<Entry>> {
     let entry = |item| match item {
         WireItem::Bill(closing) => Some(Entry::Bill(closing.into())),
@@ -162,7 +163,7 @@
             }
             fold.settled.insert(request, Millis(opened));
         }
-        // Bills stand on pages of their own.
+        // Bills are stored on separate pages.
         WireItem::Bill(_) | WireItem::Late(_) => {}
     }
 }
--- a/crates/oatdale-journal/src/record.rs
+++ b/crates/oatdale-journal/src/record.rs
@@ -1,16 +1,16 @@
-//! What the journal keeps.
+//! Records of the journal and the types they consist of.
 
 use std::fmt;
 
-/// Names one request of one caller; unique over all nodes and their incarnations.
+/// Identifier of a request, unique across all nodes and their incarnations.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct RequestId(pub u128);
 
-/// A digest of a customer's name and its caller's `Idempotency-Key`.
+/// Digest of a customer's name and the `Idempotency-Key` that its caller sent.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct ClaimKey(pub [u8; 32]);
 
-/// A digest of a customer's name and the name that its caller gave a session.
+/// Digest of a customer's name and the session name that its caller sent.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct SessionKey(pub [u8; 32]);
 
@@ -25,14 +25,14 @@
 /// How a request ended.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub enum Outcome {
-    /// The caller got its whole answer.
+    /// The caller received the complete response.
     Complete,
-    /// The answer broke off, or the node that served it vanished.
+    /// The response was cut off, or the node that served it failed.
     Interrupted,
 }
 
-/// The news that a request was dispatched, so that it will have a bill whatever becomes of its
-/// node.
+/// Record of a request's dispatch, which ensures that the request gets a bill even if its node
+/// fails.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct Opening {
     /// The request.
@@ -45,7 +45,7 @@
     pub opened_at: Millis,
 }
 
-/// A request's bill, as its node or a holder closes it.
+/// A request's bill, written by its node or by another node that holds the bill for it.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct Closing {
     /// The request.
@@ -54,19 +54,19 @@
     pub customer: String,
     /// The service's name.
     pub service: String,
-    /// The version that gave the answer, such as `planner/2026-11`; `None` for plain services.
+    /// The version that served the request, such as `planner/2026-11`; `None` for plain services.
     pub version: Option<String>,
-    /// Tokens of prompt.
+    /// Prompt tokens.
     pub input_tokens: u64,
     /// Generated tokens.
     pub output_tokens: u64,
-    /// What the customer pays.
+    /// Price that the customer is charged.
     pub price: MicroUnits,
     /// How the request ended.
     pub outcome: Outcome,
-    /// When the request was first dispatched; the same in all records of a request.
+    /// When the request was first dispatched; identical in all records of a request.
     pub opened_at: Millis,
-    /// When it ended.
+    /// When the request ended.
     pub closed_at: Millis,
 }
 
@@ -79,33 +79,34 @@
     Close(Closing),
 }
 
-/// The versions that a session keeps.
+/// The versions that a session is pinned to.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct Pin {
-    /// Full names of versions, one for each model that the session uses.
+    /// Full version names, one for each model that the session uses.
     pub versions: Vec<String>,
-    /// When its first writer pinned it.
+    /// When the session was first pinned.
     pub opened_at: Millis,
 }
 
 /// One record of a segment.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub enum Record {
-    /// A request wants to be the only one of its key that is dispatched.
+    /// Claims a key, so that this request is the only one with the key to be dispatched.
     Claim {
         /// The key.
         key: ClaimKey,
         /// The request.
         by: RequestId,
     },
-    /// A request gives its claim back, or one that may still arrive: it will never be dispatched.
+    /// Releases a claim of a request that will never be dispatched. The claim's record may also
+    /// arrive later.
     Release {
         /// The key.
         key: ClaimKey,
         /// The request.
         by: RequestId,
     },
-    /// A request that holds a claim ended.
+    /// Records that the request that holds a claim has ended.
     Finish {
         /// The key.
         key: ClaimKey,
@@ -114,23 +115,23 @@
         /// How it ended.
         outcome: Outcome,
     },
-    /// A session's versions; only the first one counts.
+    /// Pins a session to versions; only the first pin of a session takes effect.
     Pin {
         /// The session.
         session: SessionKey,
         /// Its versions.
         pin: Pin,
     },
-    /// A bill's opening or closing.
+    /// Opens or closes a bill.
     Bill(BillRecord),
 }
 
-/// Where a segment was written: the shards are independent logs.
+/// Index of a shard; each shard is an independent log.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct ShardId(pub u16);
 
 impl BillRecord {
-    /// The request that it speaks of.
+    /// The request that the record is about.
     pub fn request(&self) -> RequestId {
         match self {
             BillRecord::Open(opening) => opening.request,
@@ -148,7 +149,7 @@
 }
 
 impl Record {
-    /// The shard of `shards` that the record belongs to; all records of a key share it.
+    /// The record's shard out of `shards`; all records of a key are in the same shard.
     pub fn shard(&self, shards: u16) -> ShardId {
         let key_hash = match self {
             Record::Claim { key, .. }
@@ -167,7 +168,7 @@
     }
 }
 
-/// FNV-1a; every node and every release must give the same shard for a key.
+/// FNV-1a hash. It must not change between nodes or releases, since it selects a key's shard.
 fn fnv1a(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
--- a/crates/oatdale-journal/src/shard.rs
+++ b/crates/oatdale-journal/src/shard.rs
@@ -1,4 +1,4 @@
-//! One shard's part of the duty: it gathers jobs into batches, one append under way.
+//! One shard's task: collects jobs into batches, with at most one append in flight.
 
 use crate::duty::{Preferred, Settings, WallClock};
 use crate::error::{JournalError, RETRY_AFTER, Result};
@@ -13,20 +13,20 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// A segment's records hold at most this many bytes.
+/// Maximum total size of a segment's records, in bytes.
 const MAX_SEGMENT_BYTES: usize = 256_000;
 
-/// The longest wait after the first lost race for a segment; it doubles with each further one.
+/// Maximum back-off after the first lost race for a segment; doubles with each further lost race.
 const BASE_BACK_OFF: Duration = Duration::from_millis(10);
 
-/// Stands for "never" where a clock needs a time.
+/// Stands for "never" where an `Instant` is needed.
 const FAR_FUTURE: Duration = Duration::from_secs(365 * 24 * 3600);
 
-/// How often the pace may be halved.
+/// Maximum number of times that the append interval is doubled.
 const MAX_INTERVAL_DOUBLINGS: u32 = 3;
 
-/// How far the journal's clock may be ahead of this host's, in milliseconds, before a log line
-/// says so.
+/// How far the journal's clock may be ahead of this host's, in milliseconds, before a warning is
+/// logged.
 const MAX_CLOCK_SKEW_MS: u64 = 60_000;
 
 pub(crate) struct Shard<K> {
@@ -37,15 +37,16 @@
     clock: WallClock,
     preferred: watch::Receiver<Preferred>,
     rng: Pcg64Mcg,
-    /// The next append may start then.
+    /// Earliest start of the next append.
     next_append: Instant,
-    /// How often the pace is halved because others append, or the service asks to wait.
+    /// How often the append interval is doubled, because other nodes append or the service
+    /// throttles.
     interval_doublings: u32,
-    /// Until then the service is taken to be down, and jobs are refused at once.
+    /// Until then the service is considered unavailable, and jobs are refused immediately.
     unavailable_until: Instant,
-    /// The next compaction may start then.
+    /// Earliest start of the next compaction, unless the ring is full.
     compact_after: Instant,
-    /// No later than the first moment at which a job has waited too long.
+    /// A time no later than the first expiry of a waiting job.
     earliest_expiry: Instant,
     rx_open: bool,
 }
@@ -86,7 +87,7 @@
                 Err(error) => {
                     self.mark_unavailable(&error);
                     if !self.rx_open {
-                        // Nobody waits for what is left, and the process is about to end.
+                        // No caller waits for the remaining jobs, and the process is shutting down.
                         return;
                     }
                 }
@@ -95,7 +96,8 @@
         }
     }
 
-    /// Collects jobs until the next append may start; false if there will be none.
+    /// Collects jobs until the next append may start. Returns false if there are none and the
+    /// channel is closed.
     async fn collect_jobs(&mut self) -> bool {
         if self.jobs.is_empty() {
             match self.rx.recv().await {
@@ -122,13 +124,13 @@
         !self.jobs.is_empty() || self.rx_open
     }
 
-    /// Takes a job in, or refuses it at once while the service is down.
+    /// Queues a job, or fails it immediately while the service is unavailable.
     fn accept(&mut self, job: Job) {
         let now = Instant::now();
         match now < self.unavailable_until && job.has_caller() {
             true => job.fail(JournalError::Unavailable {
                 retry_after: self.unavailable_until - now,
-                message: "no answer a moment ago".to_owned(),
+                message: "last operation on the shard failed and was not retried yet".to_owned(),
             }),
             false => {
                 self.earliest_expiry = self.earliest_expiry.min(self.expires_at(&job));
@@ -137,7 +139,7 @@
         }
     }
 
-    /// When a job is given up; never for one that nobody waits for.
+    /// Returns when a job expires; never if no caller waits for it.
     fn expires_at(&self, job: &Job) -> Instant {
         match job.has_caller() {
             true => job.queued_at + job.max_wait(self.settings.max_wait),
@@ -145,7 +147,8 @@
         }
     }
 
-    /// Answers what can be answered and appends the rest, until one append is through.
+    /// Answers the jobs that the fold resolves and appends the others, until one append succeeds or
+    /// no job is left.
     async fn process_jobs(&mut self) -> Result<()> {
         let mut lost_races = 0;
         loop {
@@ -175,7 +178,7 @@
         }
     }
 
-    /// Answers jobs from the fold; true if one needs a look at the log's end first.
+    /// Answers jobs from the fold. Returns true if a job needs the log to be read first.
     fn answer_from_fold(&mut self) -> bool {
         let mut must_read = false;
         for job in std::mem::take(&mut self.jobs) {
@@ -191,7 +194,7 @@
         must_read
     }
 
-    /// Reads the log to its end.
+    /// Reads the log to its end, and warns if the journal's clock is too far ahead.
     async fn read_to_end(&mut self) -> Result<()> {
         self.log.catch_up().await?;
         for job in &mut self.jobs {
@@ -200,7 +203,7 @@
         let (journal_clock, host_clock) = (self.log.fold.clock(), (self.clock)());
         if journal_clock.0 > host_clock.0.saturating_add(MAX_CLOCK_SKEW_MS) {
             warn!(
-                "journal shard {}: its clock is {} ms ahead of this host's",
+                "journal shard {}: the journal's clock is {} ms ahead of this host's clock",
                 self.log.shard.0,
                 journal_clock.0 - host_clock.0
             );
@@ -208,8 +211,9 @@
         Ok(())
     }
 
-    /// Compacts when it is time. A failure matters only once the ring is full; until then appends
-    /// go on and the next try waits, or this process would do nothing but try.
+    /// Compacts the log if a compaction is due. A failure is an error only once the ring is full;
+    /// until then appends continue and the retry is delayed, or this process would do nothing but
+    /// retry.
     async fn compact_if_due(&mut self) -> Result<()> {
         let deferred = Instant::now() < self.compact_after && !self.log.is_full();
         if deferred || !self.log.needs_compaction() {
@@ -221,7 +225,7 @@
             Err(error) if self.log.is_full() => Err(error),
             Err(error) => {
                 warn!(
-                    "journal shard {}: compaction put off: {error}",
+                    "journal shard {}: compaction failed and will be retried: {error}",
                     self.log.shard.0
                 );
                 Ok(())
@@ -229,7 +233,7 @@
         }
     }
 
-    /// The oldest jobs' records, urgent ones first, as many as a segment holds.
+    /// Returns the records of the oldest jobs, urgent ones first, as many as fit into a segment.
     fn next_batch(&self) -> Vec<Record> {
         let mut bytes = 0;
         let fits = |job: &&Job| {
@@ -242,8 +246,9 @@
         jobs.map(|job| job.record.clone()).collect()
     }
 
-    /// Waits a drawn time after the `lost`th lost race in a row, so that appenders don't meet
-    /// again. The wait grows, since many that lose at once are too many for the log's pace.
+    /// Waits a random time after `lost_races` consecutive lost races, so that appenders don't
+    /// collide again. The wait grows, since repeated losses mean that too many nodes append at
+    /// once.
     async fn back_off(&mut self, lost_races: u32) {
         if self.jobs.is_empty() {
             return;
@@ -253,7 +258,7 @@
             .min(self.append_interval())
             .mul_f64(self.rng.random());
         debug!(
-            "journal shard {}: lost {lost_races} races, waits {} ms",
+            "journal shard {}: lost {lost_races} append races in a row, backing off for {} ms",
             self.log.shard.0,
             wait.as_millis()
         );
@@ -261,15 +266,15 @@
         self.fail_expired();
     }
 
-    /// Puts the next append off because the service asked to wait. The time is drawn, since many
-    /// were told the same.
+    /// Delays the next append because the service throttles. Adds random jitter, since many nodes
+    /// may have received the same delay.
     fn delay_append(&mut self, retry_after: Duration) {
         self.interval_doublings = (self.interval_doublings + 1).min(MAX_INTERVAL_DOUBLINGS);
         let jitter = self.append_interval().mul_f64(self.rng.random());
         self.next_append = Instant::now() + retry_after + jitter;
     }
 
-    /// Follows how many others append: races mean that all of them ask too often.
+    /// Adapts the append interval to contention: lost races mean that nodes append too often.
     fn adjust_interval(&mut self, lost_races: u32) {
         self.interval_doublings = match lost_races {
             0 => self.interval_doublings.saturating_sub(1),
@@ -287,19 +292,22 @@
         append_interval * 2_u32.pow(self.interval_doublings)
     }
 
-    /// Refuses everything that a caller waits for, and everything that comes within a while.
+    /// Fails all jobs that callers wait for, and refuses new ones for [`RETRY_AFTER`].
     fn mark_unavailable(&mut self, error: &JournalError) {
         warn!("journal shard {}: {error}", self.log.shard.0);
         self.unavailable_until = Instant::now() + RETRY_AFTER;
         self.fail_jobs(error, |_| true);
     }
 
-    /// Refuses what has waited too long, such as for a race that others keep winning.
+    /// Fails jobs that have waited too long, for example because other writers keep winning.
     fn fail_expired(&mut self) {
         let max_wait = self.settings.max_wait;
         let error = JournalError::Unavailable {
             retry_after: RETRY_AFTER,
-            message: format!("no room in the log within {} ms", max_wait.as_millis()),
+            message: format!(
+                "no append within the maximum wait of {} ms",
+                max_wait.as_millis()
+            ),
         };
         let now = Instant::now();
         self.fail_jobs(&error, |job| now >= job.queued_at + job.max_wait(max_wait));
--- a/crates/oatdale-journal/src/wire.rs
+++ b/crates/oatdale-journal/src/wire.rs
@@ -1,4 +1,4 @@
-//! The journal's values as CBOR, with short names since every request writes some.
+//! CBOR encoding of the journal's values, with short field names since every request writes some.
 
 use crate::error::{JournalError, Result};
 use crate::fold::{Entry, HeldClaim, StoredPin};
@@ -38,11 +38,11 @@
     Close(WireClosing),
 }
 
-/// Request, customer, service, opened at.
+/// Request, customer, service, opening time.
 type WireOpening = (u128, String, String, u64);
 
-/// Request, customer, service, version, input tokens, output tokens, price, complete, opened at,
-/// closed at.
+/// Request, customer, service, version, input tokens, output tokens, price, complete, opening time,
+/// closing time.
 type WireClosing = (
     u128,
     String,
@@ -64,7 +64,7 @@
     Clock(u64),
     #[serde(rename = "c")]
     Claim(KeyHalves, u128, u64, Option<bool>),
-    /// The key is free again.
+    /// The key's claim was released.
     #[serde(rename = "u")]
     Unclaimed(KeyHalves),
     #[serde(rename = "r")]
@@ -81,30 +81,31 @@
     Late(WireClosing),
 }
 
-/// The list of a shard's pages; the only value that says which pages count.
+/// The list of a shard's pages; only the pages that it lists are valid.
 #[derive(Clone, Serialize, Deserialize, PartialEq, Eq, Debug, Default)]
 pub(crate) struct Manifest {
-    /// Counts the manifest's writes.
+    /// Number of writes of the manifest.
     #[serde(rename = "g")]
     pub(crate) generation: u64,
-    /// Who wrote it; with the generation it tells a writer whether a lost answer was its own.
+    /// The manifest's writer. With the generation it tells a writer whether its own write succeeded
+    /// when the response was lost.
     #[serde(rename = "w")]
     pub(crate) writer: u64,
-    /// The first segment that the pages do not cover.
+    /// Number of the first segment that the pages do not cover.
     #[serde(rename = "n")]
     pub(crate) next_seq: u64,
-    /// Names of the pages of state; each adds to those before.
+    /// Keys of the state pages; each one updates the state of those before.
     #[serde(rename = "s")]
     pub(crate) state: Vec<String>,
-    /// How many compactions only added to the state since it was last written as a whole.
+    /// Number of incremental compactions since the complete state was last written.
     #[serde(rename = "d", default)]
     pub(crate) incremental_compactions: u64,
-    /// Names of the pages of bills that nobody took yet, oldest first.
+    /// Keys of the bill pages that have not been exported and truncated yet, oldest first.
     #[serde(rename = "b")]
     pub(crate) bills: Vec<String>,
 }
 
-/// What all nodes must agree on; the first node writes it.
+/// The settings shared by all nodes; the first node writes them.
 #[derive(Clone, Copy, Serialize, Deserialize, PartialEq, Eq, Debug)]
 pub(crate) struct WireMeta {
     #[serde(rename = "s")]
@@ -131,7 +132,7 @@
     ciborium::from_reader(bytes).map_err(|e| corrupt(key, e))
 }
 
-/// Reads the items of a page, which stand one after the other.
+/// Decodes the items of a page, which are concatenated.
 pub(crate) fn decode_items(key: &str, mut bytes: &[u8]) -> Result<Vec<WireItem>> {
     let mut items = Vec::new();
     while !bytes.is_empty() {
@@ -293,7 +294,7 @@
     }
 }
 
-/// Two numbers take 34 bytes in CBOR where a list of 32 bytes takes up to 66.
+/// Splits a key into two numbers, which take 34 bytes in CBOR; a list of 32 bytes takes up to 66.
 fn split_key(bytes: [u8; 32]) -> KeyHalves {
     let (high, low) = bytes.split_at(16);
     let number = |half: &[u8]| half.iter().fold(0, |n, b| n << 8 | u128::from(*b));
@@ -319,23 +320,23 @@
 }
 
 impl BillRecord {
-    /// Writes the record as CBOR, for another node to hold.
+    /// Encodes the record as CBOR, for another node to hold.
     pub fn to_vec(&self) -> Vec<u8> {
         encode(&WireRecord::from(&Record::Bill(self.clone())))
     }
 
-    /// Reads what [`to_vec`](Self::to_vec) wrote.
+    /// Decodes a record that [`to_vec`](Self::to_vec) encoded.
     ///
     /// # Errors
     ///
-    /// [`Corrupt`](JournalError::Corrupt) if it is anything else.
+    /// [`Corrupt`](JournalError::Corrupt) if `bytes` is anything else.
     pub fn from_slice(bytes: &[u8]) -> Result<Self> {
-        const HELD_BILL_KEY: &str = "a held bill";
+        const HELD_BILL_KEY: &str = "held bill record";
         match Record::from(decode::<WireRecord>(HELD_BILL_KEY, bytes)?) {
             Record::Bill(record) => Ok(record),
             _ => Err(JournalError::Corrupt {
                 key: HELD_BILL_KEY.to_owned(),
-                message: "it is another record".to_owned(),
+                message: "expected a bill record, got a record of another kind".to_owned(),
             }),
         }
     }
