--- a/crates/oatdale-journal/examples/rates.rs
+++ b/crates/oatdale-journal/examples/rates.rs
@@ -1,12 +1,14 @@
-//! Calls a second at the key-value service against requests and appenders, on a paused clock.
+//! Measures the call rate at the key-value service for several request rates and numbers of nodes,
+//! on a paused clock.
 //!
-//! Each request writes one bill; one in a hundred also claims a key. "Forwarded" gives every
-//! record to the node that is preferred for its shard, as nodes do over the mesh; "direct" lets
-//! each node append for itself, as nodes do that can't reach one another. The stand-in answers in
-//! 4 ms and takes 300 writes and 2,000 reads a second. Same seed, same table.
+//! Each request writes one bill; one in a hundred also claims a key. In mode "forwarded" every
+//! record goes to the node that is preferred for its shard, as nodes do over the mesh; in mode
+//! "direct" each node appends its own records, as nodes do that can't reach one another. The
+//! simulated service responds in 4 ms and accepts 300 writes and 2,000 reads per second. Runs with
+//! the same seed print the same table.
 //!
-//! With the argument `growth` it shows instead how many bytes are written every 40 s while
-//! the number of remembered bills grows.
+//! With the argument `growth` it prints instead how many bytes are written every 40 s while the
+//! number of retained bills grows.
 
 use oatdale_fakes::{KvFaults, KvLimits, MemKv};
 use oatdale_journal::{
@@ -21,19 +23,19 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, sleep_until};
 
-const EPOCH: u64 = 1_800_000_000_000;
-const SECONDS: u64 = 20;
+const EPOCH_MS: u64 = 1_800_000_000_000;
+const RUN_SECONDS: u64 = 20;
 
-/// How records find an appender.
+/// Which node appends a record.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Mode {
     Forwarded,
     Direct,
 }
 
-/// What one run showed.
+/// Results of one run.
 #[derive(Default)]
-struct Seen {
+struct RunStats {
     bills: u64,
     claims: u64,
     refused: u64,
@@ -62,10 +64,11 @@
         .enable_time()
         .start_paused(true)
         .build();
-    rt.expect("a runtime with a clock only").block_on(run);
+    rt.expect("building a runtime without I/O must succeed")
+        .block_on(run);
 }
 
-/// Bytes that 8 nodes write at 1,000 req/s, forwarded, over five minutes.
+/// Prints the bytes that 8 nodes write at 1,000 req/s in mode forwarded, over five minutes.
 async fn growth() {
     let kv = MemKv::new(1);
     let start = Instant::now();
@@ -75,12 +78,14 @@
         let before = kv.counters();
         let mut bills = 0;
         for _ in 0..2 {
-            bills += drive(&handles, Mode::Forwarded, 1_000, start).await.bills;
+            bills += run_load(&handles, Mode::Forwarded, 1_000, start)
+                .await
+                .bills;
         }
         let bytes = kv.counters().bytes - before.bytes;
         let writes = kv.counters().writes - before.writes;
         println!(
-            "{bills} bills: {writes} writes of {bytes} bytes, {} a bill",
+            "{bills} bills: {writes} writes of {bytes} bytes in total, {} bytes per bill",
             bytes / bills
         );
     }
@@ -100,54 +105,54 @@
     let handles = start_nodes(&kv, mode, nodes, start);
     sleep(Duration::from_secs(3)).await;
     let before = kv.counters();
-    let seen = drive(&handles, mode, rate, start).await;
+    let stats = run_load(&handles, mode, rate, start).await;
     let after = kv.counters();
-    let seen_counts = (seen.bills, seen.claims);
+    let totals = (stats.bills, stats.claims);
     let reads = after.reads + after.watches - before.reads - before.watches;
     println!(
         "{:<10} {:>5}  {:>5}  {:>8.1}  {:>7.1}  {:>9}  {:>7}  {:>16}  {:>15}",
         format!("{mode:?}").to_lowercase(),
         nodes,
         rate,
-        (after.writes - before.writes) as f64 / SECONDS as f64,
-        reads as f64 / SECONDS as f64,
+        (after.writes - before.writes) as f64 / RUN_SECONDS as f64,
+        reads as f64 / RUN_SECONDS as f64,
         after.throttled - before.throttled,
-        seen.refused,
-        quantiles(seen.claim_ms),
-        quantiles(seen.bill_ms),
+        stats.refused,
+        quantiles(stats.claim_ms),
+        quantiles(stats.bill_ms),
     );
     if mode == Mode::Forwarded && nodes == 8 {
-        print_sizes(&kv, &seen_counts).await;
+        print_sizes(&kv, &totals).await;
     }
 }
 
-/// What lies at the service after a run in which nobody exported.
+/// Prints the sizes of the stored values after a run without an export.
 async fn print_sizes(kv: &MemKv, counts: &(u64, u64)) {
     let stored = kv.list("journal/", None, usize::MAX).await;
-    let stored = stored.expect("no fault is switched on");
-    let sum = |part: &str| -> (usize, usize) {
-        let values = stored.iter().filter(|entry| entry.key.contains(part));
+    let stored = stored.expect("listing fails only with injected faults");
+    let count_and_bytes = |key_part: &str| -> (usize, usize) {
+        let values = stored.iter().filter(|entry| entry.key.contains(key_part));
         let sizes = values.map(|entry| entry.value.len());
         sizes.fold((0, 0), |(n, bytes), size| (n + 1, bytes + size))
     };
-    let (slots, ring) = sum("/slot/");
-    let (pages, paged) = sum("/page/");
+    let (slots, segment_bytes) = count_and_bytes("/slot/");
+    let (pages, page_bytes) = count_and_bytes("/page/");
     println!(
-        "           stored: {slots} segments of {} bytes on average, {pages} pages of {paged} bytes \
-         in all; {} bills, {} claims",
-        ring / slots.max(1),
+        "           stored: {slots} segments of {} bytes on average, {pages} pages of {page_bytes} bytes \
+         in total; {} bills, {} claims",
+        segment_bytes / slots.max(1),
         counts.0,
         counts.1
     );
 }
 
 fn start_nodes(kv: &MemKv, mode: Mode, nodes: usize, start: Instant) -> Vec<JournalHandle> {
-    let clock = Arc::new(move || Millis(EPOCH + start.elapsed().as_millis() as u64));
+    let clock = Arc::new(move || Millis(EPOCH_MS + start.elapsed().as_millis() as u64));
     let shards = Settings::new(0).meta.shards;
     (0..nodes)
         .map(|n| {
-            let own = |s: &u16| mode == Mode::Forwarded && usize::from(*s) % nodes == n;
-            let preferred = Preferred((0..shards).filter(own).map(ShardId).collect());
+            let is_preferred = |s: &u16| mode == Mode::Forwarded && usize::from(*s) % nodes == n;
+            let preferred = Preferred((0..shards).filter(is_preferred).map(ShardId).collect());
             let (_, preferred) = watch::channel(preferred);
             let settings = Settings::new(n as u64 + 1);
             let name = format!("node-{n}");
@@ -158,62 +163,74 @@
         .collect()
 }
 
-async fn drive(handles: &[JournalHandle], mode: Mode, rate: u64, start: Instant) -> Seen {
-    // The time makes the requests of a second call others than the first one's.
+async fn run_load(handles: &[JournalHandle], mode: Mode, rate: u64, start: Instant) -> RunStats {
+    // Seeded with the elapsed time, so that a second call sends other requests than the first.
     let mut rng = Pcg64Mcg::seed_from_u64(start.elapsed().as_secs());
-    let first = Instant::now();
+    let load_start = Instant::now();
     let mut tasks = Vec::new();
-    for n in 0..rate * SECONDS {
-        sleep_until(first + Duration::from_secs_f64(n as f64 / rate as f64)).await;
-        let at = Millis(EPOCH + start.elapsed().as_millis() as u64);
+    for n in 0..rate * RUN_SECONDS {
+        sleep_until(load_start + Duration::from_secs_f64(n as f64 / rate as f64)).await;
+        let at = Millis(EPOCH_MS + start.elapsed().as_millis() as u64);
         let record = BillRecord::Close(closing(rng.random(), at));
-        let own = rng.random_range(0..handles.len());
-        let shard = handles[own].shard_of_bill(&record).unwrap_or(ShardId(0));
-        let to = handles[target(mode, own, shard, handles.len())].clone();
+        let local_node = rng.random_range(0..handles.len());
+        let shard = handles[local_node]
+            .shard_of_bill(&record)
+            .unwrap_or(ShardId(0));
+        let bill_handle = handles[appender_index(mode, local_node, shard, handles.len())].clone();
         let key = (n % 100 == 0).then(|| ClaimKey(rng.random()));
-        let claim_to = key.map(|key| {
-            let shard = handles[own].shard_of_claim(key).unwrap_or(ShardId(0));
-            handles[target(mode, own, shard, handles.len())].clone()
+        let claim_handle = key.map(|key| {
+            let shard = handles[local_node]
+                .shard_of_claim(key)
+                .unwrap_or(ShardId(0));
+            handles[appender_index(mode, local_node, shard, handles.len())].clone()
         });
-        tasks.push(tokio::spawn(request(to, record, key.zip(claim_to))));
+        tasks.push(tokio::spawn(send_request(
+            bill_handle,
+            record,
+            key.zip(claim_handle),
+        )));
     }
-    let mut seen = Seen::default();
+    let mut stats = RunStats::default();
     for task in tasks {
-        let (claim, bill) = task.await.expect("requests don't panic");
-        seen.add(claim, bill);
+        let (claim, bill) = task.await.expect("request task must not panic");
+        stats.add(claim, bill);
     }
-    seen
+    stats
 }
 
-fn target(mode: Mode, own: usize, shard: ShardId, nodes: usize) -> usize {
+fn appender_index(mode: Mode, local_node: usize, shard: ShardId, nodes: usize) -> usize {
     match mode {
         Mode::Forwarded => usize::from(shard.0) % nodes,
-        Mode::Direct => own,
+        Mode::Direct => local_node,
     }
 }
 
-/// One request: its claim, if it has a key, and its bill, each with the time until it was durable.
-async fn request(
-    to: JournalHandle,
+/// Sends one request: its claim, if it has a key, and its bill. Returns for each the milliseconds
+/// until it was durable.
+async fn send_request(
+    bill_handle: JournalHandle,
     record: BillRecord,
     claim: Option<(ClaimKey, JournalHandle)>,
 ) -> (Option<Result<u64, ()>>, Result<u64, ()>) {
-    let since = Instant::now();
-    let claimed = match claim {
+    let started = Instant::now();
+    let claim_result = match claim {
         Some((key, handle)) => {
             let result = handle.claim(key, record.request()).await;
             let won = matches!(result, Ok(Claim::Won { .. }));
-            Some(won.then(|| since.elapsed().as_millis() as u64).ok_or(()))
+            Some(won.then(|| started.elapsed().as_millis() as u64).ok_or(()))
         }
         None => None,
     };
-    let since = Instant::now();
-    let billed = to.bill(vec![record]).await;
-    let took = since.elapsed().as_millis() as u64;
-    (claimed, billed.map(|()| took).map_err(|_| ()))
+    let started = Instant::now();
+    let bill_result = bill_handle.bill(vec![record]).await;
+    let elapsed_ms = started.elapsed().as_millis() as u64;
+    (
+        claim_result,
+        bill_result.map(|()| elapsed_ms).map_err(|_| ()),
+    )
 }
 
-impl Seen {
+impl RunStats {
     fn add(&mut self, claim: Option<Result<u64, ()>>, bill: Result<u64, ()>) {
         match claim {
             Some(Ok(ms)) => {
--- a/crates/oatdale-journal/src/fold.rs
+++ b/crates/oatdale-journal/src/fold.rs
@@ -1,9 +1,9 @@
-//! What a shard's records add up to: pure, the same at every reader.
+//! The state of a shard as a deterministic fold of its records, the same at every reader.
 //!
-//! Time in the fold is the journal's own: each segment carries its writer's clock, and the fold's
-//! clock follows the highest one seen by at most [`MAX_TICK`] a segment. So all readers forget at
-//! the same place of the log, and neither an outage nor one wrong clock makes them forget in a
-//! rush.
+//! The fold has its own clock: each segment carries its writer's time, and the fold's clock follows
+//! the highest time seen by at most [`MAX_TICK`] per segment. So state expires at the same position
+//! of the log at every reader, and neither an outage nor a single wrong clock makes much of it
+//! expire at once.
 
 use crate::record::{
     BillRecord, ClaimKey, Closing, MicroUnits, Millis, Opening, Outcome, Pin, Record, RequestId,
@@ -11,20 +11,20 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How far one segment may move the fold's clock, in milliseconds.
+/// Maximum advance of the fold's clock per segment, in milliseconds.
 pub const MAX_TICK: u64 = 500;
 
-/// How long the journal remembers, in milliseconds of its clock; the same for all nodes.
+/// Retention periods in milliseconds of the journal's clock, the same for all nodes.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct Retention {
-    /// A claim, from its record on.
+    /// Retention of a claim, counted from its record.
     pub claims: u64,
-    /// A pin, from its record on.
+    /// Retention of a pin, counted from its record.
     pub pins: u64,
-    /// Whether a request has a bill, from its opening on. Must exceed the longest request, unless
-    /// its opening is in the journal.
+    /// Retention of the fact that a request has a bill, counted from the request's opening time.
+    /// Must exceed the longest duration of a request whose opening is not in the journal.
     pub bills: u64,
-    /// How long a request whose opening is in the journal may lack a closing.
+    /// Maximum time from the record of a request's opening to its closing.
     pub open: u64,
 }
 
@@ -40,41 +40,41 @@
     }
 }
 
-/// A claim that was won.
+/// A key's claim and the request that holds it.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
-pub struct Held {
-    /// The request that won it.
+pub struct HeldClaim {
+    /// The request that won the claim.
     pub by: RequestId,
-    /// When, on the journal's clock.
+    /// Time of the claim's record on the journal's clock.
     pub at: Millis,
-    /// How the request ended, if its node said so.
+    /// How the request ended, if its node recorded it.
     pub finished: Option<Outcome>,
 }
 
-/// A session's pin and its place in time.
+/// A session's pin and the time of its record.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
-pub(crate) struct Pinned {
+pub(crate) struct StoredPin {
     pub(crate) pin: Pin,
     pub(crate) at: Millis,
 }
 
-/// What became final when a segment was applied.
+/// A final entry produced by applying a segment.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub enum Entry {
     /// The one bill of a request.
     Bill(Closing),
-    /// A closing that came after the journal forgot its request; no bill.
+    /// A closing that arrived after its request's retention period; not a bill.
     Late(Closing),
 }
 
-/// What a bill record would do.
+/// The effect that a bill record would have.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum BillState {
-    /// The journal has it, or has a closing that came first.
+    /// None: the journal has the record, or an earlier closing of the request.
     Known,
-    /// It is news.
+    /// The record would change the state.
     New,
-    /// The request may have been forgotten.
+    /// The request's retention period is over.
     TooLate,
 }
 
@@ -83,18 +83,18 @@
 pub struct Fold {
     pub(crate) retention: Retention,
     pub(crate) clock: Millis,
-    pub(crate) claims: BTreeMap<ClaimKey, Held>,
+    pub(crate) claims: BTreeMap<ClaimKey, HeldClaim>,
     pub(crate) released: BTreeMap<RequestId, Millis>,
-    pub(crate) pins: BTreeMap<SessionKey, Pinned>,
+    pub(crate) pins: BTreeMap<SessionKey, StoredPin>,
     pub(crate) open: BTreeMap<RequestId, (Opening, Millis)>,
-    /// The open requests by the time of their record, oldest first.
+    /// Open requests ordered by the time of their record, oldest first.
     pub(crate) open_order: BTreeSet<(Millis, RequestId)>,
-    /// Requests that have their bill, with their opening times.
+    /// Requests that have a bill, with their opening times.
     pub(crate) settled: BTreeMap<RequestId, Millis>,
 }
 
 impl Fold {
-    /// The state of an empty shard.
+    /// Returns the state of an empty shard.
     pub fn new(retention: Retention) -> Self {
         Fold {
             retention,
@@ -108,38 +108,38 @@
         }
     }
 
-    /// Applies one segment that was written at `at` by its writer's clock.
+    /// Applies one segment; `at` is its writer's time. Returns the entries that became final.
     pub fn apply(&mut self, at: Millis, records: &[Record]) -> Vec<Entry> {
-        self.tick(at);
+        self.advance_clock(at);
         let mut entries = self.close_overdue();
         for record in records {
-            entries.extend(self.record(record));
+            entries.extend(self.apply_record(record));
         }
         entries
     }
 
-    /// The journal's time.
+    /// Returns the time of the journal's clock.
     pub fn clock(&self) -> Millis {
         self.clock
     }
 
-    /// Who holds a claim, unless it has expired.
-    pub fn claim(&self, key: ClaimKey) -> Option<Held> {
+    /// Returns the claim of a key, unless it has expired.
+    pub fn claim(&self, key: ClaimKey) -> Option<HeldClaim> {
         let held = self.claims.get(&key)?;
-        self.is_fresh(held.at, self.retention.claims)
+        self.is_retained(held.at, self.retention.claims)
             .then_some(*held)
     }
 
-    /// Whether a request gave its claim back.
+    /// Whether a request released its claim.
     pub fn is_released(&self, request: RequestId) -> bool {
         let at = self.released.get(&request);
-        at.is_some_and(|at| self.is_fresh(*at, self.retention.claims))
+        at.is_some_and(|at| self.is_retained(*at, self.retention.claims))
     }
 
-    /// A session's pin, unless it has expired.
+    /// Returns a session's pin, unless it has expired.
     pub fn pin(&self, session: SessionKey) -> Option<&Pin> {
         let pinned = self.pins.get(&session)?;
-        self.is_fresh(pinned.at, self.retention.pins)
+        self.is_retained(pinned.at, self.retention.pins)
             .then_some(&pinned.pin)
     }
 
@@ -148,23 +148,24 @@
         self.open.contains_key(&request)
     }
 
-    /// What a bill record would do if it were appended now.
+    /// Returns the effect that a bill record would have if it were appended now.
     pub fn bill_state(&self, record: &BillRecord) -> BillState {
         let request = record.request();
         let settled = self.settled.contains_key(&request);
         let open = self.open.contains_key(&request);
-        let fresh = self.is_fresh(record.opened_at(), self.retention.bills);
+        let retained = self.is_retained(record.opened_at(), self.retention.bills);
         match record {
-            // Once the time is over a request counts as forgotten, also where it is still held.
+            // After the retention period a request counts as expired even if `purge` has not
+            // removed it yet.
             BillRecord::Open(_) if open => BillState::Known,
             BillRecord::Close(_) if open => BillState::New,
-            _ if !fresh => BillState::TooLate,
+            _ if !retained => BillState::TooLate,
             _ if settled => BillState::Known,
             _ => BillState::New,
         }
     }
 
-    /// Drops what has expired; every question has the same answer before and after.
+    /// Removes expired state. All queries return the same before and after.
     pub fn purge(&mut self) {
         let Retention {
             claims,
@@ -173,50 +174,50 @@
             ..
         } = self.retention;
         let clock = self.clock;
-        let fresh = |at: Millis, span: u64| clock.0 < at.0.saturating_add(span);
-        self.claims.retain(|_, held| fresh(held.at, claims));
-        self.released.retain(|_, at| fresh(*at, claims));
-        self.pins.retain(|_, pinned| fresh(pinned.at, pins));
-        self.settled.retain(|_, opened| fresh(*opened, bills));
+        let retained = |at: Millis, retention_ms: u64| clock.0 < at.0.saturating_add(retention_ms);
+        self.claims.retain(|_, held| retained(held.at, claims));
+        self.released.retain(|_, at| retained(*at, claims));
+        self.pins.retain(|_, pinned| retained(pinned.at, pins));
+        self.settled.retain(|_, opened| retained(*opened, bills));
     }
 
-    fn is_fresh(&self, at: Millis, span: u64) -> bool {
-        self.clock.0 < at.0.saturating_add(span)
+    fn is_retained(&self, at: Millis, retention_ms: u64) -> bool {
+        self.clock.0 < at.0.saturating_add(retention_ms)
     }
 
-    fn tick(&mut self, at: Millis) {
-        let first = self.clock == Millis(0);
-        let most = self.clock.0.saturating_add(MAX_TICK);
-        self.clock = match first {
+    fn advance_clock(&mut self, at: Millis) {
+        let is_first_segment = self.clock == Millis(0);
+        let max_clock = self.clock.0.saturating_add(MAX_TICK);
+        self.clock = match is_first_segment {
             true => at,
-            false => Millis(at.0.clamp(self.clock.0, most)),
+            false => Millis(at.0.clamp(self.clock.0, max_clock)),
         };
     }
 
-    /// Closes requests whose closing never came, so that an acknowledged opening gets its bill.
+    /// Closes requests whose closing is overdue, so that every acknowledged opening gets a bill.
     fn close_overdue(&mut self) -> Vec<Entry> {
         let mut entries = Vec::new();
         while let Some((at, request)) = self.open_order.first().copied() {
-            if self.is_fresh(at, self.retention.open) {
+            if self.is_retained(at, self.retention.open) {
                 break;
             }
             let Some((opening, _)) = self.open.get(&request) else {
                 break;
             };
-            let closing = interrupted(opening, self.clock);
-            entries.push(self.settle(&closing));
+            let closing = interrupted_closing(opening, self.clock);
+            entries.push(self.settle_bill(&closing));
         }
         entries
     }
 
-    fn record(&mut self, record: &Record) -> Option<Entry> {
+    fn apply_record(&mut self, record: &Record) -> Option<Entry> {
         match record {
             Record::Claim { key, by } => {
-                self.take_claim(*key, *by);
+                self.apply_claim(*key, *by);
                 None
             }
             Record::Release { key, by } => {
-                self.release(*key, *by);
+                self.apply_release(*key, *by);
                 None
             }
             Record::Finish { key, by, outcome } => {
@@ -227,20 +228,20 @@
                 None
             }
             Record::Pin { session, pin } => {
-                self.take_pin(*session, pin);
+                self.apply_pin(*session, pin);
                 None
             }
-            Record::Bill(bill) => self.bill(bill),
+            Record::Bill(bill) => self.apply_bill(bill),
         }
     }
 
-    /// The first claim of a key wins. One whose request gave it back before is void: its write was
-    /// on its way when the request was refused, and nobody would ever use it.
-    fn take_claim(&mut self, key: ClaimKey, by: RequestId) {
+    /// The first claim of a key wins. A claim whose request was released earlier is ignored: its
+    /// write was in flight when the request was refused, and the claim would never be used.
+    fn apply_claim(&mut self, key: ClaimKey, by: RequestId) {
         if self.claim(key).is_some() || self.is_released(by) {
             return;
         }
-        let held = Held {
+        let held = HeldClaim {
             by,
             at: self.clock,
             finished: None,
@@ -248,7 +249,7 @@
         self.claims.insert(key, held);
     }
 
-    fn release(&mut self, key: ClaimKey, by: RequestId) {
+    fn apply_release(&mut self, key: ClaimKey, by: RequestId) {
         self.released.insert(by, self.clock);
         let held = self.claims.get(&key);
         if held.is_some_and(|held| held.by == by) {
@@ -256,18 +257,18 @@
         }
     }
 
-    fn take_pin(&mut self, session: SessionKey, pin: &Pin) {
+    fn apply_pin(&mut self, session: SessionKey, pin: &Pin) {
         if self.pin(session).is_some() {
             return;
         }
-        let pinned = Pinned {
+        let pinned = StoredPin {
             pin: pin.clone(),
             at: self.clock,
         };
         self.pins.insert(session, pinned);
     }
 
-    fn bill(&mut self, record: &BillRecord) -> Option<Entry> {
+    fn apply_bill(&mut self, record: &BillRecord) -> Option<Entry> {
         match (self.bill_state(record), record) {
             (BillState::New, BillRecord::Open(opening)) => {
                 let value = (opening.clone(), self.clock);
@@ -275,13 +276,13 @@
                 self.open_order.insert((self.clock, opening.request));
                 None
             }
-            (BillState::New, BillRecord::Close(closing)) => Some(self.settle(closing)),
+            (BillState::New, BillRecord::Close(closing)) => Some(self.settle_bill(closing)),
             (BillState::TooLate, BillRecord::Close(closing)) => Some(Entry::Late(closing.clone())),
             (BillState::TooLate, BillRecord::Open(_)) | (BillState::Known, _) => None,
         }
     }
 
-    fn settle(&mut self, closing: &Closing) -> Entry {
+    fn settle_bill(&mut self, closing: &Closing) -> Entry {
         if let Some((_, at)) = self.open.remove(&closing.request) {
             self.open_order.remove(&(at, closing.request));
         }
@@ -290,8 +291,8 @@
     }
 }
 
-/// The bill of a request whose node and holders all vanished.
-fn interrupted(opening: &Opening, now: Millis) -> Closing {
+/// Returns the closing of a request whose node and bill holders have all failed.
+fn interrupted_closing(opening: &Opening, now: Millis) -> Closing {
     Closing {
         request: opening.request,
         customer: opening.customer.clone(),
--- a/crates/oatdale-journal/src/lib.rs
+++ b/crates/oatdale-journal/src/lib.rs
@@ -1,8 +1,8 @@
-//! Claims, pins and bills, kept in the platform's key-value service as a log that nobody owns.
+//! Claims, pins and bills, stored in the platform's key-value service as a log without a leader.
 //!
-//! Each shard is a log of segments; a segment is appended by compare-and-swap, and the first
-//! writer of a number wins. What the records add up to is computed by a pure [`Fold`], which is
-//! the same at every reader. docs/JOURNAL.md tells why it is so and how to run it.
+//! Each shard is a log of numbered segments. A segment is appended by compare-and-swap, and the
+//! first writer of a number wins. A deterministic [`Fold`] of the records gives the same state at
+//! every reader. docs/JOURNAL.md has the design rationale and the operation guide.
 //!
 //! ```
 //! use oatdale_fakes::MemKv;
@@ -46,7 +46,7 @@
 pub use crate::duty::{Duty, Preferred, Settings, WallClock, journal, run};
 pub use crate::error::{JournalError, Result};
 pub use crate::export::{Exporter, Ledger};
-pub use crate::fold::{BillState, Entry, Fold, Held, MAX_TICK, Retention};
+pub use crate::fold::{BillState, Entry, Fold, HeldClaim, MAX_TICK, Retention};
 pub use crate::handle::{Claim, JournalHandle, MAX_RECORD};
 pub use crate::meta::Meta;
 pub use crate::record::{
