--- a/crates/oatdale-check/src/lib.rs
+++ b/crates/oatdale-check/src/lib.rs
@@ -1,6 +1,6 @@
-//! Explores small specifications exhaustively; used by tests only.
+//! Exhaustive model checking of small specifications, for tests.
 //!
-//! The search itself is `pathfinding`'s breadth-first reachability. This crate gives it the shape
+//! The search is the breadth-first reachability of `pathfinding`. This crate adds the interface
 //! that the specifications share: named steps, one invariant, and a shortest counterexample.
 //!
 //! ```
@@ -42,31 +42,32 @@
 use std::fmt;
 use std::hash::Hash;
 
-/// A small state machine with an invariant.
+/// A state machine with an invariant.
 pub trait Spec {
     /// One state of the whole system.
     type State: Clone + Eq + Hash;
 
-    /// The states it may start in.
+    /// Returns the initial states.
     fn initial(&self) -> Vec<Self::State>;
 
-    /// Every step that may be taken from a state, with a name for the counterexample.
+    /// Returns every step from a state: its name, for the counterexample, and the next state.
     fn steps(&self, state: &Self::State) -> Vec<(String, Self::State)>;
 
-    /// What must hold in every state that can be reached.
+    /// Checks the invariant, which must hold in every reachable state.
     ///
     /// # Errors
     ///
-    /// Says which promise is broken.
+    /// Returns a description of the violation.
     fn invariant(&self, state: &Self::State) -> Result<(), String>;
 }
 
-/// A shortest run that breaks the invariant, or the news that the bound was too small.
+/// A shortest sequence of steps that violates the invariant, or a report without steps that the
+/// bound on the number of states was too small.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Counterexample {
-    /// Which promise is broken.
+    /// Description of the violation, or of the bound that was too small.
     pub broken: String,
-    /// The names of the steps that lead there.
+    /// Names of the steps from an initial state to the violation.
     pub steps: Vec<String>,
 }
 
@@ -80,19 +81,20 @@
     }
 }
 
-/// A state below a common root, so that one search covers all initial states.
+/// Vertex of the search graph. The root precedes all initial states, so that one search covers
+/// them.
 #[derive(Clone, PartialEq, Eq, Hash)]
 enum Vertex<S> {
     Root,
     State(S),
 }
 
-/// Visits every state that can be reached and returns how many there are.
+/// Visits every reachable state and returns their number.
 ///
 /// # Errors
 ///
-/// Returns a shortest counterexample if the invariant breaks, and an error without steps if there
-/// are more than `max_states` states, since then nothing was proved.
+/// Returns a shortest counterexample if the invariant is violated, and an error without steps if
+/// there are more than `max_states` states, since the search is then incomplete.
 pub fn explore<S: Spec>(spec: &S, max_states: usize) -> Result<usize, Counterexample> {
     let mut count = 0;
     for node in bfs_reach(Vertex::Root, |node| successors(spec, node)) {
@@ -103,7 +105,9 @@
         }
         if count > max_states {
             return Err(Counterexample {
-                broken: format!("the bound of {max_states} states is too small"),
+                broken: format!(
+                    "more than {max_states} states are reachable; the bound is too small"
+                ),
                 steps: Vec::new(),
             });
         }
@@ -128,7 +132,7 @@
         |node| successors(spec, node),
         |node| matches!(node, Vertex::State(state) if spec.invariant(state).is_err()),
     )
-    .expect("the caller reached a state that breaks the invariant");
+    .expect("`explore` found a state that violates the invariant");
     let states: Vec<&S::State> = path
         .iter()
         .filter_map(|node| match node {
--- a/crates/oatdale-journal/tests/common/mod.rs
+++ b/crates/oatdale-journal/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Nodes over an in-process service, and records for them.
+//! Test nodes over an in-process key-value service, and builders for records.
 
 #![allow(dead_code)]
 
@@ -13,17 +13,17 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-/// Wall-clock time at a test's start.
+/// Wall-clock time at the start of a test, in milliseconds since the Unix epoch.
 pub(crate) const START_TIME_MS: u64 = 1_800_000_000_000;
 
-/// One node's journal; dropping the task kills the node.
+/// Journal of one node; aborting the task kills the node.
 pub(crate) struct Node {
     pub(crate) handle: JournalHandle,
     pub(crate) task: JoinHandle<()>,
     pub(crate) preferred: watch::Sender<Preferred>,
 }
 
-/// A wall clock that follows the runtime's clock.
+/// Returns a wall clock that advances with the runtime's clock, which may be paused.
 pub(crate) fn wall_clock(start: Instant) -> WallClock {
     Arc::new(move || Millis(START_TIME_MS + start.elapsed().as_millis() as u64))
 }
--- a/crates/oatdale-journal/tests/fold.rs
+++ b/crates/oatdale-journal/tests/fold.rs
@@ -1,4 +1,4 @@
-//! What records add up to.
+//! Tests of `Fold`, the deterministic state of one shard.
 
 mod common;
 
@@ -21,8 +21,8 @@
     }
 }
 
-// A release overtakes the claim that it gives back, since another node wrote it. If the claim
-// stood, the caller's next try would wait a day for a request that never ran.
+// A release written by another node can precede its claim in the log. If the claim took effect,
+// the caller's retry would be blocked for a day by a request that never ran.
 #[test]
 fn claim_applied_after_its_release_has_no_effect() {
     let mut fold = Fold::new(Retention::default());
@@ -44,8 +44,9 @@
     assert!(!fold.is_open(RequestId(1)));
 }
 
-// The service is down for a day. The journal's clock stands still meanwhile and catches up slowly,
-// so bills that nodes kept through the outage are not taken for late ones.
+// The key-value service is down for a day. The journal's clock stops during the outage and then
+// advances by at most `MAX_TICK` per segment, so bills that nodes held during the outage are not
+// treated as late.
 #[test]
 fn bill_delayed_by_an_outage_is_not_late() {
     let mut fold = Fold::new(Retention::default());
@@ -56,8 +57,9 @@
     assert_eq!(fold.clock(), Millis(START_TIME_MS + MAX_TICK));
 }
 
-// After an outage of an hour the shard is written at full pace while one holder is still cut off.
-// Its bills from the time before must not be late as soon as that holder is back two minutes on.
+// After an outage of an hour, segments are appended at full rate while one bill holder is still
+// partitioned. Its bills from before the outage must still be accepted when it reconnects two
+// minutes later.
 #[test]
 fn bill_is_accepted_two_minutes_after_an_outage() {
     let mut fold = Fold::new(Retention::default());
--- a/crates/oatdale-journal/tests/full_ring.rs
+++ b/crates/oatdale-journal/tests/full_ring.rs
@@ -1,4 +1,4 @@
-//! The ring of segments when its pages can't be written.
+//! Tests of a full segment ring when compaction fails.
 
 mod common;
 
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep};
 
-/// A service that refuses to write manifests while its switch is on.
+/// Key-value service that rejects manifest writes while `reject_manifests` is set.
 #[derive(Clone)]
 struct ManifestRejectingKv {
     kv: MemKv,
@@ -34,7 +34,7 @@
     ) -> Result<Put> {
         match key.ends_with("/manifest") && self.reject_manifests.load(Ordering::Relaxed) {
             true => Err(KvError::Unavailable {
-                message: "no manifests today".to_owned(),
+                message: "the test rejects manifest writes".to_owned(),
             }),
             false => self.kv.put(key, value, cond, lease).await,
         }
@@ -65,9 +65,9 @@
     }
 }
 
-// The service takes segments but no manifest, so nothing can be compacted. Were the ring to go
-// round all the same, bills that were acknowledged would be overwritten and lost; instead further
-// ones are refused, and all is well once manifests can be written.
+// The service stores segments but rejects manifests, so compaction fails. If the ring wrapped
+// anyway, acknowledged bills would be overwritten and lost. Instead, further bills are rejected
+// until manifests can be written again.
 #[tokio::test(start_paused = true)]
 async fn full_ring_rejects_bills_and_loses_no_acknowledged_bill() {
     let start = Instant::now();
--- a/crates/oatdale-journal/tests/history.rs
+++ b/crates/oatdale-journal/tests/history.rs
@@ -1,7 +1,8 @@
-//! Claims, pins and bills in concurrent runs with kills, pauses, cuts, lost answers and outages.
+//! Concurrent claims, pins and bills under node kills, pauses, partitions, lost responses and
+//! outages of the key-value service.
 //!
 //! `OATDALE_SEEDS=1000..1200 cargo test --release -p oatdale-journal --test history -- --nocapture`
-//! runs more seeds than CI does.
+//! runs more seeds than the default, which CI uses.
 
 mod common;
 mod run;
@@ -9,22 +10,24 @@
 use run::Report;
 use std::ops::Range;
 
-/// The seeds of CI: some, and each that ever showed a fault.
+/// Seeds that run by default, besides [`REGRESSION_SEEDS`].
 const DEFAULT_SEEDS: Range<u64> = 1..13;
-const REGRESSION_SEEDS: [u64; 2] = [
-    // A compactor that was two manifests behind deleted a page of bills that was listed.
-    1062, // Two exports in a row gave pages of different bills the same name.
-    1236,
-];
+/// Seeds that have exposed a bug.
+///
+/// - 1062: a compactor two manifests behind deleted a page of bills that was still listed.
+/// - 1236: two consecutive exports gave the same name to pages with different bills.
+const REGRESSION_SEEDS: [u64; 2] = [1062, 1236];
 
 fn seeds() -> Vec<u64> {
     let Ok(text) = std::env::var("OATDALE_SEEDS") else {
         return DEFAULT_SEEDS.chain(REGRESSION_SEEDS).collect();
     };
-    let (from, to) = text.split_once("..").expect("a range such as 1000..1200");
+    let (from, to) = text
+        .split_once("..")
+        .expect("OATDALE_SEEDS is a range such as 1000..1200");
     let (from, to): (u64, u64) = (
-        from.parse().expect("a number"),
-        to.parse().expect("a number"),
+        from.parse().expect("start of OATDALE_SEEDS is a number"),
+        to.parse().expect("end of OATDALE_SEEDS is a number"),
     );
     (from..to).collect()
 }
@@ -42,10 +45,9 @@
     total.in_flight_at_faults += other.in_flight_at_faults;
 }
 
-// Nodes are killed, held and cut off, the service goes down, and answers are lost, all while
-// callers claim, pin and bill. If anything went wrong a user would see a request that ran twice, a
-// session that changed its version, or a bill that is missing, doubled or different on a second
-// export.
+// Nodes are killed, paused and partitioned, the key-value service fails, and responses are lost
+// while callers claim, pin and bill. Guards against a request that runs twice, a session whose
+// version changes, and a bill that is missing, duplicated or different in a second export.
 #[test]
 fn histories_with_faults_keep_all_guarantees() {
     let mut total = Report::default();
@@ -53,10 +55,10 @@
         let report = run::run_seed(seed).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
         println!("seed {seed}: {report:?}");
         assert!(report.operations > 0 && report.bills > 0, "seed {seed}");
-        assert!(report.faults > 0, "seed {seed} met no fault");
+        assert!(report.faults > 0, "seed {seed} injected no fault");
         assert!(
             report.in_flight_at_faults > 0,
-            "seed {seed} had nothing under way"
+            "seed {seed} had no request in flight when a fault was injected"
         );
         add_report(&mut total, &report);
     }
--- a/crates/oatdale-journal/tests/journal.rs
+++ b/crates/oatdale-journal/tests/journal.rs
@@ -1,4 +1,4 @@
-//! What a caller of the journal is promised.
+//! Tests of the guarantees to callers of the journal.
 
 mod common;
 
@@ -58,8 +58,8 @@
     assert_eq!(effective_pin, first_pin);
 }
 
-// The service stores a segment and its answer is lost. A node that took this for a failure would
-// refuse a claim that stands, or write a bill that is there already.
+// The service stores a segment but its response is lost. A node that treated this as a failure
+// would reject a claim that is in effect, or write a bill that is already stored.
 #[tokio::test(start_paused = true)]
 async fn lost_response_is_resolved_by_reading_the_log() {
     let (kv, start) = (MemKv::new(1), Instant::now());
@@ -74,8 +74,8 @@
     assert_eq!((counters.lost_answers, counters.lost_requests), (1, 1));
 }
 
-// A claim's write is on its way for long while its node gives up and answers "not run". When the
-// write arrives, the caller's next try must not find its key taken by a request that never ran.
+// The write of a claim is delayed until after its node has given up and responded "not run". When
+// the write arrives, the caller's retry must not find its key held by a request that never ran.
 #[tokio::test(start_paused = true)]
 async fn delayed_write_of_a_released_claim_has_no_effect() {
     let (kv, start) = (MemKv::new(1), Instant::now());
@@ -101,8 +101,8 @@
     assert!(is_won(&next));
 }
 
-// The service is down. Callers get an error with a time to come back at once, not after their
-// deadline, and once it is back everything works again.
+// While the service is down, callers immediately get an error with a retry-after delay instead of
+// waiting for their deadline. Claims succeed again after the outage.
 #[tokio::test(start_paused = true)]
 async fn outage_fails_claims_fast_and_claims_succeed_after_it() {
     let (kv, start) = (MemKv::new(1), Instant::now());
@@ -119,15 +119,18 @@
     }
     assert!(called_at.elapsed() < SECOND);
     let calls = kv.counters().calls();
-    assert!(calls < 10, "{calls} calls for refused claims");
+    assert!(
+        calls < 10,
+        "{calls} calls to the service for rejected claims, expected fewer than 10"
+    );
     kv.set_faults(KvFaults::default());
     sleep(2 * SECOND).await;
     let claim = a.handle.claim(key(1), RequestId(99)).await.unwrap();
     assert!(is_won(&claim));
 }
 
-// The service throttles one node after the other, so appends are put off. A caller that has waited
-// its time gets its refusal at that time, not when the next append happens to be due.
+// Appends are delayed, as when the service throttles one node after another. A caller whose wait
+// limit expires gets its error then, not when the next append is due.
 #[tokio::test(start_paused = true)]
 async fn claim_fails_when_its_wait_limit_expires() {
     let (kv, start) = (MemKv::new(1), Instant::now());
@@ -145,8 +148,8 @@
     );
 }
 
-// After an outage every holder brings its bills. A booking that waited behind all of them would be
-// refused although the service is well.
+// After an outage all bill holders submit their bills. A booking that queued behind all of them
+// would be refused although the service is healthy.
 #[tokio::test(start_paused = true)]
 async fn claim_is_not_delayed_by_a_bill_backlog() {
     let (kv, start) = (MemKv::new(1), Instant::now());
@@ -167,8 +170,8 @@
     backlog.await.unwrap().unwrap();
 }
 
-// The first node of all stored a shorter retention than a later node's settings name. Were that
-// node to go by its own, its request could be dispatched after another won the key.
+// The first node stored a shorter retention than the settings of a later node specify. If the
+// later node used its own, its request could be dispatched after another request won the key.
 #[tokio::test(start_paused = true)]
 async fn dispatch_deadline_uses_the_stored_retention() {
     let (kv, start) = (MemKv::new(1), Instant::now());
@@ -180,7 +183,7 @@
     let called_at = Instant::now();
     let claim = b.handle.claim(key(1), RequestId(1)).await.unwrap();
     let Claim::Won { dispatch_by } = claim else {
-        panic!("nobody else claims");
+        panic!("expected the claim to be won: no other request claims the key");
     };
     assert!(dispatch_by <= called_at + 2 * SECOND);
 }
@@ -209,7 +212,7 @@
     let remaining = exporter.take(shard).await.unwrap();
     assert_eq!(remaining.bills, [common::closing(2, at, 20)]);
     exporter.truncate(&remaining).await.unwrap();
-    // A holder that was away writes both bills again.
+    // A bill holder that was disconnected writes both bills again.
     let resubmitted = vec![close_record(1, at, 99), close_record(2, at, 99)];
     a.handle.bill(resubmitted).await.unwrap();
     assert!(exporter.take(shard).await.unwrap().bills.is_empty());
@@ -250,11 +253,14 @@
     }
     assert_eq!(requests, (1..=50).collect::<Vec<_>>());
     let (stored, listed) = count_pages(&kv).await;
-    assert_eq!(stored, listed, "nothing is left but what is listed");
+    assert_eq!(
+        stored, listed,
+        "every stored page is listed in the manifest"
+    );
 }
 
-/// How many pages there are in the only shard, and how many pages of state its manifest lists
-/// while it lists no bills.
+/// Returns the number of stored pages of the only shard and the number of state pages that its
+/// manifest lists. Panics if the manifest lists pages of bills.
 async fn count_pages(kv: &MemKv) -> (usize, usize) {
     let stored_pages = kv.list("journal/0000/page/", None, usize::MAX).await;
     let manifest = kv.get("journal/0000/manifest").await.unwrap().unwrap();
@@ -268,9 +274,9 @@
     (stored_pages.unwrap().len(), listed("s"))
 }
 
-// A node reads a state that was written bit by bit over hundreds of compactions, among it claims
-// that were given back and won again, and requests that were opened and closed far apart. If a bit
-// were missing, a request would run twice or be billed twice.
+// A new node loads a state that hundreds of compactions wrote incrementally. It includes claims
+// that were released and won again, and requests opened and closed far apart. If a part were
+// missing, a request would run twice or be billed twice.
 #[tokio::test(start_paused = true)]
 async fn incrementally_written_state_loads_completely() {
     let (kv, start) = (MemKv::new(1), Instant::now());
@@ -329,12 +335,18 @@
         assert_eq!(tokens[&request_id(n, 1)], expected_tokens);
     }
     let (stored, listed) = count_pages(&kv).await;
-    assert_eq!(stored, listed, "nothing is left but what is listed");
-    assert!(listed <= 65, "{listed} pages of state");
+    assert_eq!(
+        stored, listed,
+        "every stored page is listed in the manifest"
+    );
+    assert!(
+        listed <= 65,
+        "the manifest lists {listed} state pages, expected at most 65"
+    );
 }
 
-// A holder comes back after the journal forgot the request. Billing it might bill it twice, so
-// the holder is told instead and nothing is written.
+// A bill holder reconnects after the journal has dropped the request. Accepting the bill could
+// charge the request twice, so the holder gets an error and nothing is written.
 #[tokio::test(start_paused = true)]
 async fn bill_after_its_retention_is_rejected() {
     let (kv, start) = (MemKv::new(1), Instant::now());
@@ -354,8 +366,8 @@
     assert_eq!(late, Err(JournalError::TooLate { request }));
 }
 
-// The one node that knew of a request dies with its holders. The customer would get the answer
-// for free, and an opening would wait for ever.
+// The only node that knew of a request dies together with its bill holders. Without an automatic
+// closing the response would never be billed and the opening would stay in the state forever.
 #[tokio::test(start_paused = true)]
 async fn opening_without_a_closing_is_billed_as_interrupted() {
     let (kv, start) = (MemKv::new(1), Instant::now());
--- a/crates/oatdale-journal/tests/run/check.rs
+++ b/crates/oatdale-journal/tests/run/check.rs
@@ -1,11 +1,12 @@
-//! Judges what a run saw: linearizability by `todc-utils`, and one bill a request.
+//! Checks the observations of a run: linearizability by `todc-utils`, and exactly one bill per
+//! request.
 
 use super::{ClaimResult, History, Op, Run};
 use oatdale_journal::{Claim, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
 use todc_utils::{Action, Specification, WGLChecker};
 
-/// A claim key as callers may think of it.
+/// Sequential specification of a claim key: its holder and the released requests.
 struct ClaimSpec;
 
 impl Specification for ClaimSpec {
@@ -25,7 +26,7 @@
                 match result {
                     ClaimResult::Won => (is_free, if is_free { acquired } else { unchanged }),
                     ClaimResult::Lost(other) => (*holder == Some(*other), unchanged),
-                    // It may stand, or come after its release and so never stand.
+                    // The claim may be in effect, or have no effect because its release came first.
                     ClaimResult::Unknown => (true, if is_free { acquired } else { unchanged }),
                 }
             }
@@ -39,7 +40,7 @@
     }
 }
 
-/// A session as callers may think of it.
+/// Sequential specification of a session: the pinned version.
 struct PinSpec;
 
 impl Specification for PinSpec {
@@ -71,12 +72,18 @@
         let observations = self.observations();
         for (key, history) in &observations.claims {
             if !is_linearizable::<ClaimSpec>(history) {
-                return Err(format!("claims of {:?}: {history:?}", &key.0[..2]));
+                return Err(format!(
+                    "claims of key {:?} are not linearizable: {history:?}",
+                    &key.0[..2]
+                ));
             }
         }
         for (session, history) in &observations.pins {
             if !is_linearizable::<PinSpec>(history) {
-                return Err(format!("pins of {:?}: {history:?}", &session.0[..2]));
+                return Err(format!(
+                    "pins of session {:?} are not linearizable: {history:?}",
+                    &session.0[..2]
+                ));
             }
         }
         Ok(())
@@ -85,19 +92,23 @@
     fn check_bills(&self) -> Result<(), String> {
         let observations = self.observations();
         if let Some(request) = observations.exported_after_truncation.first() {
-            return Err(format!("the bill of {request} was exported again"));
+            return Err(format!(
+                "the bill of {request} was exported after its truncation"
+            ));
         }
         let mut bills = BTreeMap::new();
         for (request, tokens) in &observations.exported {
             let submitted = observations.submitted_closings.get(request);
             if !submitted.is_some_and(|submitted| submitted.contains(tokens)) {
-                return Err(format!("nobody wrote this bill of {request}: {tokens}"));
+                return Err(format!(
+                    "exported bill of {request} with {tokens} tokens was never submitted"
+                ));
             }
             if bills
                 .insert(*request, *tokens)
                 .is_some_and(|t| t != *tokens)
             {
-                return Err(format!("the exported bill of {request} changed"));
+                return Err(format!("the bill of {request} differs between exports"));
             }
         }
         let is_missing = |request: &&RequestId| !bills.contains_key(request);
@@ -107,19 +118,21 @@
         }
     }
 
-    /// Each dispatched request is alone, and a fresh node finds its claim.
+    /// Checks that at most one request per key was dispatched and that a new node finds its claim.
     async fn check_dispatches(&self) -> Result<(), String> {
         let verifier = self.new_node(0, 99);
         let dispatched = self.observations().dispatched.clone();
         for (key, requests) in dispatched {
             if requests.len() > 1 {
-                return Err(format!("{requests:?} of one key were dispatched"));
+                return Err(format!(
+                    "more than one request of a key was dispatched: {requests:?}"
+                ));
             }
             let request = self.observations().new_request_id();
             let claim_result = verifier.handle.claim(key, request).await;
             match claim_result {
                 Ok(Claim::Lost { by, .. }) if by == requests[0] => {}
-                other => return Err(format!("{requests:?} ran, but a fresh node got {other:?}")),
+                other => return Err(format!("{requests:?} ran, but a new node got {other:?}")),
             }
         }
         Ok(())
@@ -131,7 +144,7 @@
     let mut actions = Vec::new();
     for event in &history.events {
         let op = history.ops[event.op].clone();
-        // Each operation is a process of its own: callers of this history never wait in line.
+        // Each operation is a separate process, since operations on a key may overlap freely.
         if event.is_response {
             pending.remove(&event.op);
             actions.push((event.op, Action::Response(op)));
--- a/crates/oatdale-journal/tests/run/mod.rs
+++ b/crates/oatdale-journal/tests/run/mod.rs
@@ -1,4 +1,5 @@
-//! Concurrent runs of real journal duties over a service that fails, and what they saw.
+//! Concurrent runs of journal nodes over a key-value service with injected faults, and the
+//! observations of each run.
 
 mod check;
 mod nemesis;
@@ -18,61 +19,64 @@
 pub(crate) const NODES: usize = 4;
 /// Concurrent callers of each node.
 const CALLERS_PER_NODE: usize = 3;
-/// How long callers call.
+/// How long callers issue operations.
 const WORKLOAD_DURATION: Duration = Duration::from_secs(8);
-/// Shards and slots; few, so that races and compactions are frequent.
+/// Few shards and slots make races and compactions frequent.
 const SHARDS: u16 = 2;
 const SLOTS: u64 = 6;
 
-/// What a caller was told of its claim.
+/// Result of a claim as its caller received it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum ClaimResult {
     Won,
     Lost(RequestId),
-    /// An error: the claim may or may not stand.
+    /// An error: the claim may or may not be in effect.
     Unknown,
 }
 
-/// One operation on one key or session, with what came of it.
+/// Operation on a key or session, with its result.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub(crate) enum Op {
     Claim(RequestId, ClaimResult),
     Release(RequestId),
-    /// The versions wanted, and those that hold unless the answer was an error.
+    /// The requested version, and the pinned version unless the response was an error.
     Pin(String, Option<String>),
 }
 
-/// An operation's beginning or end, in the order in which they happened.
+/// Invocation or response of an operation.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub(crate) struct Event {
+    /// Index into [`History::ops`].
     pub(crate) op: usize,
     pub(crate) is_response: bool,
 }
 
-/// What happened to one key or session.
+/// Operations on one key or session, with their events in real-time order.
 #[derive(Clone, Default, Debug)]
 pub(crate) struct History {
     pub(crate) ops: Vec<Op>,
     pub(crate) events: Vec<Event>,
 }
 
-/// Everything that callers, operators and the nemesis saw.
+/// Observations of the callers, the operator and the nemesis.
 #[derive(Default)]
 pub(crate) struct Observations {
     pub(crate) claims: BTreeMap<ClaimKey, History>,
     pub(crate) pins: BTreeMap<SessionKey, History>,
     pub(crate) dispatched: BTreeMap<ClaimKey, Vec<RequestId>>,
-    /// Requests whose opening or closing is durable, as some node was told.
+    /// Requests with a bill record that was acknowledged as durable.
     pub(crate) acknowledged: Vec<RequestId>,
-    /// Tokens of every closing that anybody tried to write.
+    /// Output tokens of every closing that was submitted.
     pub(crate) submitted_closings: BTreeMap<RequestId, Vec<u64>>,
-    /// Bills as the operators took them, and those whose truncation was confirmed.
+    /// Exported bills: request and output tokens.
     pub(crate) exported: Vec<(RequestId, u64)>,
+    /// Requests whose truncation was confirmed.
     pub(crate) truncated: Vec<RequestId>,
-    /// Bills taken after their truncation was confirmed.
+    /// Requests whose bill was exported after its truncation was confirmed.
     pub(crate) exported_after_truncation: Vec<RequestId>,
+    /// Requests that callers are processing now.
     pub(crate) in_flight: usize,
-    /// Requests under way at the moments at which faults were brought about.
+    /// Sum of `in_flight` over the times at which the nemesis injected a fault.
     pub(crate) in_flight_at_faults: usize,
     pub(crate) kills: usize,
     pub(crate) pauses: usize,
@@ -82,7 +86,7 @@
     last_request_id: u128,
 }
 
-/// One run.
+/// One run, determined by its seed.
 pub(crate) struct Run {
     pub(crate) kv: MemKv,
     pub(crate) start: Instant,
@@ -91,7 +95,7 @@
     seed: u64,
 }
 
-/// What a run says of itself.
+/// Counters of a run.
 #[derive(Clone, Copy, Default, Debug)]
 pub(crate) struct Report {
     pub(crate) operations: usize,
@@ -106,13 +110,13 @@
     pub(crate) in_flight_at_faults: usize,
 }
 
-/// Runs one seed on a paused clock and checks what it saw.
+/// Runs one seed on a paused clock and checks its observations.
 pub(crate) fn run_seed(seed: u64) -> Result<Report, String> {
     let rt = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build()
-        .expect("a runtime with a clock only");
+        .expect("a runtime without I/O can be built");
     rt.block_on(async { Run::new(seed).execute().await })
 }
 
@@ -139,8 +143,8 @@
         let callers =
             (0..NODES * CALLERS_PER_NODE).map(|n| tokio::spawn(Arc::clone(&self).run_caller(n)));
         futures::future::join_all(callers).await;
-        nemesis.await.expect("the nemesis goes on");
-        operator.await.expect("the operator goes on");
+        nemesis.await.expect("the nemesis does not panic");
+        operator.await.expect("the operator does not panic");
         self.kv.set_faults(KvFaults::default());
         sleep(20 * SECOND).await;
         self.export_remaining().await?;
@@ -152,6 +156,7 @@
         self.observations.lock().unwrap()
     }
 
+    /// Returns the random number generator of one task; each task has a stream of its own.
     pub(crate) fn rng(&self, stream: u64) -> Pcg64Mcg {
         Pcg64Mcg::seed_from_u64(self.seed.wrapping_mul(1_000).wrapping_add(stream))
     }
@@ -160,7 +165,8 @@
         common::now(self.start)
     }
 
-    /// A node's name at the service stays when it is replaced; its writer's number does not.
+    /// Starts a node. A replacement has the same client name at the service and another writer
+    /// number.
     pub(crate) fn new_node(&self, index: usize, incarnation: u64) -> Node {
         let writer = index as u64 + 1 + incarnation * 100;
         let mut settings = common::settings(writer, common::small_meta(SHARDS, SLOTS));
@@ -170,7 +176,7 @@
         common::start_node_with_kv(kv, settings, self.start)
     }
 
-    /// An operator exports now and then, and sometimes dies before truncating.
+    /// Exports at random intervals and sometimes skips truncation, as if the operator had crashed.
     async fn run_operator(self: Arc<Self>) {
         let mut rng = self.rng(500);
         let mut exporter = None;
@@ -182,7 +188,7 @@
                 exporter = Exporter::new(kv, 900).await.ok();
             }
             if let Some(exporter) = &exporter {
-                // An operator who gets an error tries again later.
+                // After an error, the next iteration retries.
                 let _ = self.export(exporter, skip_truncation).await;
             }
         }
@@ -218,7 +224,7 @@
     }
 
     async fn export_remaining(&self) -> Result<(), String> {
-        let describe_error = |e| format!("the last export failed: {e}");
+        let describe_error = |e| format!("the final export failed: {e}");
         let exporter = Exporter::new(self.kv.client("operator"), 901)
             .await
             .map_err(describe_error)?;
@@ -257,7 +263,7 @@
     }
 }
 
-/// What the network does all the time.
+/// Network faults that are active throughout a run.
 pub(crate) fn baseline_faults() -> KvFaults {
     KvFaults {
         slow: Duration::from_millis(2),
@@ -306,4 +312,5 @@
     }
 }
 
+/// Outcome that callers record for every request.
 pub(crate) const FINISH_OUTCOME: Outcome = Outcome::Complete;
--- a/crates/oatdale-journal/tests/run/nemesis.rs
+++ b/crates/oatdale-journal/tests/run/nemesis.rs
@@ -1,4 +1,4 @@
-//! Brings faults about, drawn from the run's seed.
+//! Nemesis: injects faults drawn from the run's seed.
 
 use super::{NODES, Run, WORKLOAD_DURATION, baseline_faults, node_name};
 use oatdale_fakes::KvFaults;
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Replaces a node by a fresh one; what it knew is gone, and what it sent may still arrive.
+    /// Replaces a node by a new one. The old node's memory is lost; its writes may still arrive.
     fn kill(&self, index: usize, incarnation: u64) {
         let replacement = self.new_node(index, incarnation);
         let mut nodes = self.nodes.lock().unwrap();
@@ -58,6 +58,7 @@
         self.kv.set_faults(baseline_faults());
     }
 
+    /// Adds the requests in flight at this fault to the total.
     fn count_in_flight(&self) {
         let mut observations = self.observations();
         observations.in_flight_at_faults += observations.in_flight;
--- a/crates/oatdale-journal/tests/run/worker.rs
+++ b/crates/oatdale-journal/tests/run/worker.rs
@@ -1,4 +1,4 @@
-//! Callers: each claims, dispatches, bills and pins through the node that it happens to use.
+//! Callers, which claim, dispatch, bill and pin through the nodes.
 
 use super::{ClaimResult, FINISH_OUTCOME, NODES, Op, Run, WORKLOAD_DURATION, version_pin};
 use crate::common::{close_record, open_record};
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Keys and sessions are in use for this long, so that several callers meet at each.
+/// How long the same keys and sessions are used, so that several callers contend for each.
 const KEY_ROTATION_MS: u128 = 700;
 
 impl Run {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// A request that must run at most once.
+    /// Claims, dispatches and bills a request that must run at most once.
     async fn claimed_request(&self, caller_index: usize, rng: &mut impl Rng) {
         let key = ClaimKey(self.shared_id(rng));
         let by = self.observations().new_request_id();
@@ -42,7 +42,7 @@
                 sleep(Duration::from_millis(rng.random_range(0..50))).await;
                 self.dispatch(key, by, dispatch_by);
                 self.bill_request(by, rng).await;
-                // Nobody waits for it; callers that ask again are told less without it.
+                // Best effort: without the outcome, retrying callers only get less information.
                 let _ = handle.finish(key, by, FINISH_OUTCOME);
             }
             Ok(Claim::Lost { by: holder, .. }) => {
@@ -50,7 +50,7 @@
             }
             Err(error) => {
                 self.observations().errors += 1;
-                // The release may travel through another node than the claim, and overtake it.
+                // The release may go through a different node than the claim and arrive before it.
                 let other = self.handle(rng.random_range(0..NODES));
                 self.release_claim(&other, key, by, &error);
             }
@@ -67,7 +67,8 @@
         }
     }
 
-    /// A node that is alive gives a claim back; one that died can't.
+    /// Releases a claim after an error. A claim whose node has stopped is not released, since that
+    /// node no longer can.
     fn release_claim(
         &self,
         handle: &JournalHandle,
@@ -103,8 +104,8 @@
         }
     }
 
-    /// The request's node and a holder both try to close its bill, with different usage, each
-    /// until it succeeds or gives up for good.
+    /// Writes the bill of a request. In some requests a bill holder writes it too, with different
+    /// usage. Each writer retries until it succeeds or runs out of attempts.
     async fn bill_request(&self, request: RequestId, rng: &mut impl Rng) {
         let at = self.now();
         let tokens = [rng.random_range(1..500), rng.random_range(500..999)];
@@ -160,7 +161,7 @@
         self.nodes.lock().unwrap()[index].handle.clone()
     }
 
-    /// One of two names of the present era.
+    /// Returns one of the two identifiers in use during the current rotation period.
     fn shared_id(&self, rng: &mut impl Rng) -> [u8; 32] {
         let rotation = (self.start.elapsed().as_millis() / KEY_ROTATION_MS) as u8;
         let mut id = [0; 32];
--- a/crates/oatdale-journal/tests/spec/act.rs
+++ b/crates/oatdale-journal/tests/spec/act.rs
@@ -1,4 +1,4 @@
-//! What a node's steps do to the world.
+//! Effects of a node's steps on the state of the system.
 
 use super::node::{Node, Phase, Publication};
 use super::{Fault, Manifest, Page, PageName, Payload, World, Write};
--- a/crates/oatdale-journal/tests/spec/mod.rs
+++ b/crates/oatdale-journal/tests/spec/mod.rs
@@ -1,8 +1,9 @@
-//! The journal as a small state machine: two nodes, one shard, a service that answers late or not.
+//! Specification of the journal as a small state machine: two nodes, one shard, and a key-value
+//! service whose responses may be late or lost.
 //!
-//! What the records add up to is the crate's own [`Fold`]; the rest follows log.rs, compact.rs and
-//! export.rs step by step, with every call to the service a step of its own. A write that is under
-//! way may arrive at any later time, whatever became of its sender.
+//! Records are applied by the crate's own [`Fold`]. The rest models log.rs, compact.rs and
+//! export.rs, with each call to the service as a separate step. A write in flight may arrive at any
+//! later time, even if its sender has crashed.
 
 mod act;
 mod node;
@@ -16,59 +17,59 @@
 pub(crate) use node::Node;
 pub(crate) use truth::KEY;
 
-/// How many slots the ring has.
+/// Number of slots in the ring.
 pub(crate) const SLOTS: u8 = 2;
 
-/// All segments are written at one time, so that nothing expires.
+/// All segments carry the same time, so that nothing expires.
 pub(crate) const WRITTEN_AT: Millis = Millis(1_000_000);
 
-/// A deliberate fault of the design.
+/// Design fault that is injected into the specification.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Fault {
     None,
-    /// Segments are keys of their own, created if absent and deleted once compacted.
+    /// Each segment has its own key, created if absent and deleted once compacted.
     DeleteCompactedSegments,
-    /// A segment replaces whatever its slot holds.
+    /// A segment replaces its slot without a condition.
     UnconditionalAppend,
-    /// An append whose answer is lost counts as stored.
+    /// An append whose response is lost counts as stored.
     AssumeStoredWithoutResponse,
-    /// A node that gave a claim up dispatches it when it turns out to be won.
+    /// A node dispatches a claim that it released if the claim turns out to be won.
     DispatchAfterRelease,
-    /// A segment may replace one that no page covers yet.
+    /// A segment may replace one that is not compacted yet.
     OverwriteUncompactedSegments,
-    /// A compactor that sees its manifest lose deletes its pages without asking if they are listed.
+    /// A compactor whose manifest write lost deletes its pages without checking if they are listed.
     DeletePagesUnchecked,
-    /// A compactor reuses the names of its last try's pages.
+    /// A compactor reuses the page names of its previous attempt.
     ReusePageNames,
     /// The manifest is replaced without a condition.
     UnconditionalManifest,
-    /// An export truncates all that is listed, not just what it took.
+    /// Truncation removes all listed bills, also those that were not exported.
     TruncateUnexported,
-    /// Truncation forgets which requests have their bill.
+    /// Truncation drops the record of which requests have a bill.
     ForgetBilledRequests,
-    /// A bill counts as durable once it is sent.
+    /// A bill is acknowledged when it is sent.
     AcknowledgeBeforeStored,
 }
 
-/// What the nodes have to do and how far the search goes.
+/// Specification: the workload of the nodes, the injected fault and the bounds of the search.
 #[derive(Clone)]
 pub(crate) struct JournalSpec {
     pub(crate) fault: Fault,
-    /// The records that each node writes, again if it crashes.
+    /// The records that each node writes. After a crash it writes its bill records again.
     pub(crate) workload: [Vec<Record>; 2],
     /// Whether a node may compact.
     pub(crate) can_compact: [bool; 2],
     /// Whether the second node exports.
     pub(crate) second_node_exports: bool,
-    /// Whether nodes give up on claims.
+    /// Whether nodes may release claims.
     pub(crate) can_release_claims: bool,
-    /// How many crashes there may be in all.
+    /// Maximum number of crashes in total.
     pub(crate) max_crashes: u8,
-    /// How many writes may lack an answer in all.
+    /// Maximum number of writes without a response in total.
     pub(crate) max_lost_responses: u8,
-    /// How long the log may get.
+    /// Maximum number of segments in the log.
     pub(crate) max_segments: u8,
-    /// How high the manifest's generation may get.
+    /// Highest manifest generation that compactions may reach; truncations may exceed it.
     pub(crate) max_generation: u8,
 }
 
@@ -78,7 +79,7 @@
     pub(crate) records: Rc<Vec<Record>>,
 }
 
-/// Generation, writer, attempt and whether it holds bills.
+/// Name of a page: generation, writer, attempt, and whether it holds bills.
 pub(crate) type PageName = (u8, u8, u8, bool);
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
@@ -91,27 +92,29 @@
 pub(crate) struct Manifest {
     pub(crate) generation: u8,
     pub(crate) writer: u8,
+    /// Number of the first segment that the pages do not cover.
     pub(crate) next: u8,
     pub(crate) state: Option<PageName>,
     pub(crate) bills: Vec<PageName>,
 }
 
-/// A write that is under way.
+/// Write in flight.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub(crate) struct Write {
+    /// Index of the sending node.
     pub(crate) from: usize,
     pub(crate) payload: Payload,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub(crate) enum Payload {
-    /// A segment, and the segment that its slot must hold.
+    /// A segment, and the number of the segment that its slot must hold.
     Segment(Segment, Option<u8>),
-    /// A manifest, and the generation that must be there; with what an export took.
+    /// A manifest, the generation that it must replace, and the exported pages that it truncates.
     Manifest(Rc<Manifest>, u8, Vec<PageName>),
 }
 
-/// The service, the nodes, and what was promised to callers and operators.
+/// State of the service and the nodes, and the effects that callers and operators have observed.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub(crate) struct World {
     pub(crate) slots: BTreeMap<u8, Segment>,
@@ -121,17 +124,18 @@
     pub(crate) nodes: [Node; 2],
     pub(crate) crashes: u8,
     pub(crate) lost_responses: u8,
-    /// Requests that were sent to an endpoint under the one claim key.
+    /// Requests under the claim key that were dispatched to an endpoint.
     pub(crate) dispatched: BTreeSet<RequestId>,
-    /// Requests whose bill a node was told to be durable.
+    /// Requests with a bill record that was acknowledged as durable.
     pub(crate) acknowledged: BTreeSet<RequestId>,
-    /// Bills that operators have.
+    /// Exported bills: request and output tokens.
     pub(crate) exported: BTreeSet<(RequestId, u64)>,
-    /// Requests whose bills were removed.
+    /// Requests whose bills were truncated.
     pub(crate) truncated: BTreeSet<RequestId>,
 }
 
 impl JournalSpec {
+    /// Returns the key under which segment `seq` is stored.
     pub(crate) fn slot_key(&self, seq: u8) -> u8 {
         match self.fault {
             Fault::DeleteCompactedSegments => seq,
@@ -139,7 +143,7 @@
         }
     }
 
-    /// A write arrives; true if it takes effect.
+    /// Delivers a write to the service. Returns whether its condition held and it took effect.
     pub(crate) fn apply_write(&self, world: &mut World, write: &Write) -> bool {
         match &write.payload {
             Payload::Segment(segment, expected) => {
@@ -164,6 +168,7 @@
         }
     }
 
+    /// Steps in which a write in flight arrives, with or without its response.
     fn delivery_steps(&self, world: &World) -> Vec<(String, World)> {
         let mut steps = Vec::new();
         for (index, write) in world.writes.iter().enumerate() {
@@ -171,12 +176,12 @@
             next.writes.remove(index);
             let is_awaited = next.nodes[write.from].awaits(write);
             let applied = self.apply_write(&mut next, write);
-            let name = format!("{} arrives: {applied}", describe(write));
+            let name = format!("{} arrives, applied: {applied}", describe(write));
             if is_awaited && world.lost_responses < self.max_lost_responses {
                 let mut unanswered = next.clone();
                 unanswered.lost_responses += 1;
                 self.time_out(&mut unanswered, write);
-                steps.push((format!("{name}, its answer is lost"), unanswered));
+                steps.push((format!("{name}, response lost"), unanswered));
             }
             if is_awaited {
                 self.receive_response(&mut next, write, applied);
@@ -186,7 +191,7 @@
         steps
     }
 
-    /// A node stops waiting for a write that may arrive later, or never.
+    /// Steps in which a node stops waiting for a write that arrives later or never.
     fn timeout_steps(&self, world: &World) -> Vec<(String, World)> {
         if world.lost_responses >= self.max_lost_responses {
             return Vec::new();
@@ -201,8 +206,14 @@
             self.time_out(&mut delayed, write);
             let mut dropped = delayed.clone();
             dropped.writes.remove(index);
-            steps.push((format!("no answer to {} yet", describe(write)), delayed));
-            steps.push((format!("{} is lost", describe(write)), dropped));
+            steps.push((
+                format!("{} times out and stays in flight", describe(write)),
+                delayed,
+            ));
+            steps.push((
+                format!("{} times out and is lost", describe(write)),
+                dropped,
+            ));
         }
         steps
     }
--- a/crates/oatdale-journal/tests/spec/node.rs
+++ b/crates/oatdale-journal/tests/spec/node.rs
@@ -7,52 +7,55 @@
 use oatdale_journal::{BillRecord, BillState, Entry, Fold, Record, RequestId};
 use std::rc::Rc;
 
-/// What a node does.
+/// Phase of a node.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub(crate) enum Phase {
-    /// It knows nothing.
+    /// No state loaded.
     Unloaded,
-    /// It has read a manifest and reads its page next.
+    /// Has read a manifest and reads its state page next.
     Loading,
-    /// It reads the log's next segment.
+    /// Reads the next segment of the log.
     Reading,
-    /// It has read all there was.
+    /// Has read the log to its end.
     AtEnd,
-    /// It waits for a segment's answer.
+    /// Waits for the response to a segment write.
     Appending,
-    /// It waits for a manifest's answer.
+    /// Waits for the response to a manifest write.
     Publishing(Rc<Publication>),
-    /// Its manifest won or lost: these pages go unless they are listed.
+    /// The manifest write has won or lost: deletes these pages unless they are listed.
     Deleting(Vec<PageName>),
 }
 
-/// A manifest on its way.
+/// Manifest write that awaits its response.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub(crate) struct Publication {
-    /// Pages of its own that it lists.
+    /// Pages that the node wrote for this manifest.
     pub(super) own_pages: Vec<PageName>,
     pub(super) payload: Payload,
-    /// Whether no answer came in time.
+    /// Whether the response timed out.
     pub(super) timed_out: bool,
 }
 
+/// State of one node.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub(crate) struct Node {
     pub(crate) index: usize,
     pub(crate) phase: Phase,
     pub(crate) fold: Rc<Fold>,
+    /// Number of the next segment to read or append.
     pub(crate) next: u8,
     pub(crate) manifest: Rc<Manifest>,
-    /// What became final since the manifest.
+    /// Entries that became final since the manifest, with the numbers of their segments.
     pub(crate) entries: Vec<(u8, Entry)>,
-    /// Records that it wants in the log.
+    /// Records to be written to the log.
     pub(crate) pending: Vec<Record>,
-    /// Claims that it was told to have won and has not dispatched.
+    /// Requests that won their claim and are not dispatched yet.
     pub(crate) won_claims: Vec<RequestId>,
-    /// Claims that it gave up.
+    /// Requests whose claim the node released.
     pub(crate) released_claims: Vec<RequestId>,
+    /// Number of compactions started; part of the page names.
     pub(crate) attempts: u8,
-    /// Pages that its export holds and has not truncated.
+    /// Exported pages that are not truncated yet.
     pub(crate) exported_pages: Vec<PageName>,
 }
 
@@ -73,7 +76,7 @@
         }
     }
 
-    /// Whether the node still waits for this write's answer.
+    /// Whether the node still waits for the response to this write.
     pub(crate) fn awaits(&self, write: &Write) -> bool {
         match (&self.phase, &write.payload) {
             (Phase::Appending, Payload::Segment(segment, _)) => segment.seq == self.next,
@@ -97,7 +100,7 @@
 }
 
 impl JournalSpec {
-    /// Takes an answer in.
+    /// Handles the response to a write; `applied` tells whether the write took effect.
     pub(crate) fn receive_response(&self, world: &mut World, write: &Write, applied: bool) {
         let stored = Rc::clone(&world.manifest);
         let node = &mut world.nodes[write.from];
@@ -128,7 +131,7 @@
         }
     }
 
-    /// A node stops waiting for an answer.
+    /// Handles a timeout of a write.
     pub(crate) fn time_out(&self, world: &mut World, write: &Write) {
         let node = &mut world.nodes[write.from];
         match &write.payload {
@@ -146,7 +149,7 @@
         }
     }
 
-    /// Every step that node `index` may take by itself.
+    /// Returns every step that node `index` may take on its own.
     pub(crate) fn node_steps(&self, world: &World, index: usize) -> Vec<(String, World)> {
         let mut steps = Vec::new();
         let mut step = |name: &str, mutate: &dyn Fn(&mut World)| {
@@ -162,7 +165,7 @@
                     w.nodes[index].phase = Phase::Loading;
                 });
             }
-            Phase::Loading => step("reads the page of state", &|w| load_state(w, index)),
+            Phase::Loading => step("reads the state page", &|w| load_state(w, index)),
             Phase::Reading => step("reads the next slot", &|w| self.read_next_slot(w, index)),
             Phase::AtEnd => {
                 if self.may_append(node) {
@@ -172,13 +175,13 @@
                     step("sends a manifest", &|w| self.send_manifest(w, index));
                 }
                 if self.may_export(node) {
-                    step("reads the pages of bills", &|w| read_export(w, index));
+                    step("exports the bill pages", &|w| read_export(w, index));
                 }
                 if !node.exported_pages.is_empty() {
-                    step("truncates", &|w| self.send_truncation(w, index));
+                    step("truncates the bills", &|w| self.send_truncation(w, index));
                 }
                 if !node.pending.is_empty() || self.second_node_exports && index == 1 {
-                    step("looks at the log's end again", &|w| {
+                    step("reads the log again", &|w| {
                         w.nodes[index].phase = Phase::Reading;
                     });
                 }
@@ -192,10 +195,10 @@
                 w.nodes[index].phase = Phase::Reading;
             }),
             Phase::Publishing(publication) if publication.timed_out => {
-                step("gives the manifest up", &|w| {
+                step("abandons the manifest write", &|w| {
                     w.nodes[index].phase = Phase::Unloaded;
                 });
-                step("sends the manifest again", &|w| {
+                step("retries the manifest write", &|w| {
                     resend(w, index, &publication.payload);
                 });
             }
@@ -219,7 +222,8 @@
                 let attempts = w.nodes[index].attempts;
                 w.crashes += 1;
                 w.nodes[index] = Node::with_records(index, self.records_after_crash(index));
-                // A new incarnation draws a new writer; counting on has the same effect here.
+                // A real node draws a new writer number when it restarts. Keeping the attempt count
+                // has the same effect here: page names stay unique.
                 w.nodes[index].attempts = attempts;
             });
         }
@@ -230,7 +234,8 @@
         !node.pending.is_empty() || self.second_node_exports && node.index == 1
     }
 
-    /// A node that crashed asks for no claim again: its caller does, elsewhere.
+    /// Returns the records that a node writes after a crash. It repeats no claim, since the caller
+    /// retries through another node.
     fn records_after_crash(&self, index: usize) -> Vec<Record> {
         let bills = |record: &&Record| matches!(record, Record::Bill(_));
         self.workload[index].iter().filter(bills).cloned().collect()
@@ -323,7 +328,7 @@
 
     fn send_truncation(&self, world: &mut World, index: usize) {
         let exported_pages = world.nodes[index].exported_pages.clone();
-        // The exporter reads the manifest anew before it truncates.
+        // The exporter reads the manifest again before it truncates.
         world.nodes[index].manifest = Rc::clone(&world.manifest);
         let mut rest = Manifest::clone(&world.manifest);
         rest.generation += 1;
@@ -338,7 +343,7 @@
         publish(world, index, rest, Vec::new(), exported_pages);
     }
 
-    /// Answers jobs from the fold, as job.rs does.
+    /// Resolves pending records from the fold, as job.rs does.
     fn resolve(&self, world: &mut World, index: usize) {
         let node = &mut world.nodes[index];
         let at_end = node.phase == Phase::AtEnd;
--- a/crates/oatdale-journal/tests/spec_journal.rs
+++ b/crates/oatdale-journal/tests/spec_journal.rs
@@ -1,4 +1,5 @@
-//! The journal's specification, explored exhaustively, and the breaks that it must find.
+//! Exhaustive check of the journal's specification, and of injected faults that the check must
+//! detect.
 
 mod common;
 mod spec;
@@ -8,7 +9,7 @@
 use oatdale_journal::{Millis, Record, RequestId};
 use spec::{Fault, JournalSpec, WRITTEN_AT};
 
-/// More states than any of these searches may visit.
+/// Upper bound on the states of one search.
 const MAX_STATES: usize = 3_000_000;
 
 fn claim(by: u128) -> Record {
@@ -26,7 +27,7 @@
     Record::Bill(open_record(request, Millis(WRITTEN_AT.0)))
 }
 
-/// Two nodes claim one key, each for a request of its own.
+/// Two nodes claim the same key for different requests.
 fn claims_spec(fault: Fault) -> JournalSpec {
     JournalSpec {
         fault,
@@ -41,7 +42,8 @@
     }
 }
 
-/// A node and a holder close one request differently, while the holder also exports.
+/// A node and a bill holder close the same request with different usage; the bill holder also
+/// exports.
 fn bills_spec(fault: Fault) -> JournalSpec {
     JournalSpec {
         fault,
@@ -60,13 +62,14 @@
 }
 
 fn find_counterexample(spec: &JournalSpec) -> Counterexample {
-    let counterexample = explore(spec, MAX_STATES).expect_err("the break must be found");
+    let counterexample =
+        explore(spec, MAX_STATES).expect_err("an injected fault must violate the invariant");
     assert!(!counterexample.steps.is_empty(), "{counterexample}");
     println!("{:?}: {counterexample}", spec.fault);
     counterexample
 }
 
-/// The breaks that two claims show, and those that bills show.
+/// Faults that [`claims_spec`] must detect.
 const CLAIM_FAULTS: [Fault; 5] = [
     Fault::DeleteCompactedSegments,
     Fault::UnconditionalAppend,
@@ -74,6 +77,7 @@
     Fault::DispatchAfterRelease,
     Fault::OverwriteUncompactedSegments,
 ];
+/// Faults that [`bills_spec`] must detect.
 const BILL_FAULTS: [Fault; 6] = [
     Fault::DeletePagesUnchecked,
     Fault::ReusePageNames,
@@ -87,7 +91,10 @@
 fn each_claim_fault_has_a_short_counterexample() {
     for fault in CLAIM_FAULTS {
         let steps = find_counterexample(&claims_spec(fault)).steps.len();
-        assert!(steps <= 24, "{fault:?} takes {steps} steps");
+        assert!(
+            steps <= 24,
+            "{fault:?}: counterexample has {steps} steps, expected at most 24"
+        );
     }
 }
 
@@ -95,7 +102,10 @@
 fn each_bill_fault_has_a_short_counterexample() {
     for fault in BILL_FAULTS {
         let steps = find_counterexample(&bills_spec(fault)).steps.len();
-        assert!(steps <= 24, "{fault:?} takes {steps} steps");
+        assert!(
+            steps <= 24,
+            "{fault:?}: counterexample has {steps} steps, expected at most 24"
+        );
     }
 }
 
