--- a/crates/oatdale-journal/tests/history.rs
+++ b/crates/oatdale-journal/tests/history.rs
@@ -37,7 +37,7 @@
     total.bills += other.bills;
     total.errors += other.errors;
     total.faults += other.faults;
-    total.lost_answers += other.lost_answers;
+    total.lost_responses += other.lost_responses;
     total.kills += other.kills;
     total.pauses += other.pauses;
     total.partitions += other.partitions;
@@ -65,5 +65,5 @@
     println!("{} seeds: {total:?}", seeds().len());
     let fault_counts = [total.kills, total.pauses, total.partitions, total.outages];
     assert!(fault_counts.iter().all(|n| *n > 0), "{total:?}");
-    assert!(total.lost_answers > 0, "{total:?}");
+    assert!(total.lost_responses > 0, "{total:?}");
 }
--- a/crates/oatdale-journal/tests/run/worker.rs
+++ b/crates/oatdale-journal/tests/run/worker.rs
@@ -19,7 +19,7 @@
             sleep(Duration::from_millis(rng.random_range(0..150))).await;
             self.observations().in_flight += 1;
             match rng.random_range(0..10) {
-                0..5 => self.claimed_request(caller_index, &mut rng).await,
+                0..5 => self.run_claimed_request(caller_index, &mut rng).await,
                 5..7 => self.pin(caller_index, &mut rng).await,
                 _ => {
                     let request = self.observations().new_request_id();
@@ -31,7 +31,7 @@
     }
 
     /// Claims, dispatches and bills a request that must run at most once.
-    async fn claimed_request(&self, caller_index: usize, rng: &mut impl Rng) {
+    async fn run_claimed_request(&self, caller_index: usize, rng: &mut impl Rng) {
         let key = ClaimKey(self.shared_id(rng));
         let by = self.observations().new_request_id();
         let handle = self.handle(caller_index % NODES);
--- a/crates/oatdale-journal/tests/spec/node.rs
+++ b/crates/oatdale-journal/tests/spec/node.rs
@@ -213,7 +213,7 @@
         let next_claim = node
             .pending
             .iter()
-            .position(|record| matches!(record, Record::Claim { .. }));
+            .position(|queued| matches!(queued, Record::Claim { .. }));
         if let (true, Some(pos)) = (self.can_release_claims, next_claim) {
             step("releases a claim", &|w| release(&mut w.nodes[index], pos));
         }
