--- a/crates/oatdale-policy/src/relay.rs
+++ b/crates/oatdale-policy/src/relay.rs
@@ -25,26 +25,26 @@
 mod placement;
 mod quarantine;
 mod readers;
-mod repeats;
+mod retry_limiter;
 mod roll_out;
 mod warm_up;
 
 pub use crate::average::{Mean, Rate};
 pub use crate::relay::addresses::{AddressCandidate, advertised_addresses};
 pub use crate::relay::engine::EngineReport;
-pub use crate::relay::evidence::{Cells, Counts, Origin, Tally, Verdict, verdict};
+pub use crate::relay::evidence::{Counts, CountsByOrigin, Origin, Verdict, VersionCounts, verdict};
 pub use crate::relay::fingerprint::Fingerprint;
 pub use crate::relay::health::Health;
-pub use crate::relay::ladder::{Ladder, Step};
-pub use crate::relay::pace::{StreamPace, UsualTime};
+pub use crate::relay::ladder::{EscalationDecision, Ladder};
+pub use crate::relay::pace::{BaselineTime, StreamPace};
 pub use crate::relay::placement::{Candidate, Placement, choose};
-pub use crate::relay::quarantine::{Cleared, MAX_CRASHES, QUARANTINE_TIME, Quarantine};
+pub use crate::relay::quarantine::{MAX_CRASHES, PreviousState, QUARANTINE_TIME, Quarantine};
 pub use crate::relay::readers::{
     READERS_PER_DOMAIN, REGISTERED_PER_DOMAIN, ReaderCandidate, ReaderSelector,
     max_forwarded_bytes, rank_readers, registration_delay, select_readers, start_delay,
 };
-pub use crate::relay::repeats::{Allowance, Repeats};
+pub use crate::relay::retry_limiter::{RetryLimit, RetryLimiter};
 pub use crate::relay::roll_out::{
-    Exposure, MOST_TRIAL, Phase, Schedule, is_in_trial, shows_new, trial_share,
+    ExposureLimit, MAX_TRIAL_SHARE, Phase, Schedule, is_in_trial, trial_share, uses_new_version,
 };
 pub use crate::relay::warm_up::{WarmUp, warm_up_share};
--- a/crates/oatdale-policy/src/relay/evidence.rs
+++ b/crates/oatdale-policy/src/relay/evidence.rs
@@ -53,17 +53,17 @@
 
 /// Response counts by origin.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
-pub struct Cells {
+pub struct CountsByOrigin {
     by_origin: BTreeMap<Origin, Counts>,
 }
 
 /// Response counts of both versions since the rollout order.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
-pub struct Tally {
+pub struct VersionCounts {
     /// The new version.
-    pub new: Cells,
+    pub new: CountsByOrigin,
     /// The versions before it.
-    pub old: Cells,
+    pub old: CountsByOrigin,
 }
 
 /// Result of comparing the new version with the old one.
@@ -102,10 +102,10 @@
     }
 }
 
-impl Cells {
+impl CountsByOrigin {
     /// Returns the counts of an origin for update. Beyond the limits on routes and endpoints, these
     /// are counts that several origins share.
-    pub fn at(&mut self, origin: Origin) -> &mut Counts {
+    pub fn entry(&mut self, origin: Origin) -> &mut Counts {
         let bounded_key = |key: u32, key_of: fn(&Origin) -> u32, max_keys: usize| {
             let known_keys: BTreeSet<u32> = self
                 .by_origin
@@ -124,7 +124,7 @@
     }
 
     /// Adds the counts of another node.
-    pub fn add(&mut self, other: &Cells) {
+    pub fn add(&mut self, other: &CountsByOrigin) {
         for (origin, counts) in other.iter() {
             let sum = self.by_origin.entry(origin).or_default();
             *sum = sum.plus(counts);
@@ -158,20 +158,20 @@
     }
 }
 
-impl FromIterator<(Origin, Counts)> for Cells {
+impl FromIterator<(Origin, Counts)> for CountsByOrigin {
     fn from_iter<T: IntoIterator<Item = (Origin, Counts)>>(iter: T) -> Self {
-        let mut cells = Cells::default();
+        let mut counts_by_origin = CountsByOrigin::default();
         for (origin, counts) in iter {
-            let sum = cells.by_origin.entry(origin).or_default();
+            let sum = counts_by_origin.by_origin.entry(origin).or_default();
             *sum = sum.plus(counts);
         }
-        cells
+        counts_by_origin
     }
 }
 
-impl Tally {
+impl VersionCounts {
     /// Adds the counts of another node.
-    pub fn add(&mut self, other: &Tally) {
+    pub fn add(&mut self, other: &VersionCounts) {
         self.new.add(&other.new);
         self.old.add(&other.old);
     }
@@ -182,40 +182,56 @@
 /// Failures and slow responses are each compared with those of the old version, so that neither
 /// hides the other, and a fault that affects all endpoints alike is not attributed to the new
 /// version.
-pub fn verdict(tally: &Tally) -> Verdict {
-    match is_worse(tally, Fault::Failed) || is_worse(tally, Fault::Slow) {
+pub fn verdict(version_counts: &VersionCounts) -> Verdict {
+    match is_worse(version_counts, Fault::Failed) || is_worse(version_counts, Fault::Slow) {
         true => Verdict::Bad,
         false => Verdict::Sound,
     }
 }
 
 /// Whether the new version has significantly more responses with this fault than the old one.
-fn is_worse(tally: &Tally, fault: Fault) -> bool {
-    if log_mean(&log_evidence_terms(tally, fault, |_| true)) <= LOG_EVIDENCE_BOUND {
+fn is_worse(version_counts: &VersionCounts, fault: Fault) -> bool {
+    if log_mean(&log_evidence_terms(version_counts, fault, |_| true)) <= LOG_EVIDENCE_BOUND {
         return false;
     }
-    let endpoints: BTreeSet<u32> = tally.new.by_origin.keys().map(|o| o.endpoint).collect();
+    let endpoints: BTreeSet<u32> = version_counts
+        .new
+        .by_origin
+        .keys()
+        .map(|o| o.endpoint)
+        .collect();
     if endpoints.len() == 1 {
-        return tally.new.cases(fault, |_| true).bad >= MIN_BAD_SINGLE_ENDPOINT;
+        return version_counts.new.cases(fault, |_| true).bad >= MIN_BAD_SINGLE_ENDPOINT;
     }
     // An endpoint that fails or is slow by itself looks like a bad version while it serves a part
     // of the trial; a bad version is bad at the other endpoints too.
     endpoints.iter().all(|&endpoint| {
-        let others = log_evidence_terms(tally, fault, |o| o.endpoint != endpoint);
+        let others = log_evidence_terms(version_counts, fault, |o| o.endpoint != endpoint);
         others.into_iter().fold(f64::MIN, f64::max) > LEAVE_ONE_OUT_LOG_BOUND
     })
 }
 
 /// Returns the logarithms of the evidence that the version is bad: first on all routes, then on
 /// each of them. The first term has the weight of all others together.
-fn log_evidence_terms(tally: &Tally, fault: Fault, includes: impl Fn(&Origin) -> bool) -> Vec<f64> {
+fn log_evidence_terms(
+    version_counts: &VersionCounts,
+    fault: Fault,
+    includes: impl Fn(&Origin) -> bool,
+) -> Vec<f64> {
     let log_evidence_on = |route: Option<u32>| {
         let is_on_route = |o: &Origin| route.is_none_or(|r| o.route == r);
-        let new = tally.new.cases(fault, |o| is_on_route(o) && includes(o));
-        let old = tally.old.cases(fault, is_on_route);
+        let new = version_counts
+            .new
+            .cases(fault, |o| is_on_route(o) && includes(o));
+        let old = version_counts.old.cases(fault, is_on_route);
         log_evidence(new.bad, new.samples, baseline_share(old))
     };
-    let routes: BTreeSet<u32> = tally.new.by_origin.keys().map(|o| o.route).collect();
+    let routes: BTreeSet<u32> = version_counts
+        .new
+        .by_origin
+        .keys()
+        .map(|o| o.route)
+        .collect();
     let by_route = routes.into_iter().map(|route| log_evidence_on(Some(route)));
     std::iter::once(log_evidence_on(None))
         .chain(by_route)
--- a/crates/oatdale-policy/src/relay/health.rs
+++ b/crates/oatdale-policy/src/relay/health.rs
@@ -44,14 +44,14 @@
 
 impl Health {
     /// Records a response, successful or failed.
-    pub fn answered(&mut self, good: bool) {
+    pub fn record_response(&mut self, good: bool) {
         let sample = if good { 0.0 } else { 1.0 };
         self.failure_share += (sample - self.failure_share) / AVERAGED_SAMPLES;
         self.consecutive_unreachable = 0;
     }
 
     /// Records that no response came: the connection failed, broke or stayed silent.
-    pub fn silent(&mut self, now: Duration) {
+    pub fn record_no_response(&mut self, now: Duration) {
         self.failure_share += (1.0 - self.failure_share) / AVERAGED_SAMPLES;
         let backoff = INITIAL_BACKOFF * 2_u32.saturating_pow(self.consecutive_unreachable.min(4));
         self.consecutive_unreachable += 1;
@@ -65,7 +65,7 @@
 
     /// Records that a response is late and may never come. For requests that may be sent only once,
     /// the timeout would tell so a second later.
-    pub fn late(&mut self) {
+    pub fn record_late_response(&mut self) {
         self.failure_share += (1.0 - self.failure_share) / AVERAGED_SAMPLES;
     }
 
--- a/crates/oatdale-policy/src/relay/ladder.rs
+++ b/crates/oatdale-policy/src/relay/ladder.rs
@@ -2,11 +2,11 @@
 
 /// What to do with an answer once its response head has arrived.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Step {
+pub enum EscalationDecision {
     /// Passes it to the caller.
-    Keep,
+    Accept,
     /// Drops it and sends the request to the model at this position of the ladder.
-    Up(usize),
+    Escalate(usize),
 }
 
 /// Escalation rule of one ladder: the smallest model answers first, and an answer in which the
@@ -24,9 +24,9 @@
     /// overloaded.
     pub threshold: u8,
     /// Recent wait of requests at the largest model, as a fraction of what callers accept.
-    pub wait: f64,
+    pub relative_wait: f64,
     /// Size of the generation as a multiple of the usual size.
-    pub size: f64,
+    pub relative_size: f64,
 }
 
 /// Wait up to which the full threshold applies.
@@ -55,18 +55,26 @@
     /// Decides about an answer of the model at position `pos` in a ladder of `sizes` models.
     ///
     /// `may_run` says whether a further run is allowed and would finish in time.
-    pub fn step(&self, pos: usize, sizes: usize, confidence: Option<u8>, may_run: bool) -> Step {
+    pub fn decide(
+        &self,
+        pos: usize,
+        sizes: usize,
+        confidence: Option<u8>,
+        may_run: bool,
+    ) -> EscalationDecision {
         let top = sizes.saturating_sub(1);
         match confidence {
-            Some(score) if may_run && pos < top && f64::from(score) < self.bound() => Step::Up(top),
-            _ => Step::Keep,
+            Some(score) if may_run && pos < top && f64::from(score) < self.bound() => {
+                EscalationDecision::Escalate(top)
+            }
+            _ => EscalationDecision::Accept,
         }
     }
 
     /// Returns the confidence below which an answer is escalated.
     fn bound(&self) -> f64 {
         let overload =
-            (self.wait - FULL_THRESHOLD_WAIT) / (MIN_THRESHOLD_WAIT - FULL_THRESHOLD_WAIT);
+            (self.relative_wait - FULL_THRESHOLD_WAIT) / (MIN_THRESHOLD_WAIT - FULL_THRESHOLD_WAIT);
         let wait_factor = (1.0 - overload).clamp(MIN_THRESHOLD_SHARE, 1.0);
         f64::from(self.threshold) * wait_factor * self.size_factor()
     }
@@ -78,7 +86,7 @@
     /// days with and without this factor, callers got 0.0025 more of the achievable value at the
     /// same cost.
     fn size_factor(&self) -> f64 {
-        let size = self.size.max(MIN_SIZE);
+        let size = self.relative_size.max(MIN_SIZE);
         let value = BASE_VALUE_SHARE + (1.0 - BASE_VALUE_SHARE) * size.min(MAX_VALUE_SIZE);
         (value / size)
             .sqrt()
--- a/crates/oatdale-policy/src/relay/pace.rs
+++ b/crates/oatdale-policy/src/relay/pace.rs
@@ -40,7 +40,7 @@
 
 impl StreamPace {
     /// Records an event that came at `now`; returns the pace once, when it is known.
-    pub fn event(&mut self, now: Duration) -> Option<Duration> {
+    pub fn record_event(&mut self, now: Duration) -> Option<Duration> {
         let previous = self.last_event.replace(now)?;
         if self.is_decided {
             return None;
@@ -65,21 +65,21 @@
     }
 
     /// Records that the stream was found slow before its last pause ended.
-    pub fn found_slow(&mut self) {
+    pub fn mark_slow(&mut self) {
         self.is_decided = true;
     }
 }
 
 /// Recent times of one kind of operation.
 #[derive(Clone, Debug, Default)]
-pub struct UsualTime {
+pub struct BaselineTime {
     recent: VecDeque<Duration>,
     median: Duration,
 }
 
-impl UsualTime {
+impl BaselineTime {
     /// Records the time of an operation.
-    pub fn learn(&mut self, took: Duration) {
+    pub fn record(&mut self, took: Duration) {
         if self.recent.len() == MEDIAN_SAMPLES {
             self.recent.pop_front();
         }
@@ -93,7 +93,7 @@
     ///
     /// It is derived from the median: the mean follows the few operations that wait behind long
     /// prompts, and a slow version is not far above it.
-    pub fn slow_after(&self) -> Option<Duration> {
+    pub fn slow_threshold(&self) -> Option<Duration> {
         let has_baseline = self.recent.len() >= MIN_SAMPLES;
         has_baseline.then(|| self.median.mul_f64(SLOW_FACTOR) + SLOW_MARGIN)
     }
--- a/crates/oatdale-policy/src/relay/placement.rs
+++ b/crates/oatdale-policy/src/relay/placement.rs
@@ -20,7 +20,7 @@
     /// Whether the endpoint is in the node's own failure domain.
     pub same_domain: bool,
     /// Whether the endpoint is cold and may get this request: it warms up by the requests it gets.
-    pub warms_up: bool,
+    pub may_warm_up: bool,
     /// Rendezvous hash of the request's prefix and the endpoint; the endpoint with the highest one
     /// caches the prefix.
     pub affinity: u64,
@@ -52,7 +52,7 @@
         allowed.max_by_key(|&i| candidates[i].affinity)
     };
     // Few nodes may send to a cold endpoint; those that may compensate for the others.
-    best(&|c| c.warms_up && c.in_flight < mean)
+    best(&|c| c.may_warm_up && c.in_flight < mean)
         .or_else(|| best(&|c| c.in_flight <= bound))
         .or_else(|| choose_by_load(candidates, 0))
 }
--- a/crates/oatdale-policy/src/relay/quarantine.rs
+++ b/crates/oatdale-policy/src/relay/quarantine.rs
@@ -47,7 +47,7 @@
 
 /// State of a request before it completed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Cleared {
+pub enum PreviousState {
     /// It was not tracked.
     Unknown,
     /// Endpoints had crashed under it.
@@ -66,7 +66,7 @@
     /// request.
     ///
     /// `endpoint` identifies one start of the endpoint: several nodes report the same crash.
-    pub fn note_crash(&mut self, now: Duration, request: Fingerprint, endpoint: u32) -> bool {
+    pub fn record_crash(&mut self, now: Duration, request: Fingerprint, endpoint: u32) -> bool {
         self.ensure_capacity(now, request);
         let tracked = self.tracked.entry(request).or_insert_with(|| Tracked {
             state: State::Suspected(SmallVec::new()),
@@ -79,12 +79,12 @@
             crashed_endpoints.push(endpoint);
         }
         tracked.expires_at = now + SUSPECT_TIME;
-        crashed_endpoints.len() >= MAX_CRASHES && self.hold(now, request)
+        crashed_endpoints.len() >= MAX_CRASHES && self.quarantine(now, request)
     }
 
     /// Quarantines a request; returns whether it was not quarantined before.
-    pub fn hold(&mut self, now: Duration, request: Fingerprint) -> bool {
-        if self.left(now, request).is_some() {
+    pub fn quarantine(&mut self, now: Duration, request: Fingerprint) -> bool {
+        if self.remaining(now, request).is_some() {
             return false;
         }
         self.ensure_capacity(now, request);
@@ -97,7 +97,7 @@
     }
 
     /// Returns how much longer a request is refused; `None` if it is not quarantined.
-    pub fn left(&self, now: Duration, request: Fingerprint) -> Option<Duration> {
+    pub fn remaining(&self, now: Duration, request: Fingerprint) -> Option<Duration> {
         let tracked = self.tracked.get(&request)?;
         match tracked.state {
             State::Quarantined => tracked
@@ -116,11 +116,11 @@
 
     /// Records that a copy of a request completed, so that it crashes no endpoint; returns the
     /// request's state before.
-    pub fn clear(&mut self, request: Fingerprint) -> Cleared {
+    pub fn clear(&mut self, request: Fingerprint) -> PreviousState {
         match self.tracked.remove(&request).map(|t| t.state) {
-            None => Cleared::Unknown,
-            Some(State::Suspected(_)) => Cleared::Suspected,
-            Some(State::Quarantined) => Cleared::Quarantined,
+            None => PreviousState::Unknown,
+            Some(State::Suspected(_)) => PreviousState::Suspected,
+            Some(State::Quarantined) => PreviousState::Quarantined,
         }
     }
 
@@ -130,9 +130,9 @@
     }
 
     /// Iterates over the requests that are quarantined.
-    pub fn held(&self, now: Duration) -> impl Iterator<Item = Fingerprint> {
+    pub fn quarantined(&self, now: Duration) -> impl Iterator<Item = Fingerprint> {
         let requests = self.tracked.keys().copied();
-        requests.filter(move |request| self.left(now, *request).is_some())
+        requests.filter(move |request| self.remaining(now, *request).is_some())
     }
 
     /// Makes room for an untracked request by eviction: suspected requests before quarantined ones,
--- a/crates/oatdale-policy/src/relay/repeats.rs
+++ b/crates/oatdale-policy/src/relay/retry_limiter.rs
@@ -1,34 +1,34 @@
-//! Limit on repeats: requests that a node sends once more, as a retry or to a larger model.
+//! Limit on retries: requests that a node sends once more, as a retry or to a larger model.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Slots of the window that are counted separately. The oldest slot counts in full for the repeats
-/// and not at all for the requests, which leaves a twentieth of the allowance unused.
+/// Slots of the window that are counted separately. The oldest slot counts in full for the retries
+/// and not at all for the requests, which leaves a twentieth of the limit unused.
 const WINDOW_SLOTS: u32 = 20;
 
-/// Limit that operators configure: in any span of `window`, at most `ratio` times as many repeats
+/// Limit that operators configure: in any span of `window`, at most `ratio` times as many retries
 /// for a service as it has requests, plus `slack`.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub struct Allowance {
+pub struct RetryLimit {
     /// Length of the span.
     pub window: Duration,
-    /// Repeats for each request.
+    /// Retries for each request.
     pub ratio: f64,
-    /// Repeats beyond that ratio.
+    /// Retries beyond that ratio.
     pub slack: f64,
 }
 
-/// Requests and repeats of one service at one node.
+/// Requests and retries of one service at one node.
 ///
 /// Without a limit, endpoints that fail because they are overloaded would get each request several
 /// times, which keeps them overloaded after the cause has gone. The limit applies to a window, as
-/// operators state it: requests of a few seconds ago allow repeats just as current ones do. With a
+/// operators state it: requests of a few seconds ago allow retries just as current ones do. With a
 /// token bucket that holds only the node's part of the slack, nodes with a few requests a second
 /// would run out of it whenever two or three low-confidence answers came in a row, while the site
 /// is far below the limit.
 #[derive(Clone, Debug, Default)]
-pub struct Repeats {
+pub struct RetryLimiter {
     /// Newest first.
     slots: VecDeque<Slot>,
 }
@@ -38,40 +38,45 @@
     /// Number of the slot, counted from the start of the clock.
     index: u128,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
-impl Repeats {
+impl RetryLimiter {
     /// Records a request from a caller.
-    pub fn request(&mut self, now: Duration, allowed: &Allowance) {
-        self.current_slot(now, allowed).requests += 1;
+    pub fn record_request(&mut self, now: Duration, retry_limit: &RetryLimit) {
+        self.current_slot(now, retry_limit).requests += 1;
     }
 
-    /// Records a repeat and returns `true` if the limit allows it with `reserved_share` of it left.
+    /// Records a retry and returns `true` if the limit allows it with `reserved_share` of it left.
     ///
     /// A deferrable use reserves a share for uses that cannot wait.
-    pub fn repeat(&mut self, now: Duration, allowed: &Allowance, reserved_share: f64) -> bool {
-        self.current_slot(now, allowed);
+    pub fn try_retry(
+        &mut self,
+        now: Duration,
+        retry_limit: &RetryLimit,
+        reserved_share: f64,
+    ) -> bool {
+        self.current_slot(now, retry_limit);
         let newest = self.slots[0].index;
         let in_window = self.slots.iter();
         let in_window = in_window.take_while(|s| s.index + u128::from(WINDOW_SLOTS) > newest);
         let requests: u32 = in_window.map(|s| s.requests).sum();
-        let repeats: u32 = self.slots.iter().map(|s| s.repeats).sum();
-        let limit = f64::from(requests) * allowed.ratio + allowed.slack;
-        let is_allowed = f64::from(repeats) + 1.0 <= limit * (1.0 - reserved_share);
-        self.slots[0].repeats += u32::from(is_allowed);
+        let retries: u32 = self.slots.iter().map(|s| s.retries).sum();
+        let limit = f64::from(requests) * retry_limit.ratio + retry_limit.slack;
+        let is_allowed = f64::from(retries) + 1.0 <= limit * (1.0 - reserved_share);
+        self.slots[0].retries += u32::from(is_allowed);
         is_allowed
     }
 
     /// Returns the current slot; drops the slots that have left the window.
-    fn current_slot(&mut self, now: Duration, allowed: &Allowance) -> &mut Slot {
-        let slot_length = (allowed.window / WINDOW_SLOTS).max(Duration::from_millis(1));
+    fn current_slot(&mut self, now: Duration, retry_limit: &RetryLimit) -> &mut Slot {
+        let slot_length = (retry_limit.window / WINDOW_SLOTS).max(Duration::from_millis(1));
         let index = now.as_nanos() / slot_length.as_nanos();
         if self.slots.front().is_none_or(|s| s.index < index) {
             let slot = Slot {
                 index,
                 requests: 0,
-                repeats: 0,
+                retries: 0,
             };
             self.slots.push_front(slot);
         }
--- a/crates/oatdale-policy/src/relay/roll_out.rs
+++ b/crates/oatdale-policy/src/relay/roll_out.rs
@@ -16,7 +16,7 @@
 const MIN_TRIAL_SHARE: f64 = 0.03;
 
 /// Largest share of requests that try a new version: more would be no trial.
-pub const MOST_TRIAL: f64 = 0.25;
+pub const MAX_TRIAL_SHARE: f64 = 0.25;
 
 /// Share of the allowed exposure that the schedule uses up: nodes count independently of each
 /// other, and each request may be sent more than once.
@@ -91,7 +91,7 @@
 
     /// Returns the phase at the time `since` the order.
     pub fn phase(&self, since: Duration, verdict: Verdict) -> Phase {
-        let idle_end = self.latest_end().saturating_sub(IDLE_END_LEAD);
+        let idle_end = self.completion_deadline().saturating_sub(IDLE_END_LEAD);
         let trial_start = MAX_TRIAL_START.min(self.duration.mul_f64(TRIAL_START_FRACTION));
         match verdict {
             _ if since < trial_start => Phase::Announced,
@@ -106,7 +106,7 @@
     ///
     /// A burst that begins after the share of the trial was settled would otherwise send the new
     /// version more requests after the switch than are allowed, however late in the order it comes.
-    pub fn follow_rate(&mut self, since: Duration, planned_rate: f64, current_rate: f64) {
+    pub fn adjust_to_rate(&mut self, since: Duration, planned_rate: f64, current_rate: f64) {
         if since >= self.switch_at() || planned_rate <= 0.0 {
             return;
         }
@@ -124,7 +124,7 @@
 
     /// Returns the time since the order at which the end is written although requests on the old
     /// version remain: an end that is late does not count, and the write may have to be repeated.
-    pub fn latest_end(&self) -> Duration {
+    pub fn completion_deadline(&self) -> Duration {
         let margin = self.lead.mul_f64(1.0 - GRACE_FRACTION);
         self.duration.saturating_sub(margin.max(MIN_END_MARGIN))
     }
@@ -135,9 +135,9 @@
     }
 }
 
-/// Exposure to a bad version that operators allow.
+/// Limit on the exposure to a bad version, as set by operators.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub struct Exposure {
+pub struct ExposureLimit {
     /// Share of all requests for the service during the order.
     pub share: f64,
     /// Requests beyond that share.
@@ -150,20 +150,20 @@
 /// Together with the requests after the switch, it uses up the planned exposure if there is no
 /// evidence against the version until the end: as much evidence as possible, and never more
 /// exposure.
-pub fn trial_share(allowed: Exposure, rate: f64, schedule: &Schedule) -> f64 {
+pub fn trial_share(limit: ExposureLimit, rate: f64, schedule: &Schedule) -> f64 {
     let secs = schedule.duration.as_secs_f64();
     let switch_lead = schedule.lead.as_secs_f64();
     let rate = rate.max(0.01);
-    let budget = PLANNED_EXPOSURE_SHARE * (allowed.share * secs * rate + allowed.slack);
+    let budget = PLANNED_EXPOSURE_SHARE * (limit.share * secs * rate + limit.slack);
     let share =
         (budget - PEAK_FACTOR * switch_lead * rate) / ((secs - switch_lead).max(0.1) * rate);
-    let share = share.clamp(MIN_TRIAL_SHARE, MOST_TRIAL);
+    let share = share.clamp(MIN_TRIAL_SHARE, MAX_TRIAL_SHARE);
     (share / SHARE_STEP).floor() * SHARE_STEP
 }
 
 /// Whether a request uses the new version; `hash` is that of its session, so that a session keeps
 /// its version on every node.
-pub fn shows_new(phase: Phase, share: f64, hash: u64) -> bool {
+pub fn uses_new_version(phase: Phase, share: f64, hash: u64) -> bool {
     match phase {
         Phase::Announced => false,
         Phase::Trial => is_in_trial(share, hash),
--- a/crates/oatdale-policy/src/relay/warm_up.rs
+++ b/crates/oatdale-policy/src/relay/warm_up.rs
@@ -41,14 +41,14 @@
 impl WarmUp {
     /// Returns when the next request may be sent with this share of a second's requests; `None`
     /// without a share.
-    pub fn next(&self, share: u32) -> Option<Duration> {
+    pub fn next_send_at(&self, share: u32) -> Option<Duration> {
         let share = usize::try_from(share).ok().filter(|share| *share > 0)?;
         let oldest = self.sent_at.len().checked_sub(share);
         Some(oldest.map_or(Duration::ZERO, |oldest| self.sent_at[oldest] + COUNT_WINDOW))
     }
 
     /// Records that a request is sent.
-    pub fn note(&mut self, now: Duration) {
+    pub fn record_send(&mut self, now: Duration) {
         while self
             .sent_at
             .front()
--- a/crates/oatdale-policy/tests/relay.rs
+++ b/crates/oatdale-policy/tests/relay.rs
@@ -1,7 +1,8 @@
 //! Decisions about requests that are proxied without interpreting their content.
 
 use oatdale_policy::relay::{
-    Allowance, Candidate, EngineReport, Health, Ladder, Placement, Repeats, Step, choose,
+    Candidate, EngineReport, EscalationDecision, Health, Ladder, Placement, RetryLimit,
+    RetryLimiter, choose,
 };
 use std::time::Duration;
 
@@ -14,7 +15,7 @@
         in_flight,
         same_domain,
         affinity,
-        warms_up: false,
+        may_warm_up: false,
     }
 }
 
@@ -63,7 +64,7 @@
     let mut now = secs(10);
     let mut backoffs = Vec::new();
     for _ in 0..5 {
-        health.silent(now);
+        health.record_no_response(now);
         let began = now;
         while health.is_ejected(now) {
             now += Duration::from_millis(100);
@@ -72,8 +73,8 @@
     }
     assert!(backoffs.is_sorted(), "{backoffs:?}");
     assert!(backoffs[4] <= secs(3), "{backoffs:?}");
-    health.answered(true);
-    health.silent(now);
+    health.record_response(true);
+    health.record_no_response(now);
     assert!(!health.is_ejected(now + Duration::from_millis(500)));
 }
 
@@ -84,11 +85,11 @@
     let mut health = Health::default();
     assert!(health.load_factor() <= 1.0);
     for n in 0..30 {
-        health.answered(n % 2 == 0);
+        health.record_response(n % 2 == 0);
     }
     assert!(health.load_factor() > 3.0);
     for _ in 0..10 {
-        health.answered(true);
+        health.record_response(true);
     }
     assert!(health.load_factor() <= 1.0);
 }
@@ -99,32 +100,32 @@
 fn late_answers_raise_the_load_factor() {
     let mut health = Health::default();
     for n in 0..70 {
-        health.answered(n % 7 != 0);
+        health.record_response(n % 7 != 0);
     }
     assert!(health.load_factor() <= 1.0);
     for _ in 0..4 {
-        health.late();
+        health.record_late_response();
     }
     assert!(health.load_factor() > 3.0);
 }
 
-const ALLOWANCE: Allowance = Allowance {
+const RETRY_LIMIT: RetryLimit = RetryLimit {
     window: Duration::from_secs(10),
     ratio: 0.5,
     slack: 4.0,
 };
 
 // Endpoints that fail because they are overloaded would stay so if each request were sent again: in
-// no window, whenever it begins, may there be more repeats than its requests allow. Callers come in
+// no window, whenever it begins, may there be more retries than its requests allow. Callers come in
 // waves; the requests of the window before count too, as operators state the limit.
 #[test]
-fn repeats_stay_within_the_allowance_in_any_window() {
-    let planned = Allowance {
-        ratio: ALLOWANCE.ratio * 0.85,
-        slack: ALLOWANCE.slack * 0.85,
-        ..ALLOWANCE
+fn retries_stay_within_the_limit_in_any_window() {
+    let planned = RetryLimit {
+        ratio: RETRY_LIMIT.ratio * 0.85,
+        slack: RETRY_LIMIT.slack * 0.85,
+        ..RETRY_LIMIT
     };
-    let mut repeats = Repeats::default();
+    let mut limiter = RetryLimiter::default();
     let mut requested = Vec::new();
     let mut repeated = Vec::new();
     for tick in 0..6_000_u64 {
@@ -132,38 +133,38 @@
         let is_burst = (tick / 700) % 3 == 1;
         let is_trickle = tick % 40 == 0;
         if is_burst || is_trickle {
-            repeats.request(now, &planned);
+            limiter.record_request(now, &planned);
             requested.push(now);
         }
-        while repeats.repeat(now, &planned, 0.0) {
+        while limiter.try_retry(now, &planned, 0.0) {
             repeated.push(now);
         }
     }
     let within = |times: &[Duration], from: Duration| {
-        let until = from + ALLOWANCE.window;
+        let until = from + RETRY_LIMIT.window;
         times.iter().filter(|t| **t >= from && **t < until).count() as f64
     };
     for from in (0..50_000).step_by(50).map(Duration::from_millis) {
-        let before = from.saturating_sub(ALLOWANCE.window / 2);
+        let before = from.saturating_sub(RETRY_LIMIT.window / 2);
         let requests = within(&requested, from).max(within(&requested, before));
-        let limit = requests * ALLOWANCE.ratio + ALLOWANCE.slack;
+        let limit = requests * RETRY_LIMIT.ratio + RETRY_LIMIT.slack;
         assert!(within(&repeated, from) <= limit, "{from:?}");
     }
     // The allowance is used up except for a small part.
-    assert!(repeated.len() as f64 > 0.8 * ALLOWANCE.ratio * requested.len() as f64);
+    assert!(repeated.len() as f64 > 0.8 * RETRY_LIMIT.ratio * requested.len() as f64);
 }
 
 #[test]
-fn reserved_share_is_left_for_other_repeats() {
-    let mut repeats = Repeats::default();
-    let allowed = Allowance {
+fn reserved_share_is_left_for_other_retries() {
+    let mut limiter = RetryLimiter::default();
+    let allowed = RetryLimit {
         slack: 10.0,
-        ..ALLOWANCE
+        ..RETRY_LIMIT
     };
     let now = Duration::from_secs(1);
-    let deferrable = (0..20).filter(|_| repeats.repeat(now, &allowed, 0.2));
+    let deferrable = (0..20).filter(|_| limiter.try_retry(now, &allowed, 0.2));
     assert_eq!(deferrable.count(), 8);
-    let urgent = (0..20).filter(|_| repeats.repeat(now, &allowed, 0.0));
+    let urgent = (0..20).filter(|_| limiter.try_retry(now, &allowed, 0.0));
     assert_eq!(urgent.count(), 2);
 }
 
@@ -171,27 +172,27 @@
 // confidence and are repeated: half of what is allowed. They come in clusters. Callers must not get
 // a low-confidence answer because two or three of them came in a row.
 #[test]
-fn clustered_repeats_are_allowed_at_a_low_request_rate() {
-    let allowed = Allowance {
+fn clustered_retries_are_allowed_at_a_low_request_rate() {
+    let allowed = RetryLimit {
         window: Duration::from_secs(10),
         ratio: 0.765,
         slack: 2.1,
     };
-    let mut repeats = Repeats::default();
+    let mut limiter = RetryLimiter::default();
     let mut refused = 0;
     let mut low_confidence = 0;
     for n in 0..600_u64 {
         let now = Duration::from_millis(n * 160);
-        repeats.request(now, &allowed);
+        limiter.record_request(now, &allowed);
         // Four of ten, in a row.
         if n % 10 < 4 {
             low_confidence += 1;
-            refused += u32::from(!repeats.repeat(now, &allowed, 0.2));
+            refused += u32::from(!limiter.try_retry(now, &allowed, 0.2));
         }
     }
     assert!(
         refused * 50 < low_confidence,
-        "{refused} of {low_confidence} repeats were refused"
+        "{refused} of {low_confidence} retries were refused"
     );
 }
 
@@ -199,29 +200,46 @@
 fn answer_is_escalated_only_if_its_confidence_is_low_and_a_run_is_allowed() {
     let ladder = Ladder {
         threshold: 50,
-        wait: 0.0,
-        size: 1.0,
+        relative_wait: 0.0,
+        relative_size: 1.0,
     };
-    assert_eq!(ladder.step(0, 3, Some(20), true), Step::Up(2));
-    assert_eq!(ladder.step(0, 3, Some(50), true), Step::Keep);
-    assert_eq!(ladder.step(0, 3, Some(20), false), Step::Keep);
-    assert_eq!(ladder.step(2, 3, Some(20), true), Step::Keep);
-    assert_eq!(ladder.step(0, 3, None, true), Step::Keep);
-    assert_eq!(ladder.step(0, 0, Some(1), true), Step::Keep);
+    assert_eq!(
+        ladder.decide(0, 3, Some(20), true),
+        EscalationDecision::Escalate(2)
+    );
+    assert_eq!(
+        ladder.decide(0, 3, Some(50), true),
+        EscalationDecision::Accept
+    );
+    assert_eq!(
+        ladder.decide(0, 3, Some(20), false),
+        EscalationDecision::Accept
+    );
+    assert_eq!(
+        ladder.decide(2, 3, Some(20), true),
+        EscalationDecision::Accept
+    );
+    assert_eq!(ladder.decide(0, 3, None, true), EscalationDecision::Accept);
+    assert_eq!(
+        ladder.decide(0, 0, Some(1), true),
+        EscalationDecision::Accept
+    );
 }
 
 // A burst of requests makes them wait at the largest model. If as many answers were escalated as
 // before, all would be late.
 #[test]
 fn fewer_answers_are_escalated_when_the_largest_model_is_overloaded() {
-    let escalated = |wait| {
+    let escalated = |relative_wait| {
         let ladder = Ladder {
             threshold: 46,
-            wait,
-            size: 1.0,
+            relative_wait,
+            relative_size: 1.0,
         };
         (0..=100)
-            .filter(|&confidence| ladder.step(0, 3, Some(confidence), true) != Step::Keep)
+            .filter(|&confidence| {
+                ladder.decide(0, 3, Some(confidence), true) != EscalationDecision::Accept
+            })
             .count()
     };
     assert_eq!(escalated(0.0), 46);
@@ -236,14 +254,16 @@
 // could be.
 #[test]
 fn larger_generations_are_escalated_at_lower_confidence() {
-    let escalated = |size: f64| {
+    let escalated = |relative_size: f64| {
         let ladder = Ladder {
             threshold: 46,
-            wait: 0.0,
-            size,
+            relative_wait: 0.0,
+            relative_size,
         };
         (0..=100)
-            .filter(|&confidence| ladder.step(0, 3, Some(confidence), true) != Step::Keep)
+            .filter(|&confidence| {
+                ladder.decide(0, 3, Some(confidence), true) != EscalationDecision::Accept
+            })
             .count()
     };
     let by_size = [0.0, 0.2, 1.0, 4.0, 10.0, 1e9].map(escalated);
--- a/crates/oatdale-policy/tests/relay_quarantine.rs
+++ b/crates/oatdale-policy/tests/relay_quarantine.rs
@@ -1,6 +1,6 @@
 //! Quarantine of requests under which endpoints crash.
 
-use oatdale_policy::relay::{Cleared, Fingerprint, MAX_CRASHES, QUARANTINE_TIME, Quarantine};
+use oatdale_policy::relay::{Fingerprint, MAX_CRASHES, PreviousState, QUARANTINE_TIME, Quarantine};
 use rand::seq::IteratorRandom;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -14,21 +14,24 @@
 }
 
 fn crash_max_endpoints(quarantine: &mut Quarantine, now: Duration, request: Fingerprint) -> bool {
-    let crashed = (0..MAX_CRASHES as u32).map(|e| quarantine.note_crash(now, request, e));
+    let crashed = (0..MAX_CRASHES as u32).map(|e| quarantine.record_crash(now, request, e));
     crashed.last().unwrap_or(false)
 }
 
 #[test]
 fn request_is_quarantined_after_the_third_endpoint_crash() {
     let mut quarantine = Quarantine::default();
-    assert!(!quarantine.note_crash(secs(1), REQUEST, 1));
-    assert!(!quarantine.note_crash(secs(2), REQUEST, 2));
-    assert_eq!(quarantine.left(secs(2), REQUEST), None);
-    assert!(quarantine.note_crash(secs(3), REQUEST, 3));
-    assert_eq!(quarantine.left(secs(3), REQUEST), Some(QUARANTINE_TIME));
+    assert!(!quarantine.record_crash(secs(1), REQUEST, 1));
+    assert!(!quarantine.record_crash(secs(2), REQUEST, 2));
+    assert_eq!(quarantine.remaining(secs(2), REQUEST), None);
+    assert!(quarantine.record_crash(secs(3), REQUEST, 3));
+    assert_eq!(
+        quarantine.remaining(secs(3), REQUEST),
+        Some(QUARANTINE_TIME)
+    );
     // The quarantine is reported once.
-    assert!(!quarantine.note_crash(secs(4), REQUEST, 4));
-    assert!(!quarantine.hold(secs(4), REQUEST));
+    assert!(!quarantine.record_crash(secs(4), REQUEST, 4));
+    assert!(!quarantine.quarantine(secs(4), REQUEST));
 }
 
 // Guards against one crash being counted for each node or copy that reports it.
@@ -36,10 +39,10 @@
 fn duplicate_crash_reports_count_once() {
     let mut quarantine = Quarantine::default();
     for _ in 0..10 {
-        assert!(!quarantine.note_crash(secs(1), REQUEST, 1));
-        assert!(!quarantine.note_crash(secs(1), REQUEST, 2));
+        assert!(!quarantine.record_crash(secs(1), REQUEST, 1));
+        assert!(!quarantine.record_crash(secs(1), REQUEST, 2));
     }
-    assert!(quarantine.note_crash(secs(1), REQUEST, 3));
+    assert!(quarantine.record_crash(secs(1), REQUEST, 3));
 }
 
 // Guards against a frequent request being refused because it happens to share crashing endpoints
@@ -48,13 +51,13 @@
 fn completed_copy_clears_all_crashes() {
     let mut quarantine = Quarantine::default();
     for round in 0..5 {
-        quarantine.note_crash(secs(round), REQUEST, 10 * round as u32);
-        quarantine.note_crash(secs(round), REQUEST, 10 * round as u32 + 1);
-        assert_eq!(quarantine.clear(REQUEST), Cleared::Suspected);
+        quarantine.record_crash(secs(round), REQUEST, 10 * round as u32);
+        quarantine.record_crash(secs(round), REQUEST, 10 * round as u32 + 1);
+        assert_eq!(quarantine.clear(REQUEST), PreviousState::Suspected);
     }
     assert!(crash_max_endpoints(&mut quarantine, secs(9), REQUEST));
-    assert_eq!(quarantine.clear(REQUEST), Cleared::Quarantined);
-    assert_eq!(quarantine.clear(REQUEST), Cleared::Unknown);
+    assert_eq!(quarantine.clear(REQUEST), PreviousState::Quarantined);
+    assert_eq!(quarantine.clear(REQUEST), PreviousState::Unknown);
     assert!(quarantine.is_empty());
 }
 
@@ -64,19 +67,19 @@
     let mut quarantine = Quarantine::default();
     crash_max_endpoints(&mut quarantine, secs(1), REQUEST);
     let end = secs(1) + QUARANTINE_TIME;
-    assert!(quarantine.left(end - secs(1), REQUEST).is_some());
-    assert_eq!(quarantine.left(end, REQUEST), None);
-    assert_eq!(quarantine.held(end).count(), 0);
-    assert!(quarantine.hold(end, REQUEST));
+    assert!(quarantine.remaining(end - secs(1), REQUEST).is_some());
+    assert_eq!(quarantine.remaining(end, REQUEST), None);
+    assert_eq!(quarantine.quarantined(end).count(), 0);
+    assert!(quarantine.quarantine(end, REQUEST));
 }
 
 // Guards against unrelated crashes adding up over hours.
 #[test]
 fn old_crashes_do_not_count() {
     let mut quarantine = Quarantine::default();
-    quarantine.note_crash(secs(1), REQUEST, 1);
-    quarantine.note_crash(secs(2), REQUEST, 2);
-    assert!(!quarantine.note_crash(secs(200), REQUEST, 3));
+    quarantine.record_crash(secs(1), REQUEST, 1);
+    quarantine.record_crash(secs(2), REQUEST, 2);
+    assert!(!quarantine.record_crash(secs(200), REQUEST, 3));
     quarantine.expire(secs(400));
     assert!(quarantine.is_empty());
 }
@@ -88,9 +91,9 @@
     let mut quarantine = Quarantine::default();
     crash_max_endpoints(&mut quarantine, secs(1), REQUEST);
     for n in 0..10_000 {
-        quarantine.note_crash(secs(2), Fingerprint(1_000 + n), 1);
+        quarantine.record_crash(secs(2), Fingerprint(1_000 + n), 1);
     }
-    assert!(quarantine.left(secs(3), REQUEST).is_some());
+    assert!(quarantine.remaining(secs(3), REQUEST).is_some());
 }
 
 /// Simulates a pool of engines, each with `concurrency` requests in flight, of which one crashes
@@ -104,14 +107,14 @@
         .map(|request| (request, rng.random_range(0..engines)))
         .collect();
     let (mut quarantined, mut crashes) = (0, 0);
-    while quarantine.left(secs(1), Fingerprint(0)).is_none() {
+    while quarantine.remaining(secs(1), Fingerprint(0)).is_none() {
         let engine = (0..engines).choose(&mut rng).expect("at least one engine");
         let incarnation = (engine + engines * crashes) as u32;
         crashes += 1;
-        quarantine.note_crash(secs(1), Fingerprint(0), incarnation);
+        quarantine.record_crash(secs(1), Fingerprint(0), incarnation);
         for (request, at) in others.iter_mut().filter(|(_, at)| **at == engine) {
             quarantined +=
-                usize::from(quarantine.note_crash(secs(1), Fingerprint(*request), incarnation));
+                usize::from(quarantine.record_crash(secs(1), Fingerprint(*request), incarnation));
             *at = rng.random_range(0..engines);
         }
     }
--- a/crates/oatdale-policy/tests/relay_roll_outs.rs
+++ b/crates/oatdale-policy/tests/relay_roll_outs.rs
@@ -1,8 +1,8 @@
 //! Rollouts of endpoint pools: schedule, evidence and pace of streams.
 
 use oatdale_policy::relay::{
-    Cells, Counts, Exposure, Origin, Phase, Schedule, StreamPace, Tally, UsualTime, Verdict,
-    shows_new, trial_share, verdict,
+    BaselineTime, Counts, CountsByOrigin, ExposureLimit, Origin, Phase, Schedule, StreamPace,
+    Verdict, VersionCounts, trial_share, uses_new_version, verdict,
 };
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
     Duration::from_secs(n)
 }
 
-const EXPOSURE: Exposure = Exposure {
+const EXPOSURE_LIMIT: ExposureLimit = ExposureLimit {
     share: 0.15,
     slack: 30.0,
 };
@@ -22,7 +22,7 @@
     for duration in [5, 9, 12, 16, 24, 60, 600].map(secs) {
         for rate in [1.0, 5.0, 20.0, 75.0, 400.0] {
             let schedule = Schedule::new(duration);
-            let share = trial_share(EXPOSURE, rate, &schedule);
+            let share = trial_share(EXPOSURE_LIMIT, rate, &schedule);
             let step = Duration::from_millis(50);
             let mut exposed = 0.0;
             let mut now = Duration::ZERO;
@@ -36,7 +36,8 @@
                     };
                 now += step;
             }
-            let allowed = EXPOSURE.share * rate * duration.as_secs_f64() + EXPOSURE.slack;
+            let allowed =
+                EXPOSURE_LIMIT.share * rate * duration.as_secs_f64() + EXPOSURE_LIMIT.slack;
             // On short orders with the highest rates, the requests after the switch alone exceed
             // that.
             let after_switch = schedule.switch_lead().as_secs_f64() * rate;
@@ -54,18 +55,21 @@
 fn burst_during_the_trial_delays_the_switch() {
     let mut schedule = Schedule::new(secs(16));
     let default_lead = schedule.switch_lead();
-    schedule.follow_rate(secs(14), 70.0, 90.0);
+    schedule.adjust_to_rate(secs(14), 70.0, 90.0);
     assert!(schedule.switch_lead() < default_lead, "{schedule:?}");
     // Never so late that requests on the old version cannot end or the end cannot be written.
-    schedule.follow_rate(secs(14), 70.0, 700.0);
+    schedule.adjust_to_rate(secs(14), 70.0, 700.0);
     assert_eq!(schedule.switch_lead(), Duration::from_millis(700));
-    assert_eq!(schedule.latest_end(), Duration::from_millis(15_500));
+    assert_eq!(
+        schedule.completion_deadline(),
+        Duration::from_millis(15_500)
+    );
     // After the switch its time is fixed.
-    schedule.follow_rate(Duration::from_millis(15_400), 70.0, 70.0);
+    schedule.adjust_to_rate(Duration::from_millis(15_400), 70.0, 70.0);
     assert_eq!(schedule.switch_lead(), Duration::from_millis(700));
     // A lower rate does not move the switch earlier, since it may rise again.
     let mut schedule = Schedule::new(secs(16));
-    schedule.follow_rate(secs(14), 70.0, 20.0);
+    schedule.adjust_to_rate(secs(14), 70.0, 20.0);
     assert_eq!(schedule.switch_lead(), default_lead);
 }
 
@@ -82,12 +86,12 @@
         [Phase::Announced, Phase::Trial, Phase::Switched, Phase::Done]
     );
     assert_eq!(schedule.phase(secs(19), Verdict::Bad), Phase::Trial);
-    assert!(shows_new(Phase::Switched, 0.0, u64::MAX));
-    assert!(!shows_new(Phase::Announced, 1.0, 0));
+    assert!(uses_new_version(Phase::Switched, 0.0, u64::MAX));
+    assert!(!uses_new_version(Phase::Announced, 1.0, 0));
 }
 
 /// Builds counts of all, failed, timed and slow responses, by route and endpoint.
-fn cells(all: &[(u32, u32, [u64; 4])]) -> Cells {
+fn counts_by_origin(all: &[(u32, u32, [u64; 4])]) -> CountsByOrigin {
     let counts = |[answers, failed, timed, slow]: [u64; 4]| Counts {
         answers,
         failed,
@@ -101,11 +105,11 @@
 }
 
 /// Responses on one route; those of the new version come half from each of two endpoints.
-fn tally(new: [u64; 4], old: [u64; 4]) -> Tally {
+fn version_counts(new: [u64; 4], old: [u64; 4]) -> VersionCounts {
     let halves = [new.map(|n| n / 2), new.map(|n| n - n / 2)];
-    Tally {
-        new: cells(&[(1, 1, halves[0]), (1, 2, halves[1])]),
-        old: cells(&[(1, 0, old)]),
+    VersionCounts {
+        new: counts_by_origin(&[(1, 1, halves[0]), (1, 2, halves[1])]),
+        old: counts_by_origin(&[(1, 0, old)]),
     }
 }
 
@@ -113,17 +117,29 @@
 fn verdict_compares_the_new_version_with_the_old_one() {
     let cases = [
         // Four failures among ten responses, while the old version has hardly any.
-        (tally([10, 4, 8, 0], [200, 1, 150, 2]), Verdict::Bad),
+        (
+            version_counts([10, 4, 8, 0], [200, 1, 150, 2]),
+            Verdict::Bad,
+        ),
         // A fault that affects both versions alike.
-        (tally([20, 6, 15, 0], [200, 60, 150, 2]), Verdict::Sound),
+        (
+            version_counts([20, 6, 15, 0], [200, 60, 150, 2]),
+            Verdict::Sound,
+        ),
         // A service that fails one response in seven is slow now; its failures must not hide that.
-        (tally([40, 5, 30, 12], [200, 28, 150, 4]), Verdict::Bad),
+        (
+            version_counts([40, 5, 30, 12], [200, 28, 150, 4]),
+            Verdict::Bad,
+        ),
         // A single failure is chance.
-        (tally([3, 1, 2, 0], [100, 1, 80, 1]), Verdict::Sound),
-        (tally([0, 0, 0, 0], [0, 0, 0, 0]), Verdict::Sound),
+        (
+            version_counts([3, 1, 2, 0], [100, 1, 80, 1]),
+            Verdict::Sound,
+        ),
+        (version_counts([0, 0, 0, 0], [0, 0, 0, 0]), Verdict::Sound),
     ];
-    for (tally, expected) in cases {
-        assert_eq!(verdict(&tally), expected, "{tally:?}");
+    for (version_counts, expected) in cases {
+        assert_eq!(verdict(&version_counts), expected, "{version_counts:?}");
     }
 }
 
@@ -178,18 +194,23 @@
     [119, 95],
 ];
 
-/// Replays streams with these pauses, counts those that are slow, and learns the usual time from
+/// Replays streams with these pauses, counts those that are slow, and learns the baseline time from
 /// them.
-fn count_slow_streams(pauses: &[[u64; 2]], usual: &mut UsualTime) -> usize {
-    let is_slow = |pace: Duration, usual: &UsualTime| usual.slow_after().is_some_and(|b| pace > b);
+fn count_slow_streams(pauses: &[[u64; 2]], baseline: &mut BaselineTime) -> usize {
+    let is_slow = |pace: Duration, baseline: &BaselineTime| {
+        baseline.slow_threshold().is_some_and(|b| pace > b)
+    };
     let mut slow = 0;
     for [first, second] in pauses {
         let mut stream = StreamPace::default();
         let ends = [0, *first, first + second].map(Duration::from_millis);
-        let paces: Vec<_> = ends.iter().filter_map(|&now| stream.event(now)).collect();
+        let paces: Vec<_> = ends
+            .iter()
+            .filter_map(|&now| stream.record_event(now))
+            .collect();
         assert_eq!(paces.len(), 1);
-        slow += usize::from(is_slow(paces[0], usual));
-        usual.learn(paces[0]);
+        slow += usize::from(is_slow(paces[0], baseline));
+        baseline.record(paces[0]);
     }
     slow
 }
@@ -200,17 +221,17 @@
 // slow, and 3 of the 30 others.
 #[test]
 fn slow_version_is_distinguished_from_waits_behind_long_prompts() {
-    let mut usual = UsualTime::default();
-    count_slow_streams(&GOOD_PAUSES_MS, &mut usual);
-    let good = count_slow_streams(&GOOD_PAUSES_MS, &mut usual);
+    let mut baseline = BaselineTime::default();
+    count_slow_streams(&GOOD_PAUSES_MS, &mut baseline);
+    let good = count_slow_streams(&GOOD_PAUSES_MS, &mut baseline);
     assert!(
         good * 5 <= GOOD_PAUSES_MS.len(),
         "{good} of {} are slow",
         GOOD_PAUSES_MS.len()
     );
     let slow = SLOW_PAUSES_MS.iter().filter(|s| {
-        let mut usual = usual.clone();
-        count_slow_streams(&[**s], &mut usual) == 1
+        let mut baseline = baseline.clone();
+        count_slow_streams(&[**s], &mut baseline) == 1
     });
     assert!(slow.count() >= 11);
 }
@@ -219,16 +240,16 @@
 fn stream_counts_as_slow_before_its_next_event() {
     let ms = Duration::from_millis;
     let mut stream = StreamPace::default();
-    assert_eq!(stream.event(ms(100)), None);
+    assert_eq!(stream.record_event(ms(100)), None);
     assert_eq!(stream.slow_at(ms(50)), None);
-    assert_eq!(stream.event(ms(400)), None);
+    assert_eq!(stream.record_event(ms(400)), None);
     assert_eq!(stream.slow_at(ms(50)), Some(ms(450)));
-    stream.found_slow();
-    assert_eq!(stream.event(ms(900)), None);
+    stream.mark_slow();
+    assert_eq!(stream.record_event(ms(900)), None);
     // A single pause that is not slow decides the pace.
     let mut stream = StreamPace::default();
-    stream.event(ms(100));
-    stream.event(ms(130));
+    stream.record_event(ms(100));
+    stream.record_event(ms(130));
     assert_eq!(stream.slow_at(ms(50)), None);
 }
 
@@ -237,52 +258,52 @@
 // route's callers would get failures from then on.
 #[test]
 fn version_that_is_bad_on_one_route_is_detected() {
-    let old = cells(&[
+    let old = counts_by_origin(&[
         (1, 0, [300, 0, 0, 0]),
         (2, 0, [100, 0, 0, 0]),
         (3, 0, [100, 0, 0, 0]),
     ]);
-    let bad = cells(&[
+    let bad = counts_by_origin(&[
         (1, 1, [9, 0, 0, 0]),
         (1, 2, [10, 0, 0, 0]),
         (2, 1, [4, 2, 0, 0]),
         (2, 2, [3, 2, 0, 0]),
         (3, 2, [6, 0, 0, 0]),
     ]);
-    let tally_of = |new| Tally {
+    let version_counts_of = |new| VersionCounts {
         new,
         old: old.clone(),
     };
-    assert_eq!(verdict(&tally_of(bad)), Verdict::Bad);
+    assert_eq!(verdict(&version_counts_of(bad)), Verdict::Bad);
     // Three failures spread over the routes, at most one in six on each, are chance.
-    let spread = cells(&[
+    let spread = counts_by_origin(&[
         (1, 1, [9, 1, 0, 0]),
         (1, 2, [10, 1, 0, 0]),
         (2, 1, [4, 0, 0, 0]),
         (3, 2, [6, 1, 0, 0]),
     ]);
-    assert_eq!(verdict(&tally_of(spread)), Verdict::Sound);
+    assert_eq!(verdict(&version_counts_of(spread)), Verdict::Sound);
 }
 
 // One endpoint that runs the new version fails half of its requests, or is slow, while the others
 // are healthy. The endpoint is at fault: the version must not be rolled back for it.
 #[test]
 fn single_bad_endpoint_does_not_make_the_version_bad() {
-    let old = cells(&[(1, 0, [300, 3, 200, 15])]);
-    let with_endpoint = |bad: [u64; 4]| Tally {
-        new: cells(&[(1, 1, [12, 0, 9, 1]), (1, 2, bad), (1, 3, [11, 0, 8, 0])]),
+    let old = counts_by_origin(&[(1, 0, [300, 3, 200, 15])]);
+    let with_endpoint = |bad: [u64; 4]| VersionCounts {
+        new: counts_by_origin(&[(1, 1, [12, 0, 9, 1]), (1, 2, bad), (1, 3, [11, 0, 8, 0])]),
         old: old.clone(),
     };
     assert_eq!(verdict(&with_endpoint([14, 8, 3, 0])), Verdict::Sound);
     assert_eq!(verdict(&with_endpoint([14, 0, 12, 12])), Verdict::Sound);
-    let both_bad = Tally {
-        new: cells(&[(1, 1, [12, 5, 9, 1]), (1, 2, [14, 8, 3, 0])]),
+    let both_bad = VersionCounts {
+        new: counts_by_origin(&[(1, 1, [12, 5, 9, 1]), (1, 2, [14, 8, 3, 0])]),
         old: old.clone(),
     };
     assert_eq!(verdict(&both_bad), Verdict::Bad);
     // With a single endpoint of the version there is nothing to compare it with.
-    let with_single_endpoint = |failed| Tally {
-        new: cells(&[(1, 1, [20, failed, 0, 0])]),
+    let with_single_endpoint = |failed| VersionCounts {
+        new: counts_by_origin(&[(1, 1, [20, failed, 0, 0])]),
         old: old.clone(),
     };
     assert_eq!(verdict(&with_single_endpoint(8)), Verdict::Sound);
@@ -293,12 +314,16 @@
 // of the counts.
 #[test]
 fn excess_routes_and_endpoints_share_counts() {
-    let mut cells = Cells::default();
+    let mut counts_by_origin = CountsByOrigin::default();
     for route in 1..=20 {
         for endpoint in 1..=9 {
-            cells.at(Origin { route, endpoint }).answers += 1;
+            counts_by_origin.entry(Origin { route, endpoint }).answers += 1;
         }
     }
-    assert_eq!(cells.total().answers, 180);
-    assert!(cells.iter().count() <= 35, "{}", cells.iter().count());
+    assert_eq!(counts_by_origin.total().answers, 180);
+    assert!(
+        counts_by_origin.iter().count() <= 35,
+        "{}",
+        counts_by_origin.iter().count()
+    );
 }
--- a/crates/oatdale-policy/tests/relay_warm_up.rs
+++ b/crates/oatdale-policy/tests/relay_warm_up.rs
@@ -41,26 +41,26 @@
 #[test]
 fn share_applies_to_any_one_second_window() {
     let mut warm_up = WarmUp::default();
-    assert_eq!(warm_up.next(0), None);
+    assert_eq!(warm_up.next_send_at(0), None);
     for at in [0, 10] {
-        assert!(warm_up.next(2).is_some_and(|next| next <= ms(at)));
-        warm_up.note(ms(at));
+        assert!(warm_up.next_send_at(2).is_some_and(|next| next <= ms(at)));
+        warm_up.record_send(ms(at));
     }
-    let next = warm_up.next(2).unwrap();
+    let next = warm_up.next_send_at(2).unwrap();
     assert!(next > ms(1_000) && next < ms(1_200), "{next:?}");
-    warm_up.note(next);
-    assert!(warm_up.next(2).unwrap() > next);
+    warm_up.record_send(next);
+    assert!(warm_up.next_send_at(2).unwrap() > next);
     // A larger share counts the requests that were sent before.
-    assert!(warm_up.next(3).unwrap() <= next);
+    assert!(warm_up.next_send_at(3).unwrap() <= next);
 }
 
 // Guards against a share that accumulates while nothing is sent, for example at a paused node.
 #[test]
 fn unused_share_does_not_accumulate() {
     let mut warm_up = WarmUp::default();
-    warm_up.note(ms(0));
-    warm_up.note(ms(60_000));
-    assert!(warm_up.next(1).unwrap() > ms(61_000));
+    warm_up.record_send(ms(0));
+    warm_up.record_send(ms(60_000));
+    assert!(warm_up.next_send_at(1).unwrap() > ms(61_000));
 }
 
 // A failure domain returns cold: its endpoints are idle while the others carry the whole load. The
@@ -73,7 +73,7 @@
         ..Candidate::default()
     };
     let cold = |in_flight| Candidate {
-        warms_up: true,
+        may_warm_up: true,
         ..warm(in_flight, 0)
     };
     let pick = |cold| choose(&[warm(9.0, 7), warm(9.0, 8), cold], Placement::Affinity, 0);
--- a/crates/oatdale-relay/src/crashes.rs
+++ b/crates/oatdale-relay/src/crashes.rs
@@ -19,7 +19,7 @@
 use crate::state::{State, hash};
 use crate::update::Command;
 use crate::wire::Wire;
-use oatdale_policy::relay::{Cleared, Fingerprint};
+use oatdale_policy::relay::{Fingerprint, PreviousState};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -38,7 +38,7 @@
             return None;
         }
         let request = plan.fingerprint();
-        self.state().quarantine.left(self.now(), request)
+        self.state().quarantine.remaining(self.now(), request)
     }
 
     /// Whether endpoints crashed while running a request, but too few to quarantine it.
@@ -67,9 +67,11 @@
         let mut state = self.state();
         let msg = Message::Completed { request: request.0 };
         match state.quarantine.clear(request) {
-            Cleared::Unknown => {}
-            Cleared::Suspected => gossip::send_now(self, tally_peers(self, &state, request), &msg),
-            Cleared::Quarantined => {
+            PreviousState::Unknown => {}
+            PreviousState::Suspected => {
+                gossip::send_now(self, tally_peers(self, &state, request), &msg);
+            }
+            PreviousState::Quarantined => {
                 log::warn!(target: "quarantine", "event=released request={request} reason=\"a copy completed\"");
                 state.unrecorded.add(self.now(), request, false);
                 gossip::broadcast(self, &state, &msg);
@@ -107,7 +109,7 @@
 ) {
     let now = cx.now();
     for request in requests {
-        if !state.quarantine.note_crash(now, *request, endpoint) {
+        if !state.quarantine.record_crash(now, *request, endpoint) {
             continue;
         }
         log::warn!(
@@ -126,7 +128,7 @@
     let now = cx.now();
     let own_addr = cx.settings.listen.nodes;
     let rank = tally_nodes(state, now, request).position(|node| node == own_addr);
-    let is_new = state.quarantine.left(now, request).is_none();
+    let is_new = state.quarantine.remaining(now, request).is_none();
     match rank.filter(|_| is_new) {
         Some(rank) => state.unrecorded.add_fallback(now, request, rank),
         // This node had released the request; endpoints have crashed under it again since.
@@ -163,8 +165,8 @@
 pub(crate) fn take<W: Wire>(cx: &Cx<W>, state: &mut State, request: Fingerprint, is_held: bool) {
     let now = cx.now();
     let is_new = match is_held {
-        true => state.quarantine.hold(now, request),
-        false => state.quarantine.clear(request) != Cleared::Unknown,
+        true => state.quarantine.quarantine(now, request),
+        false => state.quarantine.clear(request) != PreviousState::Unknown,
     };
     if is_new {
         log::info!(target: "quarantine", "event=learned request={request} held={is_held}");
@@ -175,7 +177,7 @@
 /// Schedules writes of all quarantined requests, since their records may be lost. A record that
 /// still exists cancels its write when it is read.
 pub(crate) fn record_again(state: &mut State, now: Duration) {
-    let held: Vec<_> = state.quarantine.held(now).collect();
+    let held: Vec<_> = state.quarantine.quarantined(now).collect();
     for request in held {
         state
             .unrecorded
--- a/crates/oatdale-relay/src/cx.rs
+++ b/crates/oatdale-relay/src/cx.rs
@@ -209,7 +209,7 @@
 
     /// Updates the metric of quarantined requests and notifies requests in flight.
     pub(crate) fn note_held(&self, state: &State) {
-        let held = state.quarantine.held(self.now()).count();
+        let held = state.quarantine.quarantined(self.now()).count();
         self.metrics.quarantined.set(held as i64);
         self.held.send_replace(());
     }
@@ -258,7 +258,7 @@
         self.state().roll_outs.count_request(now, service);
         let mut state = self.state();
         let budget = state.retry_budget(now);
-        state.retry_counts(service).request(now, &budget);
+        state.retry_counts(service).record_request(now, &budget);
     }
 
     /// Whether a request for a service may be retried; if so, spends from its retry budget.
@@ -276,7 +276,7 @@
         let now = self.now();
         let mut state = self.state();
         let budget = state.retry_budget(now);
-        let is_granted = state.retry_counts(service).repeat(now, &budget, reserve);
+        let is_granted = state.retry_counts(service).try_retry(now, &budget, reserve);
         if !is_granted {
             log::info!(
                 target: "attempt",
--- a/crates/oatdale-relay/src/peers.rs
+++ b/crates/oatdale-relay/src/peers.rs
@@ -96,7 +96,7 @@
         }),
         quarantined: state
             .quarantine
-            .held(now)
+            .quarantined(now)
             .map(|request| request.0)
             .collect(),
     }
--- a/crates/oatdale-relay/src/roll_outs.rs
+++ b/crates/oatdale-relay/src/roll_outs.rs
@@ -10,7 +10,7 @@
 use crate::state;
 use crate::update::{RollOut, RollOutEnd};
 use active::{PeerReport, RollOutState};
-use oatdale_policy::relay::{Counts, Exposure, Origin, Phase, Verdict, shows_new};
+use oatdale_policy::relay::{Counts, ExposureLimit, Origin, Phase, Verdict, uses_new_version};
 use rates::Rates;
 use report::millis;
 use sessions::Sessions;
@@ -135,7 +135,7 @@
         let in_trial = phase == Phase::Trial;
         let is_old = session.is_some_and(|s| self.sessions.is_on_old(s, &target));
         let share = active.share.unwrap_or(0.0);
-        match shows_new(phase, share, session.unwrap_or(hash)) {
+        match uses_new_version(phase, share, session.unwrap_or(hash)) {
             true if in_trial && is_old => Allowed::Not(target),
             true if in_trial => Allowed::Trial {
                 version: target,
@@ -155,13 +155,13 @@
     /// Sets the traffic share of each trial that has begun, and adjusts the schedules to the
     /// request rates. All nodes exchange their rates and therefore arrive at about the same shares
     /// and times.
-    pub fn update_rates(&mut self, now: Duration, exposure: Exposure) {
+    pub fn update_rates(&mut self, now: Duration, exposure_limit: ExposureLimit) {
         let services: Vec<String> = self.by_service.keys().cloned().collect();
         for service in services {
             let average = self.rates.get(now, &service);
             let recent = self.rates.recent(now, &service);
             if let Some(active) = self.by_service.get_mut(&service) {
-                active.set_share(now, exposure, average);
+                active.set_share(now, exposure_limit, average);
                 active.adjust_schedule(now, recent);
             }
         }
@@ -246,12 +246,12 @@
         };
         match active.roll_out.end {
             Some(_) => None,
-            None if is_new => Some((active.own_tally.new.at(source.origin), true)),
+            None if is_new => Some((active.own_counts.new.entry(source.origin), true)),
             // A faulty endpoint of the old version is excluded from the baseline. Otherwise a new
             // version that fails a third of its requests looks like the old one, and its rollout
             // completes.
             None if source.is_failing => None,
-            None => Some((active.own_tally.old.at(old), false)),
+            None => Some((active.own_counts.old.entry(old), false)),
         }
     }
 
@@ -275,7 +275,7 @@
         let age = Duration::from_millis(report.age_ms);
         active.started_at = active.started_at.min(now.saturating_sub(age));
         let peer = PeerReport {
-            tally: report.tally(),
+            version_counts: report.version_counts(),
             old_busy: report.old_busy,
             rate: report.rate,
             recent_rate: report.recent_rate,
@@ -317,8 +317,8 @@
                 target: a.roll_out.target.clone(),
                 duration_ms: millis(a.roll_out.duration),
                 age_ms: millis(now.saturating_sub(a.started_at)),
-                new: report::cells(&a.own_tally.new),
-                old: report::cells(&a.own_tally.old),
+                new: report::cells(&a.own_counts.new),
+                old: report::cells(&a.own_counts.old),
                 old_busy: old_busy(&a.roll_out.service, &a.roll_out.target),
                 rate: self.rates.get(now, &a.roll_out.service),
                 recent_rate: self.rates.recent(now, &a.roll_out.service),
--- a/crates/oatdale-relay/src/roll_outs/active.rs
+++ b/crates/oatdale-relay/src/roll_outs/active.rs
@@ -3,7 +3,8 @@
 use super::report::to_array;
 use crate::update::{RollOut, RollOutEnd};
 use oatdale_policy::relay::{
-    Exposure, MOST_TRIAL, Phase, Schedule, Tally, Verdict, is_in_trial, trial_share, verdict,
+    ExposureLimit, MAX_TRIAL_SHARE, Phase, Schedule, Verdict, VersionCounts, is_in_trial,
+    trial_share, verdict,
 };
 use std::collections::HashMap;
 use std::time::Duration;
@@ -30,7 +31,7 @@
 pub(super) struct RollOutState {
     pub(super) roll_out: RollOut,
     pub(super) started_at: Duration,
-    pub(super) own_tally: Tally,
+    pub(super) own_counts: VersionCounts,
     pub(super) peers: HashMap<String, PeerReport>,
     schedule: Schedule,
     /// Share of requests that try the new version, set when the trial begins.
@@ -48,7 +49,7 @@
 
 #[derive(Clone, Debug)]
 pub(super) struct PeerReport {
-    pub(super) tally: Tally,
+    pub(super) version_counts: VersionCounts,
     pub(super) rate: f64,
     pub(super) recent_rate: f64,
     pub(super) old_busy: bool,
@@ -62,7 +63,7 @@
             planned_rate: 0.0,
             roll_out,
             started_at,
-            own_tally: Tally::default(),
+            own_counts: VersionCounts::default(),
             peers: HashMap::new(),
             share: None,
             last_write: None,
@@ -89,10 +90,10 @@
         self.last_write = None;
     }
 
-    fn total(&self) -> Tally {
-        let mut sum = self.own_tally.clone();
+    fn total(&self) -> VersionCounts {
+        let mut sum = self.own_counts.clone();
         for peer in self.peers.values() {
-            sum.add(&peer.tally);
+            sum.add(&peer.version_counts);
         }
         sum
     }
@@ -129,17 +130,22 @@
     /// Whether a session may be among those that try the new version; until the share is set, the
     /// largest possible share is assumed.
     pub(super) fn may_join(&self, session: u64) -> bool {
-        is_in_trial(self.share.unwrap_or(MOST_TRIAL), session)
+        is_in_trial(self.share.unwrap_or(MAX_TRIAL_SHARE), session)
     }
 
     /// Sets the traffic share of the trial when it begins.
-    pub(super) fn set_share(&mut self, now: Duration, exposure: Exposure, own_rate: f64) {
+    pub(super) fn set_share(
+        &mut self,
+        now: Duration,
+        exposure_limit: ExposureLimit,
+        own_rate: f64,
+    ) {
         if self.share.is_some() || self.phase(now) == Phase::Announced {
             return;
         }
         let peer_rate: f64 = self.peers.values().map(|p| p.rate).sum();
         let rate = (own_rate + peer_rate) * ATTEMPTS_PER_REQUEST;
-        let share = trial_share(exposure, rate, &self.schedule);
+        let share = trial_share(exposure_limit, rate, &self.schedule);
         self.planned_rate = rate;
         log::info!(
             target: "roll-out",
@@ -154,7 +160,8 @@
         let peer_rate: f64 = self.peers.values().map(|p| p.recent_rate).sum();
         let rate = (own_rate + peer_rate) * ATTEMPTS_PER_REQUEST;
         let elapsed = now.saturating_sub(self.started_at);
-        self.schedule.follow_rate(elapsed, self.planned_rate, rate);
+        self.schedule
+            .adjust_to_rate(elapsed, self.planned_rate, rate);
     }
 
     /// Returns the outcome if this node has to write it now.
@@ -189,7 +196,7 @@
     /// Whether no node has requests in flight on the old version, or there is no time left to wait
     /// for them.
     fn is_old_drained(&self, now: Duration, busy: bool) -> bool {
-        let deadline = self.started_at + self.schedule.latest_end();
+        let deadline = self.started_at + self.schedule.completion_deadline();
         let is_peer_busy = self
             .peers
             .values()
--- a/crates/oatdale-relay/src/roll_outs/report.rs
+++ b/crates/oatdale-relay/src/roll_outs/report.rs
@@ -2,7 +2,7 @@
 
 use crate::revision::Revision;
 use crate::update::RollOut;
-use oatdale_policy::relay::{Cells, Counts, Origin, Tally};
+use oatdale_policy::relay::{Counts, CountsByOrigin, Origin, VersionCounts};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -57,16 +57,16 @@
         }
     }
 
-    pub(super) fn tally(&self) -> Tally {
+    pub(super) fn version_counts(&self) -> VersionCounts {
         let cells = |wire: &[CellWire]| wire.iter().copied().map(Into::into).collect();
-        Tally {
+        VersionCounts {
             new: cells(&self.new),
             old: cells(&self.old),
         }
     }
 }
 
-pub(super) fn cells(cells: &Cells) -> Vec<CellWire> {
+pub(super) fn cells(cells: &CountsByOrigin) -> Vec<CellWire> {
     cells.iter().map(CellWire::from).collect()
 }
 
--- a/crates/oatdale-relay/src/running.rs
+++ b/crates/oatdale-relay/src/running.rs
@@ -134,7 +134,7 @@
     /// Records a response; `is_ok` is false if the endpoint failed.
     pub(crate) fn answered(&self, is_ok: bool) {
         if let Some(entry) = self.cx.state().directory.get_mut(self.key) {
-            entry.health.answered(is_ok);
+            entry.health.record_response(is_ok);
         }
     }
 
@@ -142,7 +142,7 @@
     pub(crate) fn late(&self) {
         log::info!(target: "attempt", "event=late endpoint={}", self.id);
         if let Some(entry) = self.cx.state().directory.get_mut(self.key) {
-            entry.health.late();
+            entry.health.record_late_response();
         }
     }
 
@@ -150,7 +150,7 @@
     pub(crate) fn silent(&self) {
         let now = self.cx.now();
         if let Some(entry) = self.cx.state().directory.get_mut(self.key) {
-            entry.health.silent(now);
+            entry.health.record_no_response(now);
         }
     }
 
--- a/crates/oatdale-relay/src/serve.rs
+++ b/crates/oatdale-relay/src/serve.rs
@@ -15,7 +15,7 @@
 use futures::stream::{self, StreamExt};
 use http::{HeaderValue, Request, Response, header, response};
 use hyper::body::Incoming;
-use oatdale_policy::relay::{Ladder, Step};
+use oatdale_policy::relay::{EscalationDecision, Ladder};
 use rand::RngExt;
 use std::convert::Infallible;
 use std::io;
@@ -275,18 +275,18 @@
         let can_retry = plan.has_attempts_left();
         let ladder = Ladder {
             threshold: cx.settings.ladder.least_confidence,
-            wait: cx.state().wait(&plan.service),
-            size: plan.relative_size,
+            relative_wait: cx.state().wait(&plan.service),
+            relative_size: plan.relative_size,
         };
         plan.confidences.extend(endpoint_res.facts.confidence);
-        let step = ladder.step(
+        let decision = ladder.decide(
             plan.model_index,
             model_count,
             endpoint_res.facts.confidence,
             can_retry,
         );
-        match step {
-            Step::Up(model_index) if cx.may_escalate(&plan.service) => {
+        match decision {
+            EscalationDecision::Escalate(model_index) if cx.may_escalate(&plan.service) => {
                 cx.metrics.escalations.inc();
                 return Decision::Escalate(model_index);
             }
--- a/crates/oatdale-relay/src/settings.rs
+++ b/crates/oatdale-relay/src/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of a relay node, read from YAML.
 
-use oatdale_policy::relay::Exposure;
+use oatdale_policy::relay::ExposureLimit;
 use serde::Deserialize;
 use snafu::{ResultExt, Snafu};
 use std::net::SocketAddr;
@@ -178,8 +178,8 @@
 const PLANNED_COLD_FRACTION: f64 = 0.8;
 
 impl Bounds {
-    pub(crate) fn exposure(&self) -> Exposure {
-        Exposure {
+    pub(crate) fn exposure(&self) -> ExposureLimit {
+        ExposureLimit {
             share: self.exposure_share,
             slack: self.exposure_slack,
         }
--- a/crates/oatdale-relay/src/state.rs
+++ b/crates/oatdale-relay/src/state.rs
@@ -9,7 +9,9 @@
 use crate::roll_outs::{Allowed, RollOuts};
 use crate::settings::Bounds;
 use crate::site::Site;
-use oatdale_policy::relay::{Allowance, Candidate, Mean, Placement, Quarantine, Repeats, choose};
+use oatdale_policy::relay::{
+    Candidate, Mean, Placement, Quarantine, RetryLimit, RetryLimiter, choose,
+};
 use std::collections::{HashMap, HashSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
@@ -50,7 +52,7 @@
     pub(crate) load_aggregator: Adder,
     /// Load of all nodes together at each endpoint.
     pub(crate) load_sums: Shared,
-    retry_counts: HashMap<String, Repeats>,
+    retry_counts: HashMap<String, RetryLimiter>,
     /// Mean wait at the largest models, as a fraction of their target latency, by service.
     largest_model_waits: HashMap<String, Mean>,
     /// Mean generation size by route.
@@ -107,9 +109,9 @@
     }
 
     /// Returns this node's part of the site's retry budget.
-    pub(crate) fn retry_budget(&self, now: Duration) -> Allowance {
+    pub(crate) fn retry_budget(&self, now: Duration) -> RetryLimit {
         let nodes = self.nodes.iter(now).count().max(MIN_BUDGET_NODES);
-        Allowance {
+        RetryLimit {
             window: self.bounds.repeat_window(),
             ratio: self.bounds.repeat_ratio * PLANNED_RETRY_SHARE,
             slack: (self.bounds.repeat_slack * PLANNED_RETRY_SHARE / nodes as f64).max(1.0),
@@ -117,7 +119,7 @@
     }
 
     /// Returns the counts of requests and retries of a service at this node.
-    pub(crate) fn retry_counts(&mut self, service: &str) -> &mut Repeats {
+    pub(crate) fn retry_counts(&mut self, service: &str) -> &mut RetryLimiter {
         self.retry_counts.entry(service.to_owned()).or_default()
     }
 
@@ -174,7 +176,7 @@
             .map(|(_, e)| Candidate {
                 in_flight: (self.load(now, wanted, e) + 0.1) * e.health.load_factor(),
                 same_domain: e.endpoint.domain == domain,
-                warms_up: e.says_cold(now),
+                may_warm_up: e.says_cold(now),
                 affinity: wanted.prefix.map_or(0, |p| hash(&(p, &e.endpoint.id))),
             })
             .collect();
--- a/crates/oatdale-relay/src/state/warm_up.rs
+++ b/crates/oatdale-relay/src/state/warm_up.rs
@@ -77,7 +77,7 @@
         let entry = self.directory.get(key);
         let time = entry.and_then(|e| self.cold_time(&e.endpoint.service));
         match (time, self.directory.get_mut(key)) {
-            (Some(time), Some(entry)) if entry.is_cold(now, time) => entry.warm_up.note(now),
+            (Some(time), Some(entry)) if entry.is_cold(now, time) => entry.warm_up.record_send(now),
             _ => {}
         }
     }
@@ -131,5 +131,5 @@
 /// share.
 fn next_warm_up_request(entry: &Entry) -> Option<Duration> {
     let (_, share) = entry.warm_up_share?;
-    entry.warm_up.next(share)
+    entry.warm_up.next_send_at(share)
 }
--- a/crates/oatdale-relay/src/stream.rs
+++ b/crates/oatdale-relay/src/stream.rs
@@ -111,7 +111,7 @@
 
     /// Counts complete events, and records a single time how fast they arrive.
     fn record_pace(&mut self) {
-        let Some(pace) = self.pace.event(self.cx.now()) else {
+        let Some(pace) = self.pace.record_event(self.cx.now()) else {
             return;
         };
         let source = self.plan.source(&self.response.running);
@@ -130,7 +130,7 @@
     }
 
     fn record_slow(&mut self) {
-        self.pace.found_slow();
+        self.pace.mark_slow();
         let source = self.plan.source(&self.response.running);
         self.cx.state().roll_outs.judged(&source, true);
     }
--- a/crates/oatdale-relay/tests/directory.rs
+++ b/crates/oatdale-relay/tests/directory.rs
@@ -118,7 +118,7 @@
     directory.upsert(ms(0), started_at("x", 1_000));
     let entry = directory.by_id_mut("x").unwrap();
     entry.load = 7.0;
-    entry.health.silent(ms(0));
+    entry.health.record_no_response(ms(0));
     let leaving = Endpoint {
         leaving: true,
         ..started_at("x", 1_000)
--- a/crates/oatdale-relay/tests/placement_spec.rs
+++ b/crates/oatdale-relay/tests/placement_spec.rs
@@ -297,11 +297,11 @@
         let mut sent = WarmUp::default();
         let now = TICK * u32::from(SENT_HISTORY_TICKS);
         for (ago, count) in &node.sent {
-            (0..*count).for_each(|_| sent.note(now - TICK * u32::from(*ago)));
+            (0..*count).for_each(|_| sent.record_send(now - TICK * u32::from(*ago)));
         }
         let mut sendable = 0;
-        while sent.next(share).is_some_and(|next| next <= now) && sendable < PLANNED_PER_S {
-            sent.note(now);
+        while sent.next_send_at(share).is_some_and(|next| next <= now) && sendable < PLANNED_PER_S {
+            sent.record_send(now);
             sendable += 1;
         }
         sendable
--- a/crates/oatdale-relay/tests/roll_outs.rs
+++ b/crates/oatdale-relay/tests/roll_outs.rs
@@ -1,10 +1,10 @@
 //! Tests of rollout decisions from orders, a node's own responses and other nodes' reports.
 
-use oatdale_policy::relay::{Exposure, Origin};
+use oatdale_policy::relay::{ExposureLimit, Origin};
 use oatdale_relay::{Allowed, Revision, RollOut, RollOutEnd, RollOuts, Source};
 use std::time::Duration;
 
-const EXPOSURE: Exposure = Exposure {
+const EXPOSURE_LIMIT: ExposureLimit = ExposureLimit {
     share: 0.15,
     slack: 30.0,
 };
@@ -29,7 +29,7 @@
 fn node() -> RollOuts {
     let mut node = RollOuts::default();
     node.update(ms(0), order(2, None));
-    node.update_rates(ms(1_200), EXPOSURE);
+    node.update_rates(ms(1_200), EXPOSURE_LIMIT);
     node
 }
 
