--- a/crates/oatdale-relay/src/attempt.rs
+++ b/crates/oatdale-relay/src/attempt.rs
@@ -1,13 +1,13 @@
 //! Sends a request to one endpoint and classifies the outcome.
 
-use crate::answer::EndpointResponse;
 use crate::crashes;
 use crate::cx::Cx;
-use crate::directory::Shortage;
+use crate::directory::IneligibleCounts;
+use crate::endpoint_response::EndpointResponse;
 use crate::gossip;
-use crate::plan::Plan;
-use crate::running::Running;
-use crate::wire::{AnswerFacts, Wire};
+use crate::in_flight::InFlightRequest;
+use crate::request_context::RequestContext;
+use crate::wire::{ResponseMetadata, Wire};
 use http::response;
 use hyper::body::Incoming;
 use oatdale_platform::SendError;
@@ -46,7 +46,7 @@
     /// No response before the request's deadline; the request may have run.
     TimedOut,
     /// No endpoint is eligible.
-    NoEndpoint(Shortage),
+    NoEndpoint(IneligibleCounts),
     /// The request is quarantined because it crashes endpoints; `sent` tells whether that was found
     /// out only after it had been sent to this one.
     Quarantined { sent: bool },
@@ -69,7 +69,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) struct SendOptions {
     /// Id of the last event that the caller has; the stream resumes after it.
-    pub(crate) last_event: Option<u64>,
+    pub(crate) last_event_id: Option<u64>,
     /// Whether an unresponsive endpoint is abandoned before the deadline because another one may be
     /// tried.
     pub(crate) may_abandon: bool,
@@ -78,99 +78,100 @@
 /// Sends a request to the best endpoint that has not received it yet.
 pub(crate) async fn attempt<W: Wire>(
     cx: &Arc<Cx<W>>,
-    plan: &mut Plan,
+    request_cx: &mut RequestContext,
     options: SendOptions,
 ) -> Result<EndpointResponse<W>, Failure> {
-    crashes::settle(cx, plan).await;
-    if cx.quarantine_left(plan).is_some() {
+    crashes::settle(cx, request_cx).await;
+    if cx.quarantine_left(request_cx).is_some() {
         return Err(Failure::Quarantined { sent: false });
     }
-    let mut running = match plan.place(cx) {
-        Ok(running) => running,
-        Err(shortage) => {
+    let mut in_flight = match request_cx.place(cx) {
+        Ok(in_flight) => in_flight,
+        Err(ineligible) => {
             log::info!(
                 target: "attempt",
-                "event=no_endpoint id={} config={} service={} {shortage}",
-                plan.facts.id.as_deref().unwrap_or("-"), plan.site.version, plan.service
+                "event=no_endpoint id={} config={} service={} {ineligible}",
+                request_cx.metadata.id.as_deref().unwrap_or("-"), request_cx.site.version, request_cx.service
             );
-            return Err(Failure::NoEndpoint(shortage));
+            return Err(Failure::NoEndpoint(ineligible));
         }
     };
-    plan.pin_session(cx, &running);
-    gossip::announce_long_prompt(cx, &running);
-    plan.tried.push(running.key);
-    if !plan.sent_to.contains(&running.key) {
-        plan.sent_to.push(running.key);
+    request_cx.pin_session(cx, &in_flight);
+    gossip::announce_long_prompt(cx, &in_flight);
+    request_cx.excluded.push(in_flight.key);
+    if !request_cx.sent_to.contains(&in_flight.key) {
+        request_cx.sent_to.push(in_flight.key);
     }
     let sent_at = Instant::now();
-    let result = send(cx, plan, &running, options).await;
+    let result = send(cx, request_cx, &in_flight, options).await;
     let attempt_time = sent_at.elapsed();
     // Only attempts that sent at least one byte count.
-    plan.sends += u32::from(!matches!(result, Err(Failure::NotSent(_))));
+    request_cx.sends += u32::from(!matches!(result, Err(Failure::NotSent(_))));
     log::info!(
         target: "attempt",
         "event=attempt id={} config={} service={} endpoint={} version={} model={} load={:.1} \
          candidates={} after_event={:?} left_ms={} took_ms={} end={}",
-        plan.facts.id.as_deref().unwrap_or("-"), plan.site.version, plan.service, running.id,
-        running.version, plan.model().unwrap_or("-"), running.load_before, running.choices,
-        options.last_event, plan.time_left().as_millis(), attempt_time.as_millis(),
+        request_cx.metadata.id.as_deref().unwrap_or("-"), request_cx.site.version, request_cx.service, in_flight.id,
+        in_flight.version, request_cx.model().unwrap_or("-"), in_flight.load_before, in_flight.choices,
+        options.last_event_id, request_cx.time_left().as_millis(), attempt_time.as_millis(),
         result.as_ref().map_or_else(|err| format!("{err:?}"), |ok| ok.0.status.as_u16().to_string())
     );
-    record_outcome(cx, plan, &running, &result, attempt_time);
+    record_outcome(cx, request_cx, &in_flight, &result, attempt_time);
     if matches!(result, Err(Failure::Unknown(_) | Failure::Abandoned)) {
-        crashes::note_broken(cx, plan, &running);
+        crashes::note_broken(cx, request_cx, &in_flight);
     }
-    running.prompt_is_read();
-    result.map(|(head, facts, body)| EndpointResponse {
+    in_flight.finish_prefill();
+    result.map(|(head, metadata, body)| EndpointResponse {
         head,
-        facts,
+        metadata,
         body,
-        running,
+        in_flight,
     })
 }
 
-type ReceivedResponse = (response::Parts, AnswerFacts, Incoming);
+type ReceivedResponse = (response::Parts, ResponseMetadata, Incoming);
 
 async fn send<W: Wire>(
     cx: &Arc<Cx<W>>,
-    plan: &Plan,
-    running: &Running<W>,
+    request_cx: &RequestContext,
+    in_flight: &InFlightRequest<W>,
     options: SendOptions,
 ) -> Result<ReceivedResponse, Failure> {
-    let req = plan.build_request(cx, &running.id, options.last_event);
-    let mut sending =
-        std::pin::pin!(
-            cx.pool
-                .send(running.addr, req, plan.connection_reuse(), plan.deadline_at)
-        );
+    let req = request_cx.build_request(cx, &in_flight.id, options.last_event_id);
+    let mut sending = std::pin::pin!(cx.pool.send(
+        in_flight.addr,
+        req,
+        request_cx.connection_reuse(),
+        request_cx.deadline_at
+    ));
     let sent_at = Instant::now();
-    let mut next_check = sent_at + response_timeout(plan);
+    let mut next_check = sent_at + response_timeout(request_cx);
     let mut is_late = false;
     let res = loop {
         // Without permission to abandon the attempt, lateness is checked only once.
         let wait_until = match options.may_abandon || !is_late {
-            true => next_check.min(plan.deadline_at),
-            false => plan.deadline_at,
+            true => next_check.min(request_cx.deadline_at),
+            false => request_cx.deadline_at,
         };
         // Biased: a response that has arrived counts even if its endpoint has restarted since.
         let res = tokio::select! {
             biased;
             res = timeout_at(wait_until, &mut sending) => res,
-            () = running.started_again() => {
+            () = in_flight.wait_restarted() => {
                 return Err(Failure::Unknown("endpoint restarted before it responded".to_owned()));
             }
-            () = cx.quarantined(plan) => return Err(Failure::Quarantined { sent: true }),
+            () = cx.quarantined(request_cx) => return Err(Failure::Quarantined { sent: true }),
         };
         match res {
             Ok(res) => break res,
-            Err(_) if Instant::now() >= plan.deadline_at => return Err(Failure::TimedOut),
+            Err(_) if Instant::now() >= request_cx.deadline_at => return Err(Failure::TimedOut),
             Err(_) if !options.may_abandon => {
                 is_late = true;
-                if !plan.route().kind.is_stream() {
-                    running.late();
+                if !request_cx.route().kind.is_stream() {
+                    in_flight.record_late_response();
                 }
             }
-            Err(_) if is_abandoned(plan, running, sent_at).await => {
+            Err(_) if is_abandoned(request_cx, in_flight, sent_at).await => {
                 return Err(Failure::Abandoned);
             }
             Err(_) => next_check = Instant::now() + IDLE_TIMEOUT / 2,
@@ -182,37 +183,37 @@
         Err(SendError::Broken { message }) => return Err(Failure::Unknown(message)),
         Err(SendError::TimedOut) => return Err(Failure::TimedOut),
     };
-    running.note_progress();
-    let facts = cx.wire.answer(&head);
-    if facts.leaving && !facts.other_endpoint {
-        running.announced_leaving();
+    in_flight.record_progress();
+    let metadata = cx.wire.response(&head);
+    if metadata.leaving && !metadata.misdirected {
+        in_flight.record_leaving();
     }
-    if let Some(time) = facts.pause {
-        running.paused(time);
+    if let Some(time) = metadata.back_off {
+        in_flight.record_back_off(time);
     }
-    if let Some(left) = facts.cold_left.filter(|_| !facts.other_endpoint) {
-        running.said_cold(left);
+    if let Some(left) = metadata.cold_left.filter(|_| !metadata.misdirected) {
+        in_flight.record_cold(left);
     }
-    if facts.leaving || facts.pause.is_some() {
+    if metadata.leaving || metadata.back_off.is_some() {
         log::info!(
             target: "attempt",
             "event=endpoint_announced endpoint={} leaving={} pause={:?}",
-            running.id, facts.leaving, facts.pause
+            in_flight.id, metadata.leaving, metadata.back_off
         );
     }
-    validate(plan, running, &facts, &head)?;
-    Ok((head, facts, body))
+    validate(request_cx, in_flight, &metadata, &head)?;
+    Ok((head, metadata, body))
 }
 
 /// How long a response head may take before the endpoint is checked for being alive.
-fn response_timeout(plan: &Plan) -> Duration {
-    latency_target(plan)
+fn response_timeout(request_cx: &RequestContext) -> Duration {
+    latency_target(request_cx)
         .mul_f64(RESPONSE_TIMEOUT_SHARE)
         .max(MIN_RESPONSE_TIMEOUT)
 }
 
-fn latency_target(plan: &Plan) -> Duration {
-    let route = plan.route();
+fn latency_target(request_cx: &RequestContext) -> Duration {
+    let route = request_cx.route();
     route.target_latency.unwrap_or(route.timeout)
 }
 
@@ -221,37 +222,44 @@
 /// Streams wait in an engine's queue; a probe of the engine shows whether it is alive and still has
 /// the request. A late response of a plain service is abandoned without a probe, since nothing but
 /// the service itself delays it.
-async fn is_abandoned<W: Wire>(plan: &Plan, running: &Running<W>, sent_at: Instant) -> bool {
-    if !plan.route().kind.is_stream()
-        || sent_at.elapsed() >= latency_target(plan).mul_f64(LOST_AFTER_TARGETS)
+async fn is_abandoned<W: Wire>(
+    request_cx: &RequestContext,
+    in_flight: &InFlightRequest<W>,
+    sent_at: Instant,
+) -> bool {
+    if !request_cx.route().kind.is_stream()
+        || sent_at.elapsed() >= latency_target(request_cx).mul_f64(LOST_AFTER_TARGETS)
     {
         return true;
     }
-    let id = plan.facts.id.as_deref().unwrap_or_default();
-    running.is_unresponsive(IDLE_TIMEOUT).await
-        || running.has_lost_request(id, sent_at.elapsed()).await
+    let id = request_cx.metadata.id.as_deref().unwrap_or_default();
+    in_flight.is_unresponsive(IDLE_TIMEOUT).await
+        || in_flight.has_lost_request(id, sent_at.elapsed()).await
 }
 
 /// Rejects responses that are not valid answers to this request.
 fn validate<W: Wire>(
-    plan: &Plan,
-    running: &Running<W>,
-    facts: &AnswerFacts,
+    request_cx: &RequestContext,
+    in_flight: &InFlightRequest<W>,
+    metadata: &ResponseMetadata,
     head: &response::Parts,
 ) -> Result<(), Failure> {
-    if facts.other_endpoint {
-        running.replaced();
+    if metadata.misdirected {
+        in_flight.record_replaced();
         return Err(Failure::NotRun(head.status.as_u16()));
     }
-    if facts.not_run {
+    if metadata.not_executed {
         return Err(Failure::NotRun(head.status.as_u16()));
     }
     // A connection may deliver a response to an earlier request. Forwarding it would disclose
     // another caller's data; the request itself may have run.
-    if facts.id != plan.facts.id {
-        return Err(Failure::Unknown(format!("id mismatch: got {:?}", facts.id)));
+    if metadata.id != request_cx.metadata.id {
+        return Err(Failure::Unknown(format!(
+            "id mismatch: got {:?}",
+            metadata.id
+        )));
     }
-    if !facts.signed {
+    if !metadata.signed {
         return Err(Failure::Unknown(format!("unsigned reply {}", head.status)));
     }
     Ok(())
@@ -260,36 +268,37 @@
 /// Updates endpoint health and roll-out statistics with an attempt's outcome.
 fn record_outcome<W: Wire>(
     cx: &Cx<W>,
-    plan: &Plan,
-    running: &Running<W>,
+    request_cx: &RequestContext,
+    in_flight: &InFlightRequest<W>,
     result: &Result<ReceivedResponse, Failure>,
     attempt_time: Duration,
 ) {
-    if plan.uses_largest_model() && matches!(result, Ok(_) | Err(Failure::Abandoned)) {
-        let share = attempt_time.as_secs_f64() / latency_target(plan).as_secs_f64().max(0.001);
-        cx.state().note_wait(&plan.service, share);
+    if request_cx.uses_largest_model() && matches!(result, Ok(_) | Err(Failure::Abandoned)) {
+        let share =
+            attempt_time.as_secs_f64() / latency_target(request_cx).as_secs_f64().max(0.001);
+        cx.state().record_wait(&request_cx.service, share);
     }
     let failed = match result {
         Ok((head, ..)) => {
             let failed = head.status.is_server_error();
-            running.answered(!failed);
+            in_flight.record_response(!failed);
             failed
         }
-        Err(Failure::NotRun(_)) => return running.answered(false),
+        Err(Failure::NotRun(_)) => return in_flight.record_response(false),
         Err(Failure::Abandoned) => {
-            running.silent();
-            let source = plan.source(running);
+            in_flight.record_no_response();
+            let source = request_cx.source(in_flight);
             return cx.state().roll_outs.judged(&source, true);
         }
         Err(Failure::NotSent(_)) => {
-            running.unreachable();
-            return running.silent();
+            in_flight.record_unreachable();
+            return in_flight.record_no_response();
         }
-        Err(Failure::Unknown(_)) => return running.silent(),
+        Err(Failure::Unknown(_)) => return in_flight.record_no_response(),
         Err(Failure::TimedOut) => {
             // A deadline shorter than the response timeout says nothing about the endpoint.
-            if attempt_time >= response_timeout(plan) {
-                running.silent();
+            if attempt_time >= response_timeout(request_cx) {
+                in_flight.record_no_response();
             }
             true
         }
@@ -298,8 +307,8 @@
     // A stream's first event waits for the engine's queue and for the prompt to be processed, which
     // says little about a version; the intervals between its events say more and are recorded while
     // the stream runs.
-    let is_timed = !failed && !plan.route().kind.is_stream();
-    let timing = is_timed.then(|| (plan.response_pace(), attempt_time));
-    let source = plan.source(running);
+    let is_timed = !failed && !request_cx.route().kind.is_stream();
+    let timing = is_timed.then(|| (request_cx.response_pace(), attempt_time));
+    let source = request_cx.source(in_flight);
     cx.state().roll_outs.answered(&source, failed, timing);
 }
--- a/crates/oatdale-relay/src/body.rs
+++ b/crates/oatdale-relay/src/body.rs
@@ -1,7 +1,7 @@
 //! Buffers callers' bodies, because a retry, a larger model and a resumed stream send them again.
 
-use crate::plan::Plan;
 use crate::reply::Refusal;
+use crate::request_context::RequestContext;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body as _, Incoming};
@@ -57,14 +57,16 @@
     /// memory becomes free in time.
     pub(crate) async fn read(
         &self,
-        plan: &Plan,
+        request_cx: &RequestContext,
         mut body: Incoming,
     ) -> Result<BufferedBody, Refusal> {
-        let limit = plan.site.limits.body_bytes.min(MAX_BUFFERED_BYTES);
+        let limit = request_cx.site.limits.body_bytes.min(MAX_BUFFERED_BYTES);
         if body.size_hint().lower() > limit as u64 {
             return Err(Refusal::TooLarge);
         }
-        let deadline = plan.deadline_at.min(plan.arrival + BODY_TIMEOUT);
+        let deadline = request_cx
+            .deadline_at
+            .min(request_cx.arrival + BODY_TIMEOUT);
         let mut bytes = BytesMut::new();
         let mut reservation: Option<OwnedSemaphorePermit> = None;
         loop {
--- a/crates/oatdale-relay/src/crashes.rs
+++ b/crates/oatdale-relay/src/crashes.rs
@@ -15,7 +15,7 @@
 
 use crate::cx::Cx;
 use crate::gossip::{self, Message};
-use crate::plan::Plan;
+use crate::request_context::RequestContext;
 use crate::state::{State, hash};
 use crate::update::Command;
 use crate::wire::Wire;
@@ -33,24 +33,24 @@
 
 impl<W: Wire> Cx<W> {
     /// Returns the remaining quarantine time of a request, if it is quarantined.
-    pub(crate) fn quarantine_left(&self, plan: &Plan) -> Option<Duration> {
+    pub(crate) fn quarantine_left(&self, request_cx: &RequestContext) -> Option<Duration> {
         if self.state().quarantine.is_empty() {
             return None;
         }
-        let request = plan.fingerprint();
+        let request = request_cx.fingerprint();
         self.state().quarantine.remaining(self.now(), request)
     }
 
     /// Whether endpoints crashed while running a request, but too few to quarantine it.
-    fn is_suspected(&self, plan: &Plan) -> bool {
-        let request = plan.fingerprint();
+    fn is_suspected(&self, request_cx: &RequestContext) -> bool {
+        let request = request_cx.fingerprint();
         self.state().quarantine.is_suspected(self.now(), request)
     }
 
     /// Resolves when the request is quarantined.
-    pub(crate) async fn quarantined(&self, plan: &Plan) {
-        let mut changes = self.held.subscribe();
-        while self.quarantine_left(plan).is_none() {
+    pub(crate) async fn quarantined(&self, request_cx: &RequestContext) {
+        let mut changes = self.quarantine_changed.subscribe();
+        while self.quarantine_left(request_cx).is_none() {
             // Unreachable: `self` owns the sender.
             if changes.changed().await.is_err() {
                 std::future::pending::<()>().await;
@@ -59,11 +59,11 @@
     }
 
     /// Records that an endpoint has completed a request.
-    pub(crate) fn note_completed(&self, plan: &Plan) {
+    pub(crate) fn note_completed(&self, request_cx: &RequestContext) {
         if self.state().quarantine.is_empty() {
             return;
         }
-        let request = plan.fingerprint();
+        let request = request_cx.fingerprint();
         let mut state = self.state();
         let msg = Message::Completed { request: request.0 };
         match state.quarantine.clear(request) {
@@ -118,7 +118,7 @@
         );
         state.unrecorded.add(now, *request, true);
         gossip::broadcast(cx, state, &Message::Quarantined { request: request.0 });
-        cx.note_held(state);
+        cx.notify_quarantine_change(state);
     }
 }
 
@@ -170,7 +170,7 @@
     };
     if is_new {
         log::info!(target: "quarantine", "event=learned request={request} held={is_held}");
-        cx.note_held(state);
+        cx.notify_quarantine_change(state);
     }
 }
 
--- a/crates/oatdale-relay/src/crashes/check.rs
+++ b/crates/oatdale-relay/src/crashes/check.rs
@@ -2,8 +2,8 @@
 
 use crate::cx::Cx;
 use crate::directory::EndpointKey;
-use crate::plan::Plan;
-use crate::running::{Running, note_unreachable};
+use crate::in_flight::{InFlightRequest, handle_unreachable};
+use crate::request_context::RequestContext;
 use crate::wire::Wire;
 use oatdale_policy::relay::Fingerprint;
 use std::collections::HashMap;
@@ -59,17 +59,17 @@
 
 /// Waits until it is known whether the endpoints that a suspected request was sent to have crashed,
 /// since one more crash may quarantine it.
-pub(crate) async fn settle<W: Wire>(cx: &Cx<W>, plan: &Plan) {
+pub(crate) async fn settle<W: Wire>(cx: &Cx<W>, request_cx: &RequestContext) {
     loop {
         let check = {
             let state = cx.state();
-            match state.quarantine.is_empty() || plan.sent_to.is_empty() {
+            match state.quarantine.is_empty() || request_cx.sent_to.is_empty() {
                 true => None,
-                false => state.checks.watch_any(&plan.sent_to),
+                false => state.checks.watch_any(&request_cx.sent_to),
             }
         };
         let Some(mut check) = check else { return };
-        if !cx.is_suspected(plan) {
+        if !cx.is_suspected(request_cx) {
             return;
         }
         // Ends when the check drops its sender.
@@ -83,24 +83,28 @@
 /// Endpoints to which the request was sent before are checked too: once their response was dropped,
 /// a crash would go unnoticed. A leaving endpoint is not checked: it stops as planned, even with
 /// requests in flight.
-pub(crate) fn note_broken<W: Wire>(cx: &Arc<Cx<W>>, plan: &Plan, running: &Running<W>) {
-    if running.is_leaving() {
+pub(crate) fn note_broken<W: Wire>(
+    cx: &Arc<Cx<W>>,
+    request_cx: &RequestContext,
+    in_flight: &InFlightRequest<W>,
+) {
+    if in_flight.is_leaving() {
         return;
     }
-    let request = plan.fingerprint();
+    let request = request_cx.fingerprint();
     log::info!(
         target: "attempt",
         "event=broken id={} request={request} endpoint={}",
-        plan.facts.id.as_deref().unwrap_or("-"), running.id
+        request_cx.metadata.id.as_deref().unwrap_or("-"), in_flight.id
     );
     let now = cx.now();
     let mut state = cx.state();
     let state = &mut *state;
-    for key in &plan.sent_to {
+    for key in &request_cx.sent_to {
         let Some(entry) = state.directory.get(*key) else {
             continue;
         };
-        if !entry.left_by_plan(now) && state.checks.add(*key, request) {
+        if !entry.has_planned_end(now) && state.checks.add(*key, request) {
             tokio::spawn(check(cx.clone(), *key, entry.endpoint.addr));
         }
     }
@@ -108,7 +112,7 @@
 
 /// Checks one endpoint on behalf of all requests whose connections to it broke.
 async fn check<W: Wire>(cx: Arc<Cx<W>>, key: EndpointKey, addr: SocketAddr) {
-    let has_restarted = cx.state().directory.started_again(key);
+    let has_restarted = cx.state().directory.has_restarted(key);
     let outcome = match has_restarted {
         true => ProbeOutcome::Refused,
         false => probe(addr).await,
@@ -116,7 +120,7 @@
     let has_crashed = outcome == ProbeOutcome::Refused;
     let mut state = cx.state();
     if outcome != ProbeOutcome::Reachable {
-        note_unreachable(&cx, &mut state, key);
+        handle_unreachable(&cx, &mut state, key);
     }
     let requests = state.checks.finish(key);
     let Some(entry) = state.directory.get(key) else {
--- a/crates/oatdale-relay/src/cx.rs
+++ b/crates/oatdale-relay/src/cx.rs
@@ -2,14 +2,14 @@
 
 use crate::body::BodyMemory;
 use crate::crashes;
-use crate::directory::{News, Shortage};
+use crate::directory::{IneligibleCounts, RecordChange};
 use crate::gossip::{self, Message};
+use crate::in_flight::InFlightRequest;
 use crate::metrics::Metrics;
 use crate::roll_outs::Allowed;
-use crate::running::Running;
 use crate::settings::Settings;
 use crate::site::Site;
-use crate::state::{State, Wanted};
+use crate::state::{PlacementRequest, State};
 use crate::update::{Endpoint, Update};
 use crate::wire::Wire;
 use oatdale_platform::{Pool, PoolConfig};
@@ -48,7 +48,7 @@
     /// Socket for datagrams between nodes.
     pub(crate) socket: UdpSocket,
     /// Notified when a request is quarantined, for its copies in flight.
-    pub(crate) held: watch::Sender<()>,
+    pub(crate) quarantine_changed: watch::Sender<()>,
     started: Instant,
     state: Mutex<State>,
 }
@@ -72,7 +72,7 @@
             metrics,
             body_memory: BodyMemory::default(),
             socket,
-            held: watch::Sender::default(),
+            quarantine_changed: watch::Sender::default(),
             started: Instant::now(),
             state: Mutex::new(State::new(settings.bounds)),
             settings,
@@ -100,7 +100,7 @@
     /// Whether a stream that begins now is likely to end before this node stops.
     pub(crate) fn has_time_for_stream(&self) -> bool {
         let state = self.state();
-        let accept_time = state.bounds.stop().mul_f64(STREAM_ACCEPT_FRACTION);
+        let accept_time = state.bounds.stop_time().mul_f64(STREAM_ACCEPT_FRACTION);
         state
             .stopping
             .is_none_or(|since| since.elapsed() < accept_time)
@@ -135,7 +135,7 @@
             Update::EndpointGone(id) => {
                 log::info!(target: "directory", "event=endpoint_gone id={id}");
                 let born = state.directory.by_id_mut(&id).and_then(|e| e.endpoint.born);
-                if state.directory.remove(now, &id) && state.reads_alone {
+                if state.directory.remove(now, &id) && state.reads_only_for_itself {
                     gossip::broadcast(self, &state, &Message::EndpointGone { id, born });
                 }
             }
@@ -151,7 +151,7 @@
                 crashes::record_again(&mut state, now);
             }
             Update::Nodes(nodes) => state.nodes.replace(now, nodes),
-            Update::ReadsAlone(alone) => state.reads_alone = alone,
+            Update::ReadsAlone(alone) => state.reads_only_for_itself = alone,
             Update::StoreLost => {
                 self.metrics.store.set(0);
                 state.store_unavailable_since = Some(now);
@@ -171,14 +171,14 @@
     fn apply_endpoint(&self, state: &mut State, now: Duration, endpoint: Endpoint) {
         let (id, born) = (endpoint.id.clone(), endpoint.born);
         match state.directory.upsert(now, endpoint) {
-            News::Leaves if state.reads_alone => {
+            RecordChange::Leaves if state.reads_only_for_itself => {
                 gossip::broadcast(self, state, &Message::EndpointLeaves { id, born });
             }
-            News::StartedAgain(previous_addr) => {
+            RecordChange::Restarted(previous_addr) => {
                 log::info!(target: "directory", "event=endpoint_restarted id={id} born={born:?}");
                 self.pool.forget(previous_addr);
             }
-            News::None | News::Leaves => {}
+            RecordChange::None | RecordChange::Leaves => {}
         }
     }
 
@@ -208,10 +208,10 @@
     }
 
     /// Updates the metric of quarantined requests and notifies requests in flight.
-    pub(crate) fn note_held(&self, state: &State) {
-        let held = state.quarantine.quarantined(self.now()).count();
-        self.metrics.quarantined.set(held as i64);
-        self.held.send_replace(());
+    pub(crate) fn notify_quarantine_change(&self, state: &State) {
+        let count = state.quarantine.quarantined(self.now()).count();
+        self.metrics.quarantined.set(count as i64);
+        self.quarantine_changed.send_replace(());
     }
 
     /// Returns the software versions that a request may use now. `own` is the request's hash.
@@ -222,32 +222,35 @@
     }
 
     /// Whether an endpoint can take a request.
-    pub(crate) fn has_place(&self, wanted: &Wanted<'_>) -> bool {
+    pub(crate) fn has_eligible_endpoint(&self, request: &PlacementRequest<'_>) -> bool {
         let now = self.now();
         let mut state = self.state();
-        state.update_warm_up_shares(now, wanted.service, &self.settings.host);
-        let picked = state.pick_endpoint(now, wanted, &self.settings.failure_domain);
+        state.update_warm_up_shares(now, request.service, &self.settings.host);
+        let picked = state.pick_endpoint(now, request, &self.settings.failure_domain);
         picked.is_some()
     }
 
     /// Places a request and counts it, or returns why no endpoint can take it.
-    pub(crate) fn place(self: &Arc<Self>, wanted: &Wanted<'_>) -> Result<Running<W>, Shortage> {
+    pub(crate) fn place(
+        self: &Arc<Self>,
+        request: &PlacementRequest<'_>,
+    ) -> Result<InFlightRequest<W>, IneligibleCounts> {
         let now = self.now();
         let mut state = self.state();
-        state.update_warm_up_shares(now, wanted.service, &self.settings.host);
-        let Some((key, choices)) = state.pick_endpoint(now, wanted, &self.settings.failure_domain)
+        state.update_warm_up_shares(now, request.service, &self.settings.host);
+        let Some((key, choices)) = state.pick_endpoint(now, request, &self.settings.failure_domain)
         else {
-            return Err(state.shortage(now, wanted));
+            return Err(state.count_ineligible(now, request));
         };
         state.count_warm_up_request(now, key);
         let Some(entry) = state.directory.get_mut(key) else {
-            return Err(state.shortage(now, wanted));
+            return Err(state.count_ineligible(now, request));
         };
-        Ok(Running::begin(
+        Ok(InFlightRequest::begin(
             self.clone(),
             key,
             entry,
-            wanted.weight,
+            request.weight,
             choices,
         ))
     }
@@ -257,26 +260,26 @@
         let now = self.now();
         self.state().roll_outs.count_request(now, service);
         let mut state = self.state();
-        let budget = state.retry_budget(now);
-        state.retry_counts(service).record_request(now, &budget);
+        let limit = state.retry_limit(now);
+        state.retry_limiter(service).record_request(now, &limit);
     }
 
     /// Whether a request for a service may be retried; if so, spends from its retry budget.
-    pub(crate) fn may_repeat(&self, service: &str) -> bool {
+    pub(crate) fn try_retry(&self, service: &str) -> bool {
         self.spend_retry(service, 0.0)
     }
 
     /// Whether a request may be escalated to a larger model for a better answer; if so, spends from
     /// the retry budget.
-    pub(crate) fn may_escalate(&self, service: &str) -> bool {
+    pub(crate) fn try_escalate(&self, service: &str) -> bool {
         self.spend_retry(service, STREAM_RETRY_RESERVE)
     }
 
     fn spend_retry(&self, service: &str, reserve: f64) -> bool {
         let now = self.now();
         let mut state = self.state();
-        let budget = state.retry_budget(now);
-        let is_granted = state.retry_counts(service).try_retry(now, &budget, reserve);
+        let limit = state.retry_limit(now);
+        let is_granted = state.retry_limiter(service).try_retry(now, &limit, reserve);
         if !is_granted {
             log::info!(
                 target: "attempt",
--- a/crates/oatdale-relay/src/directory.rs
+++ b/crates/oatdale-relay/src/directory.rs
@@ -1,6 +1,6 @@
 //! Registry of the endpoints known to a node, with the load this node puts on each and its health.
 
-use crate::asking::Report;
+use crate::probe::ProbeReport;
 use crate::state::hash;
 use crate::update::Endpoint;
 use oatdale_policy::relay::{Health, WarmUp};
@@ -49,7 +49,7 @@
     /// Health as observed from its responses.
     pub health: Health,
     /// In-flight requests from this node.
-    pub running: u32,
+    pub in_flight: u32,
     /// In-flight requests from this node, weighted by their size.
     pub load: f64,
     /// Number that identifies the endpoint in load reports between nodes.
@@ -58,10 +58,10 @@
     remote_prompts: Vec<LongPrompt>,
     /// When this node last received bytes from it.
     pub last_progress: Duration,
-    /// When its liveness was last probed.
-    pub probed: Duration,
+    /// When a probe was last sent to it.
+    pub last_probe: Duration,
     /// Last report of its work.
-    pub(crate) report: Option<Report>,
+    pub(crate) report: Option<ProbeReport>,
     /// When it stops being cold, by its last announcement.
     cold_until: Duration,
     /// The latest time at which it may have become cold without its record saying so.
@@ -72,9 +72,9 @@
     /// in requests per second.
     pub(crate) warm_up_share: Option<(Duration, u32)>,
     /// End of the back-off that it asked this node for.
-    pub(crate) paused_until: Duration,
+    pub(crate) back_off_until: Duration,
     /// Cancelled when the endpoint restarts: requests sent to the earlier start are lost.
-    pub(crate) life: CancellationToken,
+    pub(crate) restart_token: CancellationToken,
     registration: Registration,
 }
 
@@ -89,18 +89,18 @@
 
 /// Change in a record that other nodes or in-flight requests must be notified of.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum News {
+pub enum RecordChange {
     /// No relevant change.
     None,
     /// The endpoint announced that it is leaving.
     Leaves,
     /// The endpoint restarted under the same id; holds the address of its earlier start.
-    StartedAgain(SocketAddr),
+    Restarted(SocketAddr),
 }
 
 /// Number of endpoints of a service that cannot take a request, by reason.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub(crate) struct Shortage {
+pub(crate) struct IneligibleCounts {
     /// Already tried for this request.
     tried: usize,
     /// Leaving or removed.
@@ -149,7 +149,7 @@
         }
         let mut previous_addrs = Vec::new();
         for endpoint in all {
-            if let News::StartedAgain(addr) = self.upsert(now, endpoint) {
+            if let RecordChange::Restarted(addr) = self.upsert(now, endpoint) {
                 previous_addrs.push(addr);
             }
         }
@@ -167,7 +167,7 @@
     /// A record of an earlier start than the known one is stale and is ignored. A later start
     /// replaces the known one and inherits nothing from it: not its leaving state, its failures,
     /// its load or its in-flight requests.
-    pub fn upsert(&mut self, now: Duration, endpoint: Endpoint) -> News {
+    pub fn upsert(&mut self, now: Duration, endpoint: Endpoint) -> RecordChange {
         let known = self.by_id.get(&endpoint.id).copied();
         match known.and_then(|key| self.entries.get_mut(&key)) {
             Some(entry) if endpoint.born < entry.endpoint.born => {
@@ -176,18 +176,18 @@
                     "event=stale_record id={} born={:?} known={:?}",
                     endpoint.id, endpoint.born, entry.endpoint.born
                 );
-                News::None
+                RecordChange::None
             }
             Some(entry) if endpoint.born > entry.endpoint.born => {
                 entry.retire(now);
                 let previous_addr = entry.endpoint.addr;
                 self.insert(now, endpoint);
-                News::StartedAgain(previous_addr)
+                RecordChange::Restarted(previous_addr)
             }
             Some(entry) => entry.update(now, endpoint),
             None => {
                 self.insert(now, endpoint);
-                News::None
+                RecordChange::None
             }
         }
     }
@@ -321,17 +321,17 @@
         self.entries
             .iter()
             .filter(move |(_, e)| e.endpoint.service == service && self.is_eligible(now, e))
-            .filter(move |(_, e)| now >= e.paused_until)
+            .filter(move |(_, e)| now >= e.back_off_until)
             .map(|(key, e)| (*key, e))
     }
 
     /// Returns the time until the first endpoint of a service ends its back-off towards this node.
     /// `None` if one accepts requests now, or if there is none.
-    pub fn pause_left(&self, now: Duration, service: &str) -> Option<Duration> {
+    pub fn remaining_back_off(&self, now: Duration, service: &str) -> Option<Duration> {
         let entries = self.entries.values();
         let eligible =
             entries.filter(|e| e.endpoint.service == service && self.is_eligible(now, e));
-        let first = eligible.map(|e| e.paused_until).min()?;
+        let first = eligible.map(|e| e.back_off_until).min()?;
         first.checked_sub(now).filter(|left| !left.is_zero())
     }
 
@@ -339,35 +339,35 @@
         entry.accepts_new_requests(now) && !self.is_evacuated(&entry.endpoint.domain)
     }
 
-    /// Counts why no endpoint of a service can take a request that was already sent to `tried`.
-    pub(crate) fn shortage(
+    /// Counts why no endpoint of a service can take a request that was already sent to `excluded`.
+    pub(crate) fn count_ineligible(
         &self,
         now: Duration,
         service: &str,
-        tried: &[EndpointKey],
+        excluded: &[EndpointKey],
         has_capacity: impl Fn(&Entry) -> bool,
-    ) -> Shortage {
-        let mut shortage = Shortage::default();
+    ) -> IneligibleCounts {
+        let mut counts = IneligibleCounts::default();
         let of_service = |e: &Entry| e.endpoint.service == service;
         for (key, entry) in self.entries.iter().filter(|(_, e)| of_service(e)) {
             let count = match entry {
-                _ if tried.contains(key) => &mut shortage.tried,
-                e if !e.accepts_new_requests(now) => &mut shortage.leaving,
-                e if self.is_evacuated(&e.endpoint.domain) => &mut shortage.evacuated,
-                e if now < e.paused_until => &mut shortage.paused,
-                e if !has_capacity(e) => &mut shortage.cold,
-                _ => &mut shortage.other_version,
+                _ if excluded.contains(key) => &mut counts.tried,
+                e if !e.accepts_new_requests(now) => &mut counts.leaving,
+                e if self.is_evacuated(&e.endpoint.domain) => &mut counts.evacuated,
+                e if now < e.back_off_until => &mut counts.paused,
+                e if !has_capacity(e) => &mut counts.cold,
+                _ => &mut counts.other_version,
             };
             *count += 1;
         }
-        shortage
+        counts
     }
 
     /// Whether this node has in-flight requests on a version of a service other than `target`.
     pub fn has_other_work(&self, service: &str, target: &str) -> bool {
         self.entries
             .values()
-            .filter(|e| e.endpoint.service == service && e.running > 0)
+            .filter(|e| e.endpoint.service == service && e.in_flight > 0)
             .any(|e| e.endpoint.version != target)
     }
 
@@ -382,10 +382,10 @@
     }
 
     /// Whether an endpoint has restarted since it got this key.
-    pub(crate) fn started_again(&self, key: EndpointKey) -> bool {
+    pub(crate) fn has_restarted(&self, key: EndpointKey) -> bool {
         self.entries
             .get(&key)
-            .is_some_and(|e| e.life.is_cancelled())
+            .is_some_and(|e| e.restart_token.is_cancelled())
     }
 
     /// Returns the endpoint with this key for an update.
@@ -425,7 +425,7 @@
 
     fn evict_removed(&mut self, now: Duration) {
         let is_expired = |e: &Entry| match e.registration {
-            Registration::ExpiresAt(at) => e.running == 0 && now > at + REMOVED_RETENTION,
+            Registration::ExpiresAt(at) => e.in_flight == 0 && now > at + REMOVED_RETENTION,
             Registration::Present => false,
         };
         self.entries.retain(|_, e| !is_expired(e));
@@ -434,14 +434,14 @@
     }
 }
 
-impl Shortage {
+impl IneligibleCounts {
     /// Whether evacuations are the reason that no endpoint is available.
-    pub(crate) fn is_evacuation(&self) -> bool {
+    pub(crate) fn is_due_to_evacuation(&self) -> bool {
         self.evacuated > 0 && self.tried + self.paused + self.cold + self.other_version == 0
     }
 }
 
-impl fmt::Display for Shortage {
+impl fmt::Display for IneligibleCounts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -462,14 +462,14 @@
             warm_up_share: None,
             endpoint,
             health: Health::default(),
-            running: 0,
+            in_flight: 0,
             load: 0.0,
             remote_prompts: Vec::new(),
             last_progress: now,
-            probed: Duration::ZERO,
+            last_probe: Duration::ZERO,
             report: None,
-            paused_until: Duration::ZERO,
-            life: CancellationToken::new(),
+            back_off_until: Duration::ZERO,
+            restart_token: CancellationToken::new(),
             registration: Registration::Present,
         }
     }
@@ -478,12 +478,12 @@
     ///
     /// An endpoint that announced its leaving returns only with a new start: a record that says
     /// otherwise is older.
-    fn update(&mut self, now: Duration, endpoint: Endpoint) -> News {
+    fn update(&mut self, now: Duration, endpoint: Endpoint) -> RecordChange {
         let known = &self.endpoint;
         let has_changed = (endpoint.serial, endpoint.cold_left) != (known.serial, known.cold_left);
         match endpoint.cold_left.filter(|_| has_changed) {
             Some(remaining) if endpoint.serial < known.serial => self.extend_cold(now, remaining),
-            Some(remaining) => self.set_cold(now, remaining),
+            Some(remaining) => self.set_cold_time(now, remaining),
             None => {}
         }
         let was_leaving = self.endpoint.leaving;
@@ -494,32 +494,32 @@
         };
         self.registration = Registration::Present;
         match leaving && !was_leaving {
-            true => News::Leaves,
-            false => News::None,
+            true => RecordChange::Leaves,
+            false => RecordChange::None,
         }
     }
 
     /// Ends this start after the endpoint has restarted; its in-flight requests are lost.
     fn retire(&mut self, now: Duration) {
         self.registration = Registration::ExpiresAt(now);
-        self.life.cancel();
+        self.restart_token.cancel();
     }
 
     /// Whether it may be cold, where `time` is how long one that restarted unnoticed stays cold.
     pub(crate) fn is_cold(&self, now: Duration, time: Duration) -> bool {
-        self.says_cold(now)
+        self.reports_cold(now)
             || self
                 .maybe_cold_since
                 .is_some_and(|at| now < at.saturating_add(time))
     }
 
     /// Whether it has announced that it is cold.
-    pub(crate) fn says_cold(&self, now: Duration) -> bool {
+    pub(crate) fn reports_cold(&self, now: Duration) -> bool {
         now < self.cold_until
     }
 
     /// Sets how much longer it is cold, as it announced itself.
-    pub(crate) fn set_cold(&mut self, now: Duration, remaining: Duration) {
+    pub(crate) fn set_cold_time(&mut self, now: Duration, remaining: Duration) {
         self.cold_until = now.saturating_add(remaining);
     }
 
@@ -530,7 +530,7 @@
 
     /// Records that it is unreachable, so that it may restart soon, and returns whether this is to
     /// be reported again.
-    pub(crate) fn unreachable(&mut self, now: Duration) -> bool {
+    pub(crate) fn mark_unreachable(&mut self, now: Duration) -> bool {
         let latest = now + RESTART_RECORD_DELAY;
         let last_report = self.maybe_cold_since.replace(latest);
         last_report.is_none_or(|last_report| latest >= last_report + UNREACHABLE_REPORT_INTERVAL)
@@ -556,8 +556,8 @@
 
     /// Whether its end was planned: it announced its leaving or its record is gone, and it has not
     /// restarted.
-    pub(crate) fn left_by_plan(&self, now: Duration) -> bool {
-        !self.accepts_new_requests(now) && !self.life.is_cancelled()
+    pub(crate) fn has_planned_end(&self, now: Duration) -> bool {
+        !self.accepts_new_requests(now) && !self.restart_token.is_cancelled()
     }
 
     /// Whether it may get new requests.
@@ -570,12 +570,12 @@
     }
 
     /// Starts or extends its back-off towards this node.
-    pub fn pause(&mut self, now: Duration, time: Duration) {
-        self.paused_until = self.paused_until.max(now + time);
+    pub fn back_off(&mut self, now: Duration, time: Duration) {
+        self.back_off_until = self.back_off_until.max(now + time);
     }
 
     /// Marks it as gone, whatever its entry says: another endpoint answered at its address.
-    pub fn replaced(&mut self) {
+    pub fn mark_replaced(&mut self) {
         self.endpoint.leaving = true;
     }
 }
--- a/crates/oatdale-relay/src/answer.rs
+++ b/crates/oatdale-relay/src/endpoint_response.rs
@@ -1,7 +1,7 @@
 //! An endpoint's response, whose body is read chunk by chunk.
 
-use crate::running::Running;
-use crate::wire::{AnswerFacts, Wire};
+use crate::in_flight::InFlightRequest;
+use crate::wire::{ResponseMetadata, Wire};
 use bytes::Bytes;
 use http::response;
 use http_body_util::BodyExt;
@@ -11,9 +11,9 @@
 /// A response whose head has been received and whose body has not been read to its end.
 pub(crate) struct EndpointResponse<W> {
     pub(crate) head: response::Parts,
-    pub(crate) facts: AnswerFacts,
+    pub(crate) metadata: ResponseMetadata,
     pub(crate) body: Incoming,
-    pub(crate) running: Running<W>,
+    pub(crate) in_flight: InFlightRequest<W>,
 }
 
 /// Result of waiting for the next chunk of a body.
@@ -33,13 +33,13 @@
         let chunk = tokio::select! {
             biased;
             chunk = timeout_at(until, next_chunk(&mut self.body)) => chunk,
-            () = self.running.started_again() => {
+            () = self.in_flight.wait_restarted() => {
                 return Read::Broken("endpoint restarted during the response".to_owned());
             }
         };
         match chunk {
             Ok(Some(Ok(chunk))) => {
-                self.running.note_progress();
+                self.in_flight.record_progress();
                 Read::Chunk(chunk)
             }
             Ok(Some(Err(err))) => Read::Broken(err.to_string()),
--- a/crates/oatdale-relay/src/front.rs
+++ b/crates/oatdale-relay/src/front.rs
@@ -1,7 +1,7 @@
 //! Accepts and serves callers' connections.
 
+use crate::conn_timeouts::{ConnTracker, Timeout, TrackedIo};
 use crate::cx::Cx;
-use crate::guard::{ConnTracker, Timeout, TrackedIo};
 use crate::serve::serve;
 use crate::site::CallerLimits;
 use crate::wire::Wire;
@@ -32,27 +32,27 @@
 
 /// Phase of a shutdown, as callers' connections see it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub(crate) enum Stop {
+pub(crate) enum ShutdownPhase {
     /// The node runs, or is shutting down and still accepts requests.
     Open,
     /// No new connections are accepted, and those without a request in flight are closed.
     Closing,
 }
 
-/// Accepts connections until the shutdown reaches [`Stop::Closing`].
+/// Accepts connections until the shutdown reaches [`ShutdownPhase::Closing`].
 pub(crate) async fn accept<W: Wire>(
     cx: Arc<Cx<W>>,
     listener: TcpListener,
-    mut stop: watch::Receiver<Stop>,
+    mut shutdown: watch::Receiver<ShutdownPhase>,
 ) {
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            _ = stop.wait_for(|s| *s == Stop::Closing) => return,
+            _ = shutdown.wait_for(|s| *s == ShutdownPhase::Closing) => return,
         };
         match accepted {
             Ok((stream, _)) => {
-                tokio::spawn(handle_connection(cx.clone(), stream, stop.clone()));
+                tokio::spawn(handle_connection(cx.clone(), stream, shutdown.clone()));
             }
             Err(err) => {
                 // Usually the file descriptors are exhausted, and other connections have to end
@@ -67,7 +67,7 @@
 async fn handle_connection<W: Wire>(
     cx: Arc<Cx<W>>,
     stream: TcpStream,
-    mut stop: watch::Receiver<Stop>,
+    mut shutdown: watch::Receiver<ShutdownPhase>,
 ) {
     let options = SockRef::from(&stream);
     let options_set = stream
@@ -107,7 +107,7 @@
                 break;
             }
             () = sleep_until(recheck_at) => {}
-            _ = stop.wait_for(|s| *s == Stop::Closing), if accepts_requests => {
+            _ = shutdown.wait_for(|s| *s == ShutdownPhase::Closing), if accepts_requests => {
                 accepts_requests = false;
                 conn.as_mut().graceful_shutdown();
             }
--- a/crates/oatdale-relay/src/gossip.rs
+++ b/crates/oatdale-relay/src/gossip.rs
@@ -6,9 +6,9 @@
 
 use crate::crashes;
 use crate::cx::Cx;
+use crate::in_flight::InFlightRequest;
 use crate::loads::{AGGREGATORS_PER_GROUP, Load, MOST_LOADS, Scheme};
 use crate::roll_outs::{JUDGES, OnOld, Report};
-use crate::running::Running;
 use crate::state::{State, hash};
 use crate::wire::Wire;
 use oatdale_policy::relay::Fingerprint;
@@ -115,7 +115,7 @@
         Ok(Message::Leaving(host)) => {
             log::info!(target: "gossip", "event=node_leaves host={host}");
             let mut state = cx.state();
-            let until = now + state.bounds.stop();
+            let until = now + state.bounds.stop_time();
             state.nodes.mark_node_leaving(until, &host);
         }
         Ok(Message::EndpointLeaves { id, born }) => {
@@ -137,7 +137,7 @@
             match left_ms {
                 Some(ms) => entry.extend_cold(now, Duration::from_millis(ms.into())),
                 None => {
-                    entry.unreachable(now);
+                    entry.mark_unreachable(now);
                 }
             }
         }),
@@ -201,13 +201,13 @@
 /// Engines report their load late, and each node knows only its own requests: two long prompts at
 /// one engine delay every request there. All nodes are notified, since the others would send their
 /// requests there too.
-pub(crate) fn announce_long_prompt<W: Wire>(cx: &Cx<W>, running: &Running<W>) {
-    if running.weight < LONG_PROMPT_WEIGHT {
+pub(crate) fn announce_long_prompt<W: Wire>(cx: &Cx<W>, in_flight: &InFlightRequest<W>) {
+    if in_flight.weight < LONG_PROMPT_WEIGHT {
         return;
     }
     let message = Message::Heavy {
-        endpoint: running.id.clone(),
-        weight: running.weight,
+        endpoint: in_flight.id.clone(),
+        weight: in_flight.weight,
     };
     broadcast(cx, &cx.state(), &message);
 }
--- a/crates/oatdale-relay/src/running.rs
+++ b/crates/oatdale-relay/src/in_flight.rs
@@ -14,7 +14,7 @@
 const DECODE_WEIGHT: f64 = 1.0;
 
 /// An in-flight request at an endpoint; dropping it reduces the endpoint's load.
-pub(crate) struct Running<W> {
+pub(crate) struct InFlightRequest<W> {
     pub(crate) cx: Arc<Cx<W>>,
     pub(crate) key: EndpointKey,
     pub(crate) weight: f64,
@@ -31,7 +31,7 @@
     restarted: CancellationToken,
 }
 
-impl<W> Running<W> {
+impl<W> InFlightRequest<W> {
     /// Counts a request at an endpoint that was picked among `choices` candidates.
     pub(crate) fn begin(
         cx: Arc<Cx<W>>,
@@ -41,9 +41,9 @@
         choices: usize,
     ) -> Self {
         let load_before = entry.load;
-        entry.running += 1;
+        entry.in_flight += 1;
         entry.load += weight;
-        Running {
+        InFlightRequest {
             cx,
             key,
             weight,
@@ -53,13 +53,13 @@
             is_failing: entry.health.is_failing(),
             load_before,
             choices,
-            restarted: entry.life.clone(),
+            restarted: entry.restart_token.clone(),
         }
     }
 
     /// Reduces the request's weight once its prompt has been processed: from then on it is one of
     /// several in each decoding step.
-    pub(crate) fn prompt_is_read(&mut self) {
+    pub(crate) fn finish_prefill(&mut self) {
         let remaining = self.weight.min(DECODE_WEIGHT);
         if let Some(entry) = self.cx.state().directory.get_mut(self.key) {
             entry.load = (entry.load - (self.weight - remaining)).max(0.0);
@@ -70,12 +70,12 @@
 
 /// Records that an endpoint could not be reached, and broadcasts this if it is new and its service
 /// limits the request rate of cold endpoints.
-pub(crate) fn note_unreachable<W: Wire>(cx: &Cx<W>, state: &mut State, key: EndpointKey) {
+pub(crate) fn handle_unreachable<W: Wire>(cx: &Cx<W>, state: &mut State, key: EndpointKey) {
     let now = cx.now();
     let Some(entry) = state.directory.get_mut(key) else {
         return;
     };
-    let is_new = entry.unreachable(now);
+    let is_new = entry.mark_unreachable(now);
     let (id, born) = (entry.endpoint.id.clone(), entry.endpoint.born);
     let service = entry.endpoint.service.clone();
     if !is_new || !state.has_cold_rate(&service) {
@@ -90,13 +90,13 @@
     gossip::broadcast(cx, state, &message);
 }
 
-impl<W> Drop for Running<W> {
+impl<W> Drop for InFlightRequest<W> {
     fn drop(&mut self) {
         let mut state = self.cx.state();
         if let Some(entry) = state.directory.get_mut(self.key) {
-            entry.running = entry.running.saturating_sub(1);
+            entry.in_flight = entry.in_flight.saturating_sub(1);
             // Floating-point sums drift; an idle endpoint has exactly zero load.
-            entry.load = match entry.running {
+            entry.load = match entry.in_flight {
                 0 => 0.0,
                 _ => (entry.load - self.weight).max(0.0),
             };
@@ -104,13 +104,13 @@
     }
 }
 
-impl<W: Wire> Running<W> {
+impl<W: Wire> InFlightRequest<W> {
     /// Resolves when the endpoint is known to have restarted and therefore to have lost this
     /// request.
     ///
     /// Its previous process may have ended without closing its connections, which then stay open
     /// and silent. Without this check the request and its client would wait for the timeout.
-    pub(crate) async fn started_again(&self) {
+    pub(crate) async fn wait_restarted(&self) {
         self.restarted.cancelled().await;
     }
 
@@ -120,11 +120,11 @@
         let now = self.cx.now();
         let state = self.cx.state();
         let entry = state.directory.get(self.key);
-        entry.is_none_or(|e| e.left_by_plan(now))
+        entry.is_none_or(|e| e.has_planned_end(now))
     }
 
     /// Records that bytes arrived from the endpoint.
-    pub(crate) fn note_progress(&self) {
+    pub(crate) fn record_progress(&self) {
         let now = self.cx.now();
         if let Some(entry) = self.cx.state().directory.get_mut(self.key) {
             entry.last_progress = now;
@@ -132,14 +132,14 @@
     }
 
     /// Records a response; `is_ok` is false if the endpoint failed.
-    pub(crate) fn answered(&self, is_ok: bool) {
+    pub(crate) fn record_response(&self, is_ok: bool) {
         if let Some(entry) = self.cx.state().directory.get_mut(self.key) {
             entry.health.record_response(is_ok);
         }
     }
 
     /// Records that a response is late.
-    pub(crate) fn late(&self) {
+    pub(crate) fn record_late_response(&self) {
         log::info!(target: "attempt", "event=late endpoint={}", self.id);
         if let Some(entry) = self.cx.state().directory.get_mut(self.key) {
             entry.health.record_late_response();
@@ -147,7 +147,7 @@
     }
 
     /// Records that an expected response did not arrive.
-    pub(crate) fn silent(&self) {
+    pub(crate) fn record_no_response(&self) {
         let now = self.cx.now();
         if let Some(entry) = self.cx.state().directory.get_mut(self.key) {
             entry.health.record_no_response(now);
@@ -156,7 +156,7 @@
 
     /// Records that the endpoint announced in a response that it leaves. Its record may show this
     /// much later, or never.
-    pub(crate) fn announced_leaving(&self) {
+    pub(crate) fn record_leaving(&self) {
         let mut state = self.cx.state();
         let Some(entry) = state.directory.get_mut(self.key) else {
             return;
@@ -175,20 +175,20 @@
     /// Records that the endpoint could not be reached: it may be restarting, and then handle fewer
     /// requests at first. This is broadcast to all nodes, since most of them are not sending it
     /// anything at that moment.
-    pub(crate) fn unreachable(&self) {
+    pub(crate) fn record_unreachable(&self) {
         let mut state = self.cx.state();
-        note_unreachable(&self.cx, &mut state, self.key);
+        handle_unreachable(&self.cx, &mut state, self.key);
     }
 
     /// Records the remaining cold time that the endpoint announced in a response.
-    pub(crate) fn said_cold(&self, cold_time: Duration) {
+    pub(crate) fn record_cold(&self, cold_time: Duration) {
         let now = self.cx.now();
         let mut state = self.cx.state();
         let Some(entry) = state.directory.get_mut(self.key) else {
             return;
         };
-        let is_new = !entry.says_cold(now) && !cold_time.is_zero();
-        entry.set_cold(now, cold_time);
+        let is_new = !entry.reports_cold(now) && !cold_time.is_zero();
+        entry.set_cold_time(now, cold_time);
         if !is_new {
             return;
         }
@@ -201,19 +201,19 @@
         gossip::broadcast(&self.cx, &state, &message);
     }
 
-    /// Records that the endpoint rejected the request and asked this node to pause for `time`.
-    pub(crate) fn paused(&self, time: Duration) {
+    /// Records that the endpoint rejected the request and asked this node to back off for `time`.
+    pub(crate) fn record_back_off(&self, time: Duration) {
         let now = self.cx.now();
         if let Some(entry) = self.cx.state().directory.get_mut(self.key) {
-            entry.pause(now, time);
+            entry.back_off(now, time);
         }
     }
 
     /// Records that another endpoint now runs at its address.
-    pub(crate) fn replaced(&self) {
+    pub(crate) fn record_replaced(&self) {
         self.cx.pool.forget(self.addr);
         if let Some(entry) = self.cx.state().directory.get_mut(self.key) {
-            entry.replaced();
+            entry.mark_replaced();
         }
     }
 }
--- a/crates/oatdale-relay/src/lib.rs
+++ b/crates/oatdale-relay/src/lib.rs
@@ -39,32 +39,32 @@
 //! assert_eq!(site.route("other.example", "/slots/41"), None);
 //! ```
 
-mod answer;
-mod asking;
 mod attempt;
 mod body;
+mod conn_timeouts;
 mod crashes;
 mod cx;
 mod directory;
+mod endpoint_response;
 mod error;
 mod events;
 mod front;
 mod gossip;
-mod guard;
-mod heads;
+mod headers;
+mod in_flight;
 mod loads;
 mod local;
 mod metrics;
 mod node;
 mod nodes;
 mod peers;
-mod plan;
-mod record;
+mod probe;
 mod replica;
 mod reply;
+mod request_context;
+mod request_log;
 mod revision;
 mod roll_outs;
-mod running;
 mod serve;
 mod settings;
 mod site;
@@ -74,7 +74,7 @@
 mod versions;
 mod wire;
 
-pub use crate::directory::{Directory, EndpointKey, Entry, News};
+pub use crate::directory::{Directory, EndpointKey, Entry, RecordChange};
 pub use crate::error::{Error, Result};
 pub use crate::events::WholeEvents;
 pub use crate::loads::{Adder, Load, MOST_LOADS, Scheme, Shared};
@@ -89,5 +89,5 @@
 pub use crate::site::{CallerLimits, Customer, Customers, Route, RouteKind, ServiceFacts, Site};
 pub use crate::update::{Command, Endpoint, Link, Node, RollOut, RollOutEnd, Update};
 pub use crate::versions::{Keep, KeptVersion, KnownVersions, Versions};
-pub use crate::wire::{AnswerFacts, Forward, Prompt, RequestFacts, Wire};
+pub use crate::wire::{Forward, Prompt, RequestMetadata, ResponseMetadata, Wire};
 pub use oatdale_policy::relay::EngineReport;
--- a/crates/oatdale-relay/src/local.rs
+++ b/crates/oatdale-relay/src/local.rs
@@ -1,7 +1,7 @@
 //! Serves the relay's own endpoints: readiness, node addresses and metrics.
 
 use crate::cx::Cx;
-use crate::reply::{Body, plain};
+use crate::reply::{Body, short_response};
 use crate::state::hash;
 use crate::update::Node;
 use crate::wire::Wire;
@@ -29,12 +29,12 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Serves readiness, node addresses and metrics to callers and operators.
-pub(crate) async fn serve_local<W: Wire>(cx: Arc<Cx<W>>, listener: TcpListener) {
-    serve_with(listener, move |req| respond(cx.clone(), req)).await;
+pub(crate) async fn serve_status<W: Wire>(cx: Arc<Cx<W>>, listener: TcpListener) {
+    serve_http(listener, move |req| respond(cx.clone(), req)).await;
 }
 
 /// Accepts connections and serves their requests with `handler`; requests have no body.
-pub(crate) async fn serve_with<F, A>(listener: TcpListener, handler: F)
+pub(crate) async fn serve_http<F, A>(listener: TcpListener, handler: F)
 where
     F: Fn(Request<Incoming>) -> A + Clone + Send + 'static,
     A: Future<Output = Result<Response<Body>, Infallible>> + Send + 'static,
@@ -67,11 +67,15 @@
 ) -> Result<Response<Body>, Infallible> {
     let path = req.uri().path();
     let res = match path {
-        "/metrics" => plain(StatusCode::OK, cx.metrics.text().into()),
-        _ if cx.wire.is_readiness(path) && cx.is_ready() => plain(StatusCode::OK, Bytes::new()),
-        _ if cx.wire.is_readiness(path) => plain(StatusCode::SERVICE_UNAVAILABLE, Bytes::new()),
-        _ if cx.wire.is_addresses(path) => addresses(&cx, req.uri().query()),
-        _ => plain(StatusCode::NOT_FOUND, Bytes::new()),
+        "/metrics" => short_response(StatusCode::OK, cx.metrics.encode().into()),
+        _ if cx.wire.is_readiness_path(path) && cx.is_ready() => {
+            short_response(StatusCode::OK, Bytes::new())
+        }
+        _ if cx.wire.is_readiness_path(path) => {
+            short_response(StatusCode::SERVICE_UNAVAILABLE, Bytes::new())
+        }
+        _ if cx.wire.is_addresses_path(path) => addresses(&cx, req.uri().query()),
+        _ => short_response(StatusCode::NOT_FOUND, Bytes::new()),
     };
     Ok(res)
 }
@@ -81,8 +85,8 @@
     let domain = query.and_then(|query| cx.wire.caller_domain(query));
     let addrs = addresses_for_caller(cx, domain.as_deref());
     let mut res = match addrs.is_empty() {
-        true => plain(StatusCode::SERVICE_UNAVAILABLE, Bytes::new()),
-        false => plain(StatusCode::OK, cx.wire.addresses(&addrs, max_age)),
+        true => short_response(StatusCode::SERVICE_UNAVAILABLE, Bytes::new()),
+        false => short_response(StatusCode::OK, cx.wire.addresses_body(&addrs, max_age)),
     };
     let json = HeaderValue::from_static("application/json");
     res.headers_mut().insert(header::CONTENT_TYPE, json);
--- a/crates/oatdale-relay/src/metrics.rs
+++ b/crates/oatdale-relay/src/metrics.rs
@@ -16,7 +16,7 @@
     /// Requests by result.
     pub(crate) requests: IntCounterVec,
     /// Attempts beyond the first of each request.
-    pub(crate) repeats: IntCounter,
+    pub(crate) retries: IntCounter,
     /// Responses discarded in favor of a larger model's.
     pub(crate) escalations: IntCounter,
     /// Streams that another endpoint resumed.
@@ -38,7 +38,7 @@
     /// Open client connections.
     pub(crate) connections: IntGauge,
     /// In-flight requests.
-    pub(crate) under_way: IntGauge,
+    pub(crate) in_flight: IntGauge,
     /// 1 if the key-value service responds, otherwise 0.
     pub(crate) store: IntGauge,
 }
@@ -51,7 +51,7 @@
             .buckets(LATENCY_BUCKETS_S.to_vec());
         let metrics = Metrics {
             requests: IntCounterVec::new(opts, &["end"])?,
-            repeats: IntCounter::new("repeats_total", "Attempts beyond the first")?,
+            retries: IntCounter::new("repeats_total", "Attempts beyond the first")?,
             escalations: IntCounter::new("escalations_total", "Answers made again larger")?,
             resumed: IntCounter::new(
                 "resumed_total",
@@ -71,7 +71,7 @@
             version: IntGauge::new("configuration_version", "Configuration in force")?,
             endpoints: IntGauge::new("endpoints", "Endpoints known")?,
             connections: IntGauge::new("connections", "Open connections of callers")?,
-            under_way: IntGauge::new("requests_under_way", "Requests under way")?,
+            in_flight: IntGauge::new("requests_under_way", "Requests under way")?,
             store: IntGauge::new("store_up", "Whether the key-value service answers")?,
             registry,
         };
@@ -82,7 +82,7 @@
     fn register(&self) -> prometheus::Result<()> {
         let collectors: [Box<dyn prometheus::core::Collector>; 14] = [
             Box::new(self.requests.clone()),
-            Box::new(self.repeats.clone()),
+            Box::new(self.retries.clone()),
             Box::new(self.escalations.clone()),
             Box::new(self.resumed.clone()),
             Box::new(self.crashes.clone()),
@@ -93,7 +93,7 @@
             Box::new(self.version.clone()),
             Box::new(self.endpoints.clone()),
             Box::new(self.connections.clone()),
-            Box::new(self.under_way.clone()),
+            Box::new(self.in_flight.clone()),
             Box::new(self.store.clone()),
         ];
         collectors
@@ -102,7 +102,7 @@
     }
 
     /// Returns all metrics in the Prometheus text format.
-    pub(crate) fn text(&self) -> Vec<u8> {
+    pub(crate) fn encode(&self) -> Vec<u8> {
         let mut text = Vec::new();
         match TextEncoder::new().encode(&self.registry.gather(), &mut text) {
             Ok(()) => text,
--- a/crates/oatdale-relay/src/node.rs
+++ b/crates/oatdale-relay/src/node.rs
@@ -3,9 +3,9 @@
 use crate::crashes;
 use crate::cx::Cx;
 use crate::error::{ListenSnafu, MetricsSnafu, Result};
-use crate::front::{self, Stop};
+use crate::front::{self, ShutdownPhase};
 use crate::gossip::{self, REPORT_EVERY};
-use crate::local::serve_local;
+use crate::local::serve_status;
 use crate::metrics::Metrics;
 use crate::peers;
 use crate::settings::Settings;
@@ -36,7 +36,7 @@
 pub struct Relay<W> {
     cx: Arc<Cx<W>>,
     commands: mpsc::Sender<Command>,
-    stop: watch::Sender<Stop>,
+    shutdown: watch::Sender<ShutdownPhase>,
 }
 
 impl<W: Wire> Relay<W> {
@@ -53,18 +53,18 @@
         } = link;
         let listen = settings.listen.clone();
         let metrics = Metrics::new().context(MetricsSnafu)?;
-        let (stop, stopped) = watch::channel(Stop::Open);
+        let (shutdown, shutdown_rx) = watch::channel(ShutdownPhase::Open);
         let callers = bind(listen.callers)?;
         let socket = UdpSocket::bind(listen.nodes)
             .await
             .context(ListenSnafu { addr: listen.nodes })?;
         let cx = Arc::new(Cx::new(wire, settings, metrics, socket));
         for addr in [listen.readiness, listen.addresses, listen.metrics] {
-            tokio::spawn(serve_local(cx.clone(), bind(addr)?));
+            tokio::spawn(serve_status(cx.clone(), bind(addr)?));
         }
         tokio::spawn(peers::serve(cx.clone(), records, bind(listen.state)?));
         tokio::spawn(peers::follow(cx.clone()));
-        tokio::spawn(front::accept(cx.clone(), callers, stopped));
+        tokio::spawn(front::accept(cx.clone(), callers, shutdown_rx));
         tokio::spawn(gossip::listen(cx.clone()));
         tokio::spawn(gossip::share_loads(cx.clone()));
         tokio::spawn(apply_updates(cx.clone(), updates));
@@ -74,27 +74,31 @@
             "event=started host={} domain={} callers={}",
             cx.settings.host, cx.settings.failure_domain, listen.callers
         );
-        Ok(Relay { cx, commands, stop })
+        Ok(Relay {
+            cx,
+            commands,
+            shutdown,
+        })
     }
 
     /// Shuts down gracefully: removes the node from the addresses given to clients, keeps serving
     /// for as long as clients may cache them, and drains in-flight requests.
     pub async fn stop(&self) {
         let stop_began = Instant::now();
-        let stop_time = self.cx.state().bounds.stop();
-        log::info!(target: "node", "event=stopping under_way={}", self.under_way());
+        let stop_time = self.cx.state().bounds.stop_time();
+        log::info!(target: "node", "event=stopping under_way={}", self.in_flight());
         self.cx.state().stopping = Some(stop_began);
         if self.commands.send(Command::Leave).await.is_err() {
             log::warn!(target: "node", "event=leave_not_sent reason=\"platform adapter has stopped\"");
         }
         gossip::leave(&self.cx).await;
         tokio::time::sleep_until(stop_began + stop_time.mul_f64(ACCEPT_FRACTION)).await;
-        self.stop.send_replace(Stop::Closing);
+        self.shutdown.send_replace(ShutdownPhase::Closing);
         let deadline = stop_began + stop_time.saturating_sub(ABANDON_MARGIN);
-        while self.under_way() > 0 && Instant::now() < deadline {
+        while self.in_flight() > 0 && Instant::now() < deadline {
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        log::info!(target: "node", "event=stopped under_way={}", self.under_way());
+        log::info!(target: "node", "event=stopped under_way={}", self.in_flight());
     }
 
     /// Applies changed bounds, and returns whether other settings changed, such as addresses, which
@@ -108,8 +112,8 @@
         needs_restart
     }
 
-    fn under_way(&self) -> i64 {
-        self.cx.metrics.under_way.get()
+    fn in_flight(&self) -> i64 {
+        self.cx.metrics.in_flight.get()
     }
 }
 
@@ -145,7 +149,9 @@
     let session_ttl = Duration::from_secs_f64(state.bounds.session_s);
     state.directory.tick(now);
     state.roll_outs.expire_sessions(now, session_ttl);
-    state.roll_outs.update_rates(now, state.bounds.exposure());
+    state
+        .roll_outs
+        .update_rates(now, state.bounds.exposure_limit());
     let own_host = cx.settings.host.as_str();
     let rank = state
         .nodes
--- a/crates/oatdale-relay/src/peers.rs
+++ b/crates/oatdale-relay/src/peers.rs
@@ -8,9 +8,9 @@
 
 use crate::crashes;
 use crate::cx::Cx;
-use crate::local::serve_with;
+use crate::local::serve_http;
 use crate::replica::{self, Replica};
-use crate::reply::{Body, plain};
+use crate::reply::{Body, short_response};
 use crate::wire::Wire;
 use bytes::Bytes;
 use http::{Request, Response, StatusCode, Uri};
@@ -46,7 +46,7 @@
 
 /// Serves this node's state to other nodes.
 pub(crate) async fn serve<W: Wire>(cx: Arc<Cx<W>>, records: Arc<Replica>, listener: TcpListener) {
-    serve_with(listener, move |req| {
+    serve_http(listener, move |req| {
         handle(cx.clone(), records.clone(), req)
     })
     .await;
@@ -67,13 +67,13 @@
     let after = after.and_then(|version| version.parse().ok());
     let res = match (req.uri().path(), after) {
         (STATE_PATH, Some(after)) => match snapshot(&cx, after).encode() {
-            Ok(body) => plain(StatusCode::OK, body),
+            Ok(body) => short_response(StatusCode::OK, body),
             Err(err) => {
                 log::warn!(target: "peers", "event=encode_failed err={err}");
-                plain(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new())
+                short_response(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new())
             }
         },
-        _ => plain(StatusCode::NOT_FOUND, Bytes::new()),
+        _ => short_response(StatusCode::NOT_FOUND, Bytes::new()),
     };
     Ok(res)
 }
--- a/crates/oatdale-relay/src/asking.rs
+++ b/crates/oatdale-relay/src/probe.rs
@@ -7,7 +7,7 @@
 
 use crate::cx::Cx;
 use crate::directory::Entry;
-use crate::running::Running;
+use crate::in_flight::InFlightRequest;
 use crate::wire::Wire;
 use http::{Request, Uri};
 use http_body_util::{BodyExt, Full, Limited};
@@ -47,12 +47,12 @@
 
 /// An engine's report and the time at which it was received.
 #[derive(Clone, Debug)]
-pub(crate) struct Report {
+pub(crate) struct ProbeReport {
     at: Duration,
     report: Arc<EngineReport>,
 }
 
-impl<W: Wire> Running<W> {
+impl<W: Wire> InFlightRequest<W> {
     /// Whether the endpoint is unresponsive: no bytes were received for `silence`, and it does not
     /// respond to a probe, which a live engine answers at once.
     pub(crate) async fn is_unresponsive(&self, silence: Duration) -> bool {
@@ -68,7 +68,7 @@
             if entry.health.is_ejected(now) {
                 return true;
             }
-            if !may_probe(entry, now) {
+            if !try_start_probe(entry, now) {
                 return false;
             }
         }
@@ -90,7 +90,7 @@
                 cached.filter(|r| r.at >= sent_at + REPORT_DELAY && now < r.at + REPORT_MAX_AGE);
             match cached.map(|r| r.report.has_lost(id)) {
                 Some(lost) => return lost,
-                None if waited < REPORT_DELAY || !may_probe(entry, now) => return false,
+                None if waited < REPORT_DELAY || !try_start_probe(entry, now) => return false,
                 None => {}
             }
         }
@@ -105,7 +105,7 @@
         match &result {
             ProbeResult::Unreachable => {
                 log::info!(target: "probe", "event=probed endpoint={} alive=false", self.id);
-                self.silent();
+                self.record_no_response();
             }
             ProbeResult::Alive {
                 report,
@@ -125,12 +125,12 @@
                         log::info!(target: "probe", "event=probed endpoint={} alive=true", self.id);
                     }
                 }
-                self.note_progress();
+                self.record_progress();
                 if let Some(left) = cold_left {
-                    self.said_cold(*left);
+                    self.record_cold(*left);
                 }
                 if *leaving {
-                    self.announced_leaving();
+                    self.record_leaving();
                 }
             }
         }
@@ -140,7 +140,7 @@
     fn store_report(&self, report: Arc<EngineReport>) {
         let at = self.cx.now();
         if let Some(entry) = self.cx.state().directory.get_mut(self.key) {
-            entry.report = Some(Report { at, report });
+            entry.report = Some(ProbeReport { at, report });
         }
     }
 }
@@ -155,7 +155,7 @@
             return ProbeResult::Unreachable;
         };
         let (head, body) = res.into_parts();
-        let facts = self.wire.answer(&head);
+        let metadata = self.wire.response(&head);
         let body = Limited::new(body, MAX_REPORT_BYTES).collect();
         let report = match timeout_at(deadline, body).await {
             Ok(Ok(body)) => self.wire.engine_report(&body.to_bytes()).map(Arc::new),
@@ -163,18 +163,18 @@
         };
         ProbeResult::Alive {
             report,
-            leaving: facts.leaving,
-            cold_left: facts.cold_left,
+            leaving: metadata.leaving,
+            cold_left: metadata.cold_left,
         }
     }
 }
 
 /// Whether a probe may be sent now; if so, records its time. A request that may not probe sees the
 /// result of the probe already sent at its next check.
-fn may_probe(entry: &mut Entry, now: Duration) -> bool {
-    let is_due = now >= entry.probed + PROBE_TIMEOUT * 2;
+fn try_start_probe(entry: &mut Entry, now: Duration) -> bool {
+    let is_due = now >= entry.last_probe + PROBE_TIMEOUT * 2;
     if is_due {
-        entry.probed = now;
+        entry.last_probe = now;
     }
     is_due
 }
--- a/crates/oatdale-relay/src/replica/serve.rs
+++ b/crates/oatdale-relay/src/replica/serve.rs
@@ -1,7 +1,7 @@
 //! HTTP handlers that serve the replica to followers.
 
 use crate::replica::Replica;
-use crate::reply::{Body, plain};
+use crate::reply::{Body, short_response};
 use bytes::Bytes;
 use http::{Response, StatusCode};
 use hyper::body::Incoming;
@@ -24,7 +24,7 @@
     };
     match replica.fetch(req).await {
         Some(update) => encode(&update),
-        None => plain(StatusCode::SERVICE_UNAVAILABLE, Bytes::new()),
+        None => short_response(StatusCode::SERVICE_UNAVAILABLE, Bytes::new()),
     }
 }
 
@@ -43,22 +43,22 @@
     };
     match replica.versions_in_era(era).await {
         Some(versions) => encode(&versions),
-        None => plain(StatusCode::SERVICE_UNAVAILABLE, Bytes::new()),
+        None => short_response(StatusCode::SERVICE_UNAVAILABLE, Bytes::new()),
     }
 }
 
 fn bad_request(reason: &str) -> Response<Body> {
     log::warn!(target: "replica", "event=bad_request reason=\"{reason}\"");
-    plain(StatusCode::BAD_REQUEST, Bytes::new())
+    short_response(StatusCode::BAD_REQUEST, Bytes::new())
 }
 
 fn encode(value: &impl Serialize) -> Response<Body> {
     let mut body = Vec::new();
     match ciborium::into_writer(value, &mut body) {
-        Ok(()) => plain(StatusCode::OK, body.into()),
+        Ok(()) => short_response(StatusCode::OK, body.into()),
         Err(err) => {
             log::warn!(target: "replica", "event=encode_failed err={err}");
-            plain(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new())
+            short_response(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new())
         }
     }
 }
--- a/crates/oatdale-relay/src/reply.rs
+++ b/crates/oatdale-relay/src/reply.rs
@@ -90,7 +90,7 @@
 
 /// Builds the response for a refused request.
 pub(crate) fn refusal_response(refusal: Refusal, retry_after: Option<Duration>) -> Response<Body> {
-    let mut res = plain(refusal.status(), format!("{refusal}\n").into());
+    let mut res = short_response(refusal.status(), format!("{refusal}\n").into());
     if let Some(value) = retry_after.and_then(header_seconds) {
         res.headers_mut().insert(header::RETRY_AFTER, value);
     }
@@ -106,7 +106,7 @@
 }
 
 /// Builds a response with a short body.
-pub(crate) fn plain(status: StatusCode, body: Bytes) -> Response<Body> {
+pub(crate) fn short_response(status: StatusCode, body: Bytes) -> Response<Body> {
     let mut res = Response::new(full_body(body));
     *res.status_mut() = status;
     res
--- a/crates/oatdale-relay/src/plan.rs
+++ b/crates/oatdale-relay/src/request_context.rs
@@ -2,15 +2,15 @@
 
 use crate::body::BufferedBody;
 use crate::cx::Cx;
-use crate::directory::{EndpointKey, Shortage};
+use crate::directory::{EndpointKey, IneligibleCounts};
 use crate::gossip::{self, Message};
-use crate::heads::host_header;
+use crate::headers::host_header;
+use crate::in_flight::InFlightRequest;
 use crate::reply::Refusal;
 use crate::roll_outs::{Allowed, Pace, Source};
-use crate::running::Running;
 use crate::site::{Route, Site};
-use crate::state::{Wanted, hash};
-use crate::wire::{Forward, RequestFacts, Wire};
+use crate::state::{PlacementRequest, hash};
+use crate::wire::{Forward, RequestMetadata, Wire};
 use bytes::Bytes;
 use http::{HeaderMap, Method, Request, Uri};
 use http_body_util::Full;
@@ -27,12 +27,12 @@
 const TOKENS_PER_REQUEST: f64 = 3_000.0;
 
 /// A request, its routing and the state of its attempts.
-pub(crate) struct Plan {
+pub(crate) struct RequestContext {
     pub(crate) site: Arc<Site>,
     route: usize,
     pub(crate) service: String,
     pub(crate) customer: Option<String>,
-    pub(crate) facts: RequestFacts,
+    pub(crate) metadata: RequestMetadata,
     pub(crate) method: Method,
     pub(crate) uri: Uri,
     /// The caller's headers without the hop-by-hop ones.
@@ -45,7 +45,7 @@
     /// Index in the route's ladder of the model for the next attempt.
     pub(crate) model_index: usize,
     /// Endpoints that are excluded from the next attempt because they received the request.
-    pub(crate) tried: Vec<EndpointKey>,
+    pub(crate) excluded: Vec<EndpointKey>,
     /// All endpoints that received the request, including those whose responses were discarded.
     pub(crate) sent_to: SmallVec<[EndpointKey; 4]>,
     /// Number of attempts that an endpoint may have started or refused.
@@ -57,11 +57,11 @@
     fingerprint: OnceLock<Fingerprint>,
 }
 
-impl Plan {
+impl RequestContext {
     pub(crate) fn new(
         site: Arc<Site>,
         route: usize,
-        facts: RequestFacts,
+        metadata: RequestMetadata,
         head: http::request::Parts,
         arrival: Instant,
     ) -> Result<Self, Refusal> {
@@ -69,12 +69,12 @@
             let route = &site.routes[route];
             (route.pick_service().map(str::to_owned), route.timeout)
         };
-        let wait = facts.deadline.unwrap_or(timeout).min(timeout);
-        Ok(Plan {
+        let wait = metadata.timeout.unwrap_or(timeout).min(timeout);
+        Ok(RequestContext {
             route,
             service: service.ok_or(Refusal::NoEndpoint)?,
             customer: None,
-            facts,
+            metadata,
             method: head.method,
             uri: head.uri,
             headers: head.headers,
@@ -83,7 +83,7 @@
             deadline_at: arrival + wait,
             urgency: site.routes[route].urgency,
             model_index: 0,
-            tried: Vec::new(),
+            excluded: Vec::new(),
             sent_to: SmallVec::new(),
             sends: 0,
             relative_size: 1.0,
@@ -105,7 +105,7 @@
             return Ok(());
         };
         let customer = self
-            .facts
+            .metadata
             .key
             .as_deref()
             .and_then(|key| customers.of_key(key));
@@ -167,7 +167,7 @@
 
     /// Hash of the session id, the same on every node.
     pub(crate) fn session_hash(&self) -> Option<u64> {
-        self.facts.session.as_ref().map(hash)
+        self.metadata.session.as_ref().map(hash)
     }
 
     /// Whether another attempt would be allowed after the next one.
@@ -182,14 +182,14 @@
     }
 
     /// Origin of an endpoint's response, for roll-out statistics.
-    pub(crate) fn source<'a, W>(&'a self, running: &'a Running<W>) -> Source<'a> {
+    pub(crate) fn source<'a, W>(&'a self, in_flight: &'a InFlightRequest<W>) -> Source<'a> {
         Source {
-            is_failing: running.is_failing,
+            is_failing: in_flight.is_failing,
             service: &self.service,
-            version: &running.version,
+            version: &in_flight.version,
             origin: Origin {
                 route: hash(&self.route().name) as u32,
-                endpoint: hash(&running.id) as u32,
+                endpoint: hash(&in_flight.id) as u32,
             },
         }
     }
@@ -206,10 +206,11 @@
 
     /// Records how large the generation is relative to others of its route.
     pub(crate) fn record_size<W>(&mut self, cx: &Cx<W>) {
-        let Some(prompt) = &self.facts.prompt else {
+        let Some(prompt) = &self.metadata.prompt else {
             return;
         };
-        let generation_size = f64::from(prompt.tokens_in) + 10.0 * f64::from(prompt.tokens_out);
+        let generation_size =
+            f64::from(prompt.prompt_tokens) + 10.0 * f64::from(prompt.max_output_tokens);
         self.relative_size = cx
             .state()
             .relative_size(&self.route().name, generation_size);
@@ -218,7 +219,7 @@
     /// Load that the request adds to an endpoint: a long prompt and a large model delay all other
     /// requests there.
     fn weight(&self) -> f64 {
-        let tokens = self.facts.prompt.as_ref().map_or(0, |p| p.tokens_in);
+        let tokens = self.metadata.prompt.as_ref().map_or(0, |p| p.prompt_tokens);
         let facts = self.site.services.get(&self.service);
         let cost = match (facts, self.model()) {
             (Some(facts), Some(model)) => facts.relative_cost(model),
@@ -229,14 +230,17 @@
 
     /// Hash of the prompt prefix that other requests share, and of the model that would cache it.
     fn prefix_hash(&self) -> Option<u64> {
-        let parts = &self.facts.prompt.as_ref()?.parts;
+        let parts = &self.metadata.prompt.as_ref()?.parts;
         let shared_len = parts.len().saturating_sub(1).max(1).min(parts.len());
         let last = parts[..shared_len].last()?;
         Some(hash(&(&last.0, self.model_index)))
     }
 
     /// Assigns the request to an endpoint that has not received it yet.
-    pub(crate) fn place<W: Wire>(&self, cx: &Arc<Cx<W>>) -> Result<Running<W>, Shortage> {
+    pub(crate) fn place<W: Wire>(
+        &self,
+        cx: &Arc<Cx<W>>,
+    ) -> Result<InFlightRequest<W>, IneligibleCounts> {
         let allowed = self.allowed_versions(cx);
         cx.place(&self.placement_query(&allowed))
     }
@@ -244,20 +248,20 @@
     /// Whether there is an eligible endpoint that has not received the request yet.
     pub(crate) fn has_eligible_endpoint<W: Wire>(&self, cx: &Cx<W>) -> bool {
         let allowed = self.allowed_versions(cx);
-        cx.has_place(&self.placement_query(&allowed))
+        cx.has_eligible_endpoint(&self.placement_query(&allowed))
     }
 
     /// Software versions that the request may use now. Looked up again for each attempt: a roll-out
     /// may have ended since the last one, and the version allowed then may be gone.
     fn allowed_versions<W: Wire>(&self, cx: &Cx<W>) -> Allowed {
-        cx.allowed(&self.service, self.session_hash(), hash(&self.facts.id))
+        cx.allowed(&self.service, self.session_hash(), hash(&self.metadata.id))
     }
 
-    fn placement_query<'a>(&'a self, allowed: &'a Allowed) -> Wanted<'a> {
-        Wanted {
+    fn placement_query<'a>(&'a self, allowed: &'a Allowed) -> PlacementRequest<'a> {
+        PlacementRequest {
             service: &self.service,
             allowed,
-            tried: &self.tried,
+            excluded: &self.excluded,
             prefix: self.prefix_hash(),
             weight: self.weight(),
         }
@@ -265,7 +269,7 @@
 
     /// Pins the session to the endpoint's version. Called before the request is sent, because the
     /// session's next request may reach another node as soon as this one is answered.
-    pub(crate) fn pin_session<W: Wire>(&self, cx: &Cx<W>, running: &Running<W>) {
+    pub(crate) fn pin_session<W: Wire>(&self, cx: &Cx<W>, in_flight: &InFlightRequest<W>) {
         let Some(session) = self.session_hash() else {
             return;
         };
@@ -273,7 +277,7 @@
         let mut state = cx.state();
         let on_old = state
             .roll_outs
-            .pin(now, &self.service, session, &running.version);
+            .pin(now, &self.service, session, &in_flight.version);
         if let Some(on_old) = on_old {
             gossip::broadcast(cx, &state, &Message::OnOld(on_old));
         }
@@ -284,19 +288,19 @@
         &self,
         cx: &Cx<W>,
         endpoint: &str,
-        last_event: Option<u64>,
+        last_event_id: Option<u64>,
     ) -> Request<Full<Bytes>> {
         let mut req = Request::new(Full::new(self.body.bytes.clone()));
         *req.method_mut() = self.method.clone();
         *req.uri_mut() = self.uri.clone();
         *req.headers_mut() = self.headers.clone();
         let fwd = Forward {
-            left: self.time_left(),
+            remaining: self.time_left(),
             endpoint,
             customer: self.customer.as_deref(),
             model: self.model(),
-            urgency: self.facts.prompt.as_ref().map(|_| self.urgency),
-            last_event,
+            urgency: self.metadata.prompt.as_ref().map(|_| self.urgency),
+            last_event_id,
         };
         cx.wire.forward(req.headers_mut(), &fwd);
         req
--- a/crates/oatdale-relay/src/record.rs
+++ b/crates/oatdale-relay/src/request_log.rs
@@ -1,7 +1,7 @@
 //! Logs and counts how each request ended.
 
+use crate::conn_timeouts::ConnTracker;
 use crate::cx::Cx;
-use crate::guard::ConnTracker;
 use std::sync::Arc;
 use tokio::time::Instant;
 
@@ -24,7 +24,7 @@
         arrival: Instant,
         id: Option<&str>,
     ) -> Self {
-        cx.metrics.under_way.inc();
+        cx.metrics.in_flight.inc();
         RequestLog {
             cx,
             tracker,
@@ -55,7 +55,7 @@
             .requests
             .with_label_values(&[label(outcome)])
             .inc();
-        self.cx.metrics.under_way.dec();
+        self.cx.metrics.in_flight.dec();
         self.tracker.response_ended();
     }
 }
--- a/crates/oatdale-relay/src/serve.rs
+++ b/crates/oatdale-relay/src/serve.rs
@@ -1,14 +1,14 @@
 //! Serves one request of a caller, from its head to the end of the response.
 
-use crate::answer::{EndpointResponse, Read};
 use crate::attempt::{self, Failure, SendOptions};
+use crate::conn_timeouts::ConnTracker;
 use crate::crashes;
 use crate::cx::Cx;
-use crate::guard::ConnTracker;
-use crate::heads::{forwarded_head, host_header, is_event_stream, strip_hop_by_hop};
-use crate::plan::Plan;
-use crate::record::RequestLog;
+use crate::endpoint_response::{EndpointResponse, Read};
+use crate::headers::{forwarded_head, host_header, is_event_stream, strip_hop_by_hop};
 use crate::reply::{self, Body, Refusal, refusal_response};
+use crate::request_context::RequestContext;
+use crate::request_log::RequestLog;
 use crate::stream::EventRelay;
 use crate::wire::Wire;
 use bytes::{Bytes, BytesMut};
@@ -65,10 +65,10 @@
     tracker.request_started();
     let arrival = Instant::now();
     let (head, body) = req.into_parts();
-    let facts = cx.wire.request(&head);
-    let mut request_log = RequestLog::new(cx.clone(), tracker, arrival, facts.id.as_deref());
-    let mut res = match prepare(&cx, head, facts, body, arrival, &mut request_log).await {
-        Ok(plan) => respond(&cx, plan, request_log).await,
+    let metadata = cx.wire.request(&head);
+    let mut request_log = RequestLog::new(cx.clone(), tracker, arrival, metadata.id.as_deref());
+    let mut res = match prepare(&cx, head, metadata, body, arrival, &mut request_log).await {
+        Ok(request_cx) => respond(&cx, request_cx, request_log).await,
         Err(refusal) => {
             let retry = match refusal {
                 Refusal::NotReady | Refusal::NoMemory => Some(NOT_READY_RETRY_AFTER),
@@ -91,59 +91,59 @@
 async fn prepare<W: Wire>(
     cx: &Arc<Cx<W>>,
     mut head: http::request::Parts,
-    facts: crate::wire::RequestFacts,
+    metadata: crate::wire::RequestMetadata,
     body: Incoming,
     arrival: Instant,
     request_log: &mut RequestLog<W>,
-) -> Result<Plan, Refusal> {
+) -> Result<RequestContext, Refusal> {
     let site = cx.site().ok_or(Refusal::NotReady)?;
     // The authority of an absolute-form target could contradict the `Host` header, which selects
     // the route.
-    if head.uri.authority().is_some() || facts.id.is_none() {
+    if head.uri.authority().is_some() || metadata.id.is_none() {
         return Err(Refusal::BadRequest);
     }
     let host = host_header(&head.headers).ok_or(Refusal::BadRequest)?;
     request_log.fields = format!("config={} ", site.version);
     let route = site.route(host, head.uri.path()).ok_or(Refusal::NoRoute)?;
     strip_hop_by_hop(&mut head.headers);
-    let mut plan = Plan::new(site, route, facts, head, arrival)?;
+    let mut request_cx = RequestContext::new(site, route, metadata, head, arrival)?;
     request_log.fields = format!(
         "config={} route={} service={} ",
-        plan.site.version,
-        plan.route().name,
-        plan.service
+        request_cx.site.version,
+        request_cx.route().name,
+        request_cx.service
     );
-    plan.authenticate()?;
-    if plan.route().kind.is_stream() && !cx.has_time_for_stream() {
+    request_cx.authenticate()?;
+    if request_cx.route().kind.is_stream() && !cx.has_time_for_stream() {
         return Err(Refusal::Stopping);
     }
-    plan.body = cx.body_memory.read(&plan, body).await?;
-    Ok(plan)
+    request_cx.body = cx.body_memory.read(&request_cx, body).await?;
+    Ok(request_cx)
 }
 
 /// Forwards a request to endpoints until one has responded or no retry is allowed.
 async fn respond<W: Wire>(
     cx: &Arc<Cx<W>>,
-    mut plan: Plan,
+    mut request_cx: RequestContext,
     mut request_log: RequestLog<W>,
 ) -> Response<Body> {
-    cx.count_request(&plan.service);
-    plan.record_size(cx);
-    let result = send_with_retries(cx, &mut plan).await;
+    cx.count_request(&request_cx.service);
+    request_cx.record_size(cx);
+    let result = send_with_retries(cx, &mut request_cx).await;
     request_log.fields = format!(
         "config={} route={} service={} session={} model={} sends={} confidences={:?} ",
-        plan.site.version,
-        plan.route().name,
-        plan.service,
-        plan.facts.session.as_deref().unwrap_or("-"),
-        plan.model().unwrap_or("-"),
-        plan.sends,
-        plan.confidences
+        request_cx.site.version,
+        request_cx.route().name,
+        request_cx.service,
+        request_cx.metadata.session.as_deref().unwrap_or("-"),
+        request_cx.model().unwrap_or("-"),
+        request_cx.sends,
+        request_cx.confidences
     );
-    let first_byte = plan.arrival.elapsed().as_secs_f64();
+    let first_byte = request_cx.arrival.elapsed().as_secs_f64();
     match result {
         Ok(Reply::Buffered(head, body, endpoint)) => {
-            cx.note_completed(&plan);
+            cx.note_completed(&request_cx);
             cx.metrics.first_byte.observe(first_byte);
             request_log.fields += &format!("endpoint={endpoint} status={} ", head.status.as_u16());
             request_log.set_outcome("complete");
@@ -153,17 +153,17 @@
             cx.metrics.first_byte.observe(first_byte);
             request_log.fields += &format!(
                 "endpoint={} status={} head_ms={} ",
-                endpoint_res.running.id,
+                endpoint_res.in_flight.id,
                 endpoint_res.head.status.as_u16(),
-                plan.arrival.elapsed().as_millis()
+                request_cx.arrival.elapsed().as_millis()
             );
-            stream_response(cx, plan, buffered, *endpoint_res, request_log)
+            stream_response(cx, request_cx, buffered, *endpoint_res, request_log)
         }
         Err((refusal, detail)) => {
             request_log.set_outcome(&format!("refused {refusal}: {detail}"));
             let retry = match refusal {
-                Refusal::Quarantined => cx.quarantine_left(&plan),
-                _ if refusal.status().as_u16() == 503 => Some(retry_delay(cx, &plan)),
+                Refusal::Quarantined => cx.quarantine_left(&request_cx),
+                _ if refusal.status().as_u16() == 503 => Some(retry_delay(cx, &request_cx)),
                 _ => None,
             };
             refusal_response(refusal, retry)
@@ -172,65 +172,67 @@
 }
 
 /// How long a refused caller should wait: at least until an endpoint accepts requests again.
-fn retry_delay<W: Wire>(cx: &Cx<W>, plan: &Plan) -> Duration {
-    let route = plan.route();
+fn retry_delay<W: Wire>(cx: &Cx<W>, request_cx: &RequestContext) -> Duration {
+    let route = request_cx.route();
     let target = route.target_latency.unwrap_or(route.timeout);
     let share = rand::rng().random_range(RETRY_AFTER_TARGET_SHARE);
     let spread = target.mul_f64(share).min(MAX_RANDOM_RETRY_AFTER);
     let now = cx.now();
-    let pause = {
+    let remaining = {
         let state = cx.state();
-        let pause = state.directory.pause_left(now, &plan.service);
-        pause.or_else(|| state.warm_up_left(now, &plan.service))
+        let remaining = state.directory.remaining_back_off(now, &request_cx.service);
+        remaining.or_else(|| state.time_to_warm_up_slot(now, &request_cx.service))
     };
-    match pause {
-        Some(pause) => pause + spread,
-        None => spread.min(plan.time_left() / 3),
+    match remaining {
+        Some(remaining) => remaining + spread,
+        None => spread.min(request_cx.time_left() / 3),
     }
 }
 
 /// Sends a request to endpoints, one after another, until a response can be forwarded.
 async fn send_with_retries<W: Wire>(
     cx: &Arc<Cx<W>>,
-    plan: &mut Plan,
+    request_cx: &mut RequestContext,
 ) -> Result<Reply<W>, (Refusal, String)> {
-    let idempotent = plan.route().kind.is_idempotent();
+    let idempotent = request_cx.route().kind.is_idempotent();
     let mut may_have_run = false;
     let mut last_error_reply: Option<Reply<W>> = None;
     loop {
-        if plan.time_left() < MIN_ATTEMPT_TIME && plan.sends == 0 {
+        if request_cx.time_left() < MIN_ATTEMPT_TIME && request_cx.sends == 0 {
             return Err((Refusal::NoTime, "deadline too close".to_owned()));
         }
         let options = SendOptions {
-            last_event: plan.facts.last_event,
-            may_abandon: idempotent && plan.has_attempts_after_next(),
+            last_event_id: request_cx.metadata.last_event_id,
+            may_abandon: idempotent && request_cx.has_attempts_after_next(),
         };
-        let failure = match attempt::attempt(cx, plan, options).await {
-            Ok(endpoint_res) => match decide(cx, plan, endpoint_res, options.may_abandon).await {
-                Decision::Forward(Reply::Buffered(head, body, endpoint))
-                    if idempotent && head.status.is_server_error() =>
-                {
-                    let status = head.status;
-                    last_error_reply = Some(Reply::Buffered(head, body, endpoint));
-                    Failure::Unknown(format!("response status {status}"))
+        let failure = match attempt::attempt(cx, request_cx, options).await {
+            Ok(endpoint_res) => {
+                match decide(cx, request_cx, endpoint_res, options.may_abandon).await {
+                    Decision::Forward(Reply::Buffered(head, body, endpoint))
+                        if idempotent && head.status.is_server_error() =>
+                    {
+                        let status = head.status;
+                        last_error_reply = Some(Reply::Buffered(head, body, endpoint));
+                        Failure::Unknown(format!("response status {status}"))
+                    }
+                    Decision::Forward(reply) => return Ok(reply),
+                    Decision::Escalate(model_index) => {
+                        request_cx.model_index = model_index;
+                        request_cx.excluded.pop();
+                        continue;
+                    }
+                    Decision::Failed(failure) => failure,
                 }
-                Decision::Forward(reply) => return Ok(reply),
-                Decision::Escalate(model_index) => {
-                    plan.model_index = model_index;
-                    plan.tried.pop();
-                    continue;
-                }
-                Decision::Failed(failure) => failure,
-            },
+            }
             Err(failure) => failure,
         };
         may_have_run |= !failure.is_not_run();
         let should_retry = match &failure {
             Failure::NoEndpoint(_) | Failure::TimedOut | Failure::Quarantined { .. } => false,
             // Costs no endpoint anything, and ends when all endpoints have been tried.
-            Failure::NotSent(_) => plan.time_left() > MIN_ATTEMPT_TIME,
-            Failure::NotRun(_) => may_retry(cx, plan) && (idempotent || !may_have_run),
-            Failure::Unknown(_) | Failure::Abandoned => idempotent && may_retry(cx, plan),
+            Failure::NotSent(_) => request_cx.time_left() > MIN_ATTEMPT_TIME,
+            Failure::NotRun(_) => try_retry(cx, request_cx) && (idempotent || !may_have_run),
+            Failure::Unknown(_) | Failure::Abandoned => idempotent && try_retry(cx, request_cx),
         };
         if should_retry {
             continue;
@@ -240,11 +242,11 @@
             (None, Failure::TimedOut) => Err((Refusal::TimedOut, "no response in time".to_owned())),
             (None, _) if may_have_run => Err((Refusal::ResponseLost, format!("{failure:?}"))),
             (None, Failure::Quarantined { .. }) => {
-                let request = plan.fingerprint();
+                let request = request_cx.fingerprint();
                 Err((Refusal::Quarantined, format!("request={request}")))
             }
-            (None, Failure::NoEndpoint(shortage)) if shortage.is_evacuation() => {
-                Err((Refusal::Evacuated, shortage.to_string()))
+            (None, Failure::NoEndpoint(ineligible)) if ineligible.is_due_to_evacuation() => {
+                Err((Refusal::Evacuated, ineligible.to_string()))
             }
             (None, _) => Err((Refusal::NoEndpoint, format!("{failure:?}"))),
         };
@@ -252,12 +254,12 @@
 }
 
 /// Whether a request may be retried; if so, charges the retry budget of its service.
-fn may_retry<W: Wire>(cx: &Cx<W>, plan: &Plan) -> bool {
-    let allowed = plan.has_attempts_left()
-        && plan.time_left() > MIN_ATTEMPT_TIME
-        && cx.may_repeat(&plan.service);
+fn try_retry<W: Wire>(cx: &Cx<W>, request_cx: &RequestContext) -> bool {
+    let allowed = request_cx.has_attempts_left()
+        && request_cx.time_left() > MIN_ATTEMPT_TIME
+        && cx.try_retry(&request_cx.service);
     if allowed {
-        cx.metrics.repeats.inc();
+        cx.metrics.retries.inc();
     }
     allowed
 }
@@ -265,28 +267,30 @@
 /// Decides what to do with a response whose head has arrived.
 async fn decide<W: Wire>(
     cx: &Arc<Cx<W>>,
-    plan: &mut Plan,
+    request_cx: &mut RequestContext,
     endpoint_res: EndpointResponse<W>,
     may_abandon: bool,
 ) -> Decision<W> {
     let status = endpoint_res.head.status;
     if status.is_success() {
-        let model_count = plan.route().ladder.len();
-        let can_retry = plan.has_attempts_left();
+        let model_count = request_cx.route().ladder.len();
+        let can_retry = request_cx.has_attempts_left();
         let ladder = Ladder {
             threshold: cx.settings.ladder.least_confidence,
-            relative_wait: cx.state().wait(&plan.service),
-            relative_size: plan.relative_size,
+            relative_wait: cx.state().mean_wait(&request_cx.service),
+            relative_size: request_cx.relative_size,
         };
-        plan.confidences.extend(endpoint_res.facts.confidence);
+        request_cx
+            .confidences
+            .extend(endpoint_res.metadata.confidence);
         let decision = ladder.decide(
-            plan.model_index,
+            request_cx.model_index,
             model_count,
-            endpoint_res.facts.confidence,
+            endpoint_res.metadata.confidence,
             can_retry,
         );
         match decision {
-            EscalationDecision::Escalate(model_index) if cx.may_escalate(&plan.service) => {
+            EscalationDecision::Escalate(model_index) if cx.try_escalate(&request_cx.service) => {
                 cx.metrics.escalations.inc();
                 return Decision::Escalate(model_index);
             }
@@ -299,33 +303,33 @@
         return Decision::Failed(Failure::Unknown(format!("response status {status}")));
     }
     if status.is_success()
-        && plan.route().kind.is_stream()
+        && request_cx.route().kind.is_stream()
         && is_event_stream(&endpoint_res.head.headers)
     {
         return Decision::Forward(Reply::Streamed(Bytes::new(), Box::new(endpoint_res)));
     }
-    buffer_body(cx, plan, endpoint_res, may_abandon).await
+    buffer_body(cx, request_cx, endpoint_res, may_abandon).await
 }
 
 /// Buffers a response body, or returns it for streaming once it exceeds the bound.
 async fn buffer_body<W: Wire>(
     cx: &Arc<Cx<W>>,
-    plan: &Plan,
+    request_cx: &RequestContext,
     mut endpoint_res: EndpointResponse<W>,
     may_abandon: bool,
 ) -> Decision<W> {
-    let route = plan.route();
+    let route = request_cx.route();
     let target = route.target_latency.unwrap_or(route.timeout);
     let deadline = match may_abandon {
-        true => plan.deadline_at.min(Instant::now() + target),
-        false => plan.deadline_at,
+        true => request_cx.deadline_at.min(Instant::now() + target),
+        false => request_cx.deadline_at,
     };
     let mut buffered = BytesMut::new();
     loop {
         match endpoint_res.next(deadline).await {
             Read::Chunk(chunk) => buffered.extend_from_slice(&chunk),
             Read::End => {
-                let id = endpoint_res.running.id.clone();
+                let id = endpoint_res.in_flight.id.clone();
                 return Decision::Forward(Reply::Buffered(
                     Box::new(endpoint_res.head),
                     buffered.freeze(),
@@ -333,8 +337,8 @@
                 ));
             }
             Read::Broken(reason) => {
-                endpoint_res.running.silent();
-                crashes::note_broken(cx, plan, &endpoint_res.running);
+                endpoint_res.in_flight.record_no_response();
+                crashes::note_broken(cx, request_cx, &endpoint_res.in_flight);
                 return Decision::Failed(Failure::Unknown(reason));
             }
             Read::Late => return Decision::Failed(Failure::Unknown("body timed out".to_owned())),
@@ -348,19 +352,24 @@
 /// Responds with a body that is streamed as the endpoint sends it.
 fn stream_response<W: Wire>(
     cx: &Arc<Cx<W>>,
-    plan: Plan,
+    request_cx: RequestContext,
     buffered: Bytes,
     endpoint_res: EndpointResponse<W>,
     request_log: RequestLog<W>,
 ) -> Response<Body> {
     let head = forwarded_head(endpoint_res.head.clone());
-    let streams_events = plan.route().kind.is_stream() && is_event_stream(&head.headers);
+    let streams_events = request_cx.route().kind.is_stream() && is_event_stream(&head.headers);
     let body = match streams_events {
-        true => EventRelay::new(cx.clone(), plan, endpoint_res, request_log).into_stream(),
+        true => EventRelay::new(cx.clone(), request_cx, endpoint_res, request_log).into_stream(),
         false => {
             let first = stream::once(async move { Ok(buffered) });
             first
-                .chain(stream_rest(cx.clone(), plan, endpoint_res, request_log))
+                .chain(stream_rest(
+                    cx.clone(),
+                    request_cx,
+                    endpoint_res,
+                    request_log,
+                ))
                 .boxed()
         }
     };
@@ -370,22 +379,24 @@
 /// The rest of a body that is too long to be buffered.
 fn stream_rest<W: Wire>(
     cx: Arc<Cx<W>>,
-    plan: Plan,
+    request_cx: RequestContext,
     endpoint_res: EndpointResponse<W>,
     request_log: RequestLog<W>,
 ) -> impl futures::Stream<Item = io::Result<Bytes>> + Send + 'static {
-    let state = Some((cx, plan, endpoint_res, request_log));
+    let state = Some((cx, request_cx, endpoint_res, request_log));
     stream::unfold(state, |state| async move {
-        let (cx, plan, mut endpoint_res, mut request_log) = state?;
-        match endpoint_res.next(plan.deadline_at).await {
-            Read::Chunk(chunk) => Some((Ok(chunk), Some((cx, plan, endpoint_res, request_log)))),
+        let (cx, request_cx, mut endpoint_res, mut request_log) = state?;
+        match endpoint_res.next(request_cx.deadline_at).await {
+            Read::Chunk(chunk) => {
+                Some((Ok(chunk), Some((cx, request_cx, endpoint_res, request_log))))
+            }
             Read::End => {
-                cx.note_completed(&plan);
+                cx.note_completed(&request_cx);
                 request_log.set_outcome("complete");
                 None
             }
             Read::Broken(reason) => {
-                crashes::note_broken(&cx, &plan, &endpoint_res.running);
+                crashes::note_broken(&cx, &request_cx, &endpoint_res.in_flight);
                 request_log.set_outcome(&format!("response body broke off: {reason}"));
                 Some((Err(io::Error::other(reason)), None))
             }
--- a/crates/oatdale-relay/src/settings.rs
+++ b/crates/oatdale-relay/src/settings.rs
@@ -178,7 +178,7 @@
 const PLANNED_COLD_FRACTION: f64 = 0.8;
 
 impl Bounds {
-    pub(crate) fn exposure(&self) -> ExposureLimit {
+    pub(crate) fn exposure_limit(&self) -> ExposureLimit {
         ExposureLimit {
             share: self.exposure_share,
             slack: self.exposure_slack,
@@ -198,7 +198,7 @@
     }
 
     /// Returns the time from the stop signal until the process is killed.
-    pub(crate) fn stop(&self) -> Duration {
+    pub(crate) fn stop_time(&self) -> Duration {
         Duration::from_secs_f64(self.stop_s.max(0.0))
     }
 }
--- a/crates/oatdale-relay/src/state.rs
+++ b/crates/oatdale-relay/src/state.rs
@@ -52,15 +52,15 @@
     pub(crate) load_aggregator: Adder,
     /// Load of all nodes together at each endpoint.
     pub(crate) load_sums: Shared,
-    retry_counts: HashMap<String, RetryLimiter>,
+    retry_limiters: HashMap<String, RetryLimiter>,
     /// Mean wait at the largest models, as a fraction of their target latency, by service.
     largest_model_waits: HashMap<String, Mean>,
     /// Mean generation size by route.
     generation_sizes: HashMap<String, Mean>,
-    /// When this node was told to stop, if it was.
+    /// When this node began to shut down, if it has.
     pub(crate) stopping: Option<Instant>,
     /// Whether this node reads the platform's records only for itself.
-    pub(crate) reads_alone: bool,
+    pub(crate) reads_only_for_itself: bool,
     /// Since when the key-value service has not answered this node, if it does not.
     pub(crate) store_unavailable_since: Option<Duration>,
     /// Since when the other nodes have known this one.
@@ -72,11 +72,11 @@
 
 /// Inputs for placing a request.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Wanted<'a> {
+pub(crate) struct PlacementRequest<'a> {
     pub(crate) service: &'a str,
     pub(crate) allowed: &'a Allowed,
     /// Endpoints that the request was already sent to.
-    pub(crate) tried: &'a [EndpointKey],
+    pub(crate) excluded: &'a [EndpointKey],
     /// Hash of the prompt's shared prefix, if an engine may have it cached.
     pub(crate) prefix: Option<u64>,
     /// Load that the request adds to an endpoint.
@@ -97,19 +97,19 @@
             nodes: Nodes::default(),
             load_aggregator: Adder::default(),
             load_sums: Shared::default(),
-            retry_counts: HashMap::new(),
+            retry_limiters: HashMap::new(),
             largest_model_waits: HashMap::new(),
             generation_sizes: HashMap::new(),
             stopping: None,
-            reads_alone: true,
+            reads_only_for_itself: true,
             // The service counts as unavailable until it has answered once.
             store_unavailable_since: Some(Duration::ZERO),
             listed_since: Duration::ZERO,
         }
     }
 
-    /// Returns this node's part of the site's retry budget.
-    pub(crate) fn retry_budget(&self, now: Duration) -> RetryLimit {
+    /// Returns this node's part of the limit on the site's retries.
+    pub(crate) fn retry_limit(&self, now: Duration) -> RetryLimit {
         let nodes = self.nodes.iter(now).count().max(MIN_BUDGET_NODES);
         RetryLimit {
             window: self.bounds.repeat_window(),
@@ -119,12 +119,12 @@
     }
 
     /// Returns the counts of requests and retries of a service at this node.
-    pub(crate) fn retry_counts(&mut self, service: &str) -> &mut RetryLimiter {
-        self.retry_counts.entry(service.to_owned()).or_default()
+    pub(crate) fn retry_limiter(&mut self, service: &str) -> &mut RetryLimiter {
+        self.retry_limiters.entry(service.to_owned()).or_default()
     }
 
     /// Records how long a largest model let a request wait, as a fraction of its target latency.
-    pub(crate) fn note_wait(&mut self, service: &str, fraction: f64) {
+    pub(crate) fn record_wait(&mut self, service: &str, fraction: f64) {
         let mean = self.largest_model_waits.entry(service.to_owned());
         mean.or_insert_with(|| Mean::new(WAIT_MEAN_RESPONSES))
             .add(fraction);
@@ -146,7 +146,7 @@
     }
 
     /// Returns the recent mean wait at the largest models, as a fraction of their target latency.
-    pub(crate) fn wait(&self, service: &str) -> f64 {
+    pub(crate) fn mean_wait(&self, service: &str) -> f64 {
         self.largest_model_waits
             .get(service)
             .map_or(0.0, |mean| mean.get_or(0.0))
@@ -156,14 +156,14 @@
     pub(crate) fn pick_endpoint(
         &self,
         now: Duration,
-        wanted: &Wanted<'_>,
+        request: &PlacementRequest<'_>,
         domain: &str,
     ) -> Option<(EndpointKey, usize)> {
-        let usable = self.directory.usable(now, wanted.service);
+        let usable = self.directory.usable(now, request.service);
         let all: Vec<_> = usable
-            .filter(|(key, _)| !wanted.tried.contains(key))
+            .filter(|(key, _)| !request.excluded.contains(key))
             .collect();
-        let eligible = self.filter_by_capacity(now, wanted, &all);
+        let eligible = self.filter_by_capacity(now, request, &all);
         // Ejected endpoints are used only when there is no other.
         let healthy = filter_entries(&eligible, |e| !e.health.is_ejected(now));
         let eligible = if healthy.is_empty() {
@@ -174,13 +174,13 @@
         let candidates: Vec<Candidate> = eligible
             .iter()
             .map(|(_, e)| Candidate {
-                in_flight: (self.load(now, wanted, e) + 0.1) * e.health.load_factor(),
+                in_flight: (self.load(now, request, e) + 0.1) * e.health.load_factor(),
                 same_domain: e.endpoint.domain == domain,
-                may_warm_up: e.says_cold(now),
-                affinity: wanted.prefix.map_or(0, |p| hash(&(p, &e.endpoint.id))),
+                may_warm_up: e.reports_cold(now),
+                affinity: request.prefix.map_or(0, |p| hash(&(p, &e.endpoint.id))),
             })
             .collect();
-        let placement = match wanted.prefix {
+        let placement = match request.prefix {
             Some(_) => Placement::Affinity,
             None => Placement::Load,
         };
@@ -195,15 +195,15 @@
     fn filter_by_capacity<'a>(
         &self,
         now: Duration,
-        wanted: &Wanted<'_>,
+        request: &PlacementRequest<'_>,
         all: &[KeyedEntry<'a>],
     ) -> Vec<KeyedEntry<'a>> {
-        let eligible = filter_by_version(now, wanted.allowed, all);
-        let Some(time) = self.cold_time(wanted.service) else {
+        let eligible = filter_by_version(now, request.allowed, all);
+        let Some(time) = self.cold_time(request.service) else {
             return eligible;
         };
         let available = filter_entries(&eligible, |e| has_capacity(now, e, time));
-        match wanted.allowed {
+        match request.allowed {
             Allowed::Trial { version, .. } if available.is_empty() => filter_entries(all, |e| {
                 e.endpoint.version != *version && has_capacity(now, e, time)
             }),
@@ -217,8 +217,8 @@
     /// least load: if all nodes used the same sums, they would all pick the same endpoint until the
     /// next sums arrive. Prompts stay with the engine that has their prefix cached, and use the
     /// sums to move to another one when it is overloaded.
-    fn load(&self, now: Duration, wanted: &Wanted<'_>, entry: &Entry) -> f64 {
-        match (wanted.prefix, self.load_sums.last_sum_at(now)) {
+    fn load(&self, now: Duration, request: &PlacementRequest<'_>, entry: &Entry) -> f64 {
+        match (request.prefix, self.load_sums.last_sum_at(now)) {
             (Some(_), Some(last_sum)) => {
                 let summed_until = last_sum.saturating_sub(2 * self.load_sums.scheme().interval);
                 entry.known_load(now, Some(summed_until))
--- a/crates/oatdale-relay/src/state/warm_up.rs
+++ b/crates/oatdale-relay/src/state/warm_up.rs
@@ -1,9 +1,9 @@
 //! This node's share of the request rate that a cold endpoint can take.
 
-use crate::directory::{EndpointKey, Entry, Shortage};
+use crate::directory::{EndpointKey, Entry, IneligibleCounts};
 use crate::nodes::Nodes;
 use crate::site::ServiceFacts;
-use crate::state::{State, Wanted, hash};
+use crate::state::{PlacementRequest, State, hash};
 use oatdale_policy::relay::warm_up_share;
 use std::time::Duration;
 
@@ -83,16 +83,20 @@
     }
 
     /// Counts why no endpoint can take a request.
-    pub(crate) fn shortage(&self, now: Duration, wanted: &Wanted<'_>) -> Shortage {
-        let time = self.cold_time(wanted.service);
+    pub(crate) fn count_ineligible(
+        &self,
+        now: Duration,
+        request: &PlacementRequest<'_>,
+    ) -> IneligibleCounts {
+        let time = self.cold_time(request.service);
         let has_capacity = |e: &Entry| time.is_none_or(|time| has_capacity(now, e, time));
         self.directory
-            .shortage(now, wanted.service, wanted.tried, has_capacity)
+            .count_ineligible(now, request.service, request.excluded, has_capacity)
     }
 
     /// Returns the time until this node may send to the first cold endpoint of a service. `None` if
     /// there is a warm one, or none that it may send to.
-    pub(crate) fn warm_up_left(&self, now: Duration, service: &str) -> Option<Duration> {
+    pub(crate) fn time_to_warm_up_slot(&self, now: Duration, service: &str) -> Option<Duration> {
         let time = self.cold_time(service)?;
         let mut earliest = None;
         for (_, entry) in self.directory.usable(now, service) {
--- a/crates/oatdale-relay/src/stream.rs
+++ b/crates/oatdale-relay/src/stream.rs
@@ -1,12 +1,12 @@
 //! Forwards an event stream, and resumes it at another endpoint if the first one breaks off.
 
-use crate::answer::{EndpointResponse, Read};
 use crate::attempt::{self, Failure, SendOptions};
 use crate::crashes;
 use crate::cx::Cx;
+use crate::endpoint_response::{EndpointResponse, Read};
 use crate::events::WholeEvents;
-use crate::plan::Plan;
-use crate::record::RequestLog;
+use crate::request_context::RequestContext;
+use crate::request_log::RequestLog;
 use crate::site::RouteKind;
 use crate::wire::Wire;
 use bytes::Bytes;
@@ -32,7 +32,7 @@
 /// An event stream that is being forwarded to its caller.
 pub(crate) struct EventRelay<W> {
     cx: Arc<Cx<W>>,
-    plan: Plan,
+    request_cx: RequestContext,
     response: EndpointResponse<W>,
     events: WholeEvents,
     request_log: RequestLog<W>,
@@ -54,14 +54,14 @@
 impl<W: Wire> EventRelay<W> {
     pub(crate) fn new(
         cx: Arc<Cx<W>>,
-        plan: Plan,
+        request_cx: RequestContext,
         response: EndpointResponse<W>,
         request_log: RequestLog<W>,
     ) -> Self {
-        let events = WholeEvents::after(plan.facts.last_event);
+        let events = WholeEvents::after(request_cx.metadata.last_event_id);
         EventRelay {
             cx,
-            plan,
+            request_cx,
             response,
             events,
             request_log,
@@ -94,7 +94,7 @@
                     }
                 },
                 Item::End if !self.events.is_cut() => {
-                    self.cx.note_completed(&self.plan);
+                    self.cx.note_completed(&self.request_cx);
                     self.request_log.set_outcome("complete");
                     self.ended = true;
                     return None;
@@ -114,9 +114,11 @@
         let Some(pace) = self.pace.record_event(self.cx.now()) else {
             return;
         };
-        let source = self.plan.source(&self.response.running);
+        let source = self.request_cx.source(&self.response.in_flight);
         let mut state = self.cx.state();
-        state.roll_outs.timed(&source, self.plan.event_pace(), pace);
+        state
+            .roll_outs
+            .timed(&source, self.request_cx.event_pace(), pace);
     }
 
     /// Time at which the stream counts as slow unless more events arrive before.
@@ -125,30 +127,36 @@
             .cx
             .state()
             .roll_outs
-            .slow_after(self.plan.event_pace())?;
+            .slow_after(self.request_cx.event_pace())?;
         self.pace.slow_at(bound)
     }
 
     fn record_slow(&mut self) {
         self.pace.mark_slow();
-        let source = self.plan.source(&self.response.running);
+        let source = self.request_cx.source(&self.response.in_flight);
         self.cx.state().roll_outs.judged(&source, true);
     }
 
     async fn read(&mut self) -> Item {
-        let gap = self.plan.route().target_gap.unwrap_or(DEFAULT_EVENT_GAP);
+        let gap = self
+            .request_cx
+            .route()
+            .target_gap
+            .unwrap_or(DEFAULT_EVENT_GAP);
         let waiting_since = Instant::now();
         let mut next_check = waiting_since + gap.mul_f64(SILENCE_CHECK_SHARE);
         loop {
             let slow_at = self.slow_at().map(|at| self.cx.at(at));
             let wait_until = next_check
-                .min(self.plan.deadline_at)
+                .min(self.request_cx.deadline_at)
                 .min(slow_at.unwrap_or(next_check));
             match self.response.next(wait_until).await {
                 Read::Chunk(chunk) => return Item::Chunk(chunk),
                 Read::Broken(reason) => return Item::Broken(reason),
                 Read::End => return Item::End,
-                Read::Late if Instant::now() >= self.plan.deadline_at => return Item::TimedOut,
+                Read::Late if Instant::now() >= self.request_cx.deadline_at => {
+                    return Item::TimedOut;
+                }
                 Read::Late if slow_at.is_some_and(|at| Instant::now() >= at) => self.record_slow(),
                 Read::Late if self.should_resume_elsewhere(gap, waiting_since).await => {
                     return Item::Broken("stream stalled".to_owned());
@@ -163,40 +171,44 @@
     /// Otherwise the relay keeps waiting: a silent endpoint may continue, and ending its stream
     /// without a replacement loses the response.
     async fn should_resume_elsewhere(&mut self, gap: Duration, waiting_since: Instant) -> bool {
-        if self.plan.route().kind != RouteKind::ResumableStream || !self.plan.has_attempts_left() {
+        if self.request_cx.route().kind != RouteKind::ResumableStream
+            || !self.request_cx.has_attempts_left()
+        {
             return false;
         }
         let silence = gap.mul_f64(SILENCE_CHECK_SHARE);
-        let is_stalled = self.response.running.is_unresponsive(silence).await
+        let is_stalled = self.response.in_flight.is_unresponsive(silence).await
             || waiting_since.elapsed() >= gap.mul_f64(STALLED_GAP_FACTOR);
-        let has_other = || self.plan.has_eligible_endpoint(&self.cx);
-        self.retry_charged = is_stalled && has_other() && self.cx.may_repeat(&self.plan.service);
+        let has_other = || self.request_cx.has_eligible_endpoint(&self.cx);
+        self.retry_charged =
+            is_stalled && has_other() && self.cx.try_retry(&self.request_cx.service);
         self.retry_charged
     }
 
     /// Resumes the stream at another endpoint, or returns the reason why that failed.
     async fn resume(&mut self, broken: &str) -> Result<(), String> {
-        self.response.running.silent();
-        crashes::note_broken(&self.cx, &self.plan, &self.response.running);
+        self.response.in_flight.record_no_response();
+        crashes::note_broken(&self.cx, &self.request_cx, &self.response.in_flight);
         self.events.drop_part();
-        let last_event = self.events.last();
+        let last_event_id = self.events.last();
         let mut reason = broken.to_owned();
-        while self.plan.route().kind == RouteKind::ResumableStream
-            && self.plan.has_attempts_left()
-            && (std::mem::take(&mut self.retry_charged) || self.cx.may_repeat(&self.plan.service))
+        while self.request_cx.route().kind == RouteKind::ResumableStream
+            && self.request_cx.has_attempts_left()
+            && (std::mem::take(&mut self.retry_charged)
+                || self.cx.try_retry(&self.request_cx.service))
         {
             let options = SendOptions {
-                last_event,
-                may_abandon: self.plan.has_attempts_after_next(),
+                last_event_id,
+                may_abandon: self.request_cx.has_attempts_after_next(),
             };
-            self.cx.metrics.repeats.inc();
-            match attempt::attempt(&self.cx, &mut self.plan, options).await {
+            self.cx.metrics.retries.inc();
+            match attempt::attempt(&self.cx, &mut self.request_cx, options).await {
                 Ok(response) if response.head.status.is_success() => {
                     log::info!(
                         target: "stream",
-                        "event=resumed id={} after={last_event:?} from={} to={} reason={reason:?}",
-                        self.plan.facts.id.as_deref().unwrap_or("-"),
-                        self.response.running.id, response.running.id
+                        "event=resumed id={} after={last_event_id:?} from={} to={} reason={reason:?}",
+                        self.request_cx.metadata.id.as_deref().unwrap_or("-"),
+                        self.response.in_flight.id, response.in_flight.id
                     );
                     self.cx.metrics.resumed.inc();
                     self.response = response;
--- a/crates/oatdale-relay/src/wire.rs
+++ b/crates/oatdale-relay/src/wire.rs
@@ -10,14 +10,14 @@
 /// names.
 pub trait Wire: Send + Sync + 'static {
     /// Parses the head of a caller's request.
-    fn request(&self, head: &request::Parts) -> RequestFacts;
+    fn request(&self, head: &request::Parts) -> RequestMetadata;
 
     /// Removes the headers that callers may not set or endpoints may not see, and adds those for
     /// the endpoint.
     fn forward(&self, headers: &mut HeaderMap, fwd: &Forward<'_>);
 
     /// Parses the head of an endpoint's response.
-    fn answer(&self, head: &response::Parts) -> AnswerFacts;
+    fn response(&self, head: &response::Parts) -> ResponseMetadata;
 
     /// Path of the probe, to which an engine responds at once however busy it is.
     fn probe_path(&self) -> &'static str;
@@ -26,25 +26,25 @@
     fn engine_report(&self, body: &[u8]) -> Option<EngineReport>;
 
     /// Whether a path is that of the readiness check.
-    fn is_readiness(&self, path: &str) -> bool;
+    fn is_readiness_path(&self, path: &str) -> bool;
 
     /// Whether a path is that of the list of node addresses.
-    fn is_addresses(&self, path: &str) -> bool;
+    fn is_addresses_path(&self, path: &str) -> bool;
 
     /// The failure domain that a caller states in its query for node addresses, if any.
     fn caller_domain(&self, query: &str) -> Option<String>;
 
     /// The response body for a query for node addresses, which callers may cache for `max_age`.
-    fn addresses(&self, addrs: &[SocketAddr], max_age: Duration) -> Bytes;
+    fn addresses_body(&self, addrs: &[SocketAddr], max_age: Duration) -> Bytes;
 }
 
 /// Metadata from a request's head.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
-pub struct RequestFacts {
+pub struct RequestMetadata {
     /// The request id that the caller set.
     pub id: Option<String>,
     /// How long the caller waits for the response.
-    pub deadline: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The caller's API key.
     pub key: Option<String>,
     /// Size and parts of the prompt, if the request is for a model.
@@ -52,16 +52,16 @@
     /// The session id, the same for all requests of a session.
     pub session: Option<String>,
     /// Id of the last event that the caller has received.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
 }
 
 /// Metadata of a prompt, as stated in the request's head.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct Prompt {
     /// Tokens in the prompt.
-    pub tokens_in: u32,
+    pub prompt_tokens: u32,
     /// Maximum number of tokens to generate.
-    pub tokens_out: u32,
+    pub max_output_tokens: u32,
     /// The prompt's parts in order: id and tokens. The last part belongs to this request alone.
     pub parts: Vec<(String, u32)>,
 }
@@ -70,7 +70,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Forward<'a> {
     /// Time until the caller stops waiting.
-    pub left: Duration,
+    pub remaining: Duration,
     /// Id of the intended endpoint: another one at the same address must not run the request.
     pub endpoint: &'a str,
     /// The customer that the caller belongs to.
@@ -80,18 +80,18 @@
     /// Priority from 0, the most urgent, for engines that schedule by it.
     pub urgency: Option<u8>,
     /// Id of the last event that the caller has; the stream resumes after it.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
 }
 
 /// Metadata from a response's head.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
-pub struct AnswerFacts {
+pub struct ResponseMetadata {
     /// Id of the request that the response belongs to.
     pub id: Option<String>,
     /// Whether the endpoint states that it has not run the request and never will.
-    pub not_run: bool,
+    pub not_executed: bool,
     /// Whether another endpoint has the address now.
-    pub other_endpoint: bool,
+    pub misdirected: bool,
     /// Whether the endpoint signed the response.
     pub signed: bool,
     /// The model's confidence in its response, from 0 to 100.
@@ -101,5 +101,5 @@
     /// Remaining warm-up time of the endpoint, if stated.
     pub cold_left: Option<Duration>,
     /// How long the endpoint, which has not run the request, accepts no other one from this node.
-    pub pause: Option<Duration>,
+    pub back_off: Option<Duration>,
 }
--- a/crates/oatdale-relay/tests/directory.rs
+++ b/crates/oatdale-relay/tests/directory.rs
@@ -1,6 +1,6 @@
 //! Endpoints that are added, removed, restarted, cold or evacuated.
 
-use oatdale_relay::{Directory, Endpoint, News};
+use oatdale_relay::{Directory, Endpoint, RecordChange};
 use std::time::Duration;
 
 fn endpoint(id: &str) -> Endpoint {
@@ -123,13 +123,16 @@
         leaving: true,
         ..started_at("x", 1_000)
     };
-    assert_eq!(directory.upsert(ms(10), leaving), News::Leaves);
+    assert_eq!(directory.upsert(ms(10), leaving), RecordChange::Leaves);
     let again = directory.upsert(ms(20), started_at("x", 2_000));
-    assert_eq!(again, News::StartedAgain("10.0.0.1:80".parse().unwrap()));
+    assert_eq!(
+        again,
+        RecordChange::Restarted("10.0.0.1:80".parse().unwrap())
+    );
     assert_eq!(usable(&directory, ms(20)), ["x"]);
     assert_eq!(directory.len(), 1);
     let entry = directory.by_id_mut("x").unwrap();
-    assert_eq!((entry.load, entry.running), (0.0, 0));
+    assert_eq!((entry.load, entry.in_flight), (0.0, 0));
     assert!(!entry.health.is_ejected(ms(20)));
 }
 
@@ -144,7 +147,10 @@
         version: "v0".to_owned(),
         ..started_at("x", 1_000)
     };
-    assert_eq!(directory.upsert(ms(10), leaving.clone()), News::None);
+    assert_eq!(
+        directory.upsert(ms(10), leaving.clone()),
+        RecordChange::None
+    );
     assert!(!directory.mark_leaving("x", leaving.born));
     assert!(!directory.remove_incarnation(ms(20), "x", leaving.born));
     assert!(!directory.remove_incarnation(ms(20), "x", None));
@@ -162,13 +168,13 @@
 fn back_off_applies_to_one_start_of_an_endpoint() {
     let mut directory = Directory::default();
     directory.replace(ms(0), vec![started_at("x", 1)]);
-    assert_eq!(directory.pause_left(ms(0), "pool"), None);
-    directory.by_id_mut("x").unwrap().pause(ms(0), ms(500));
-    directory.by_id_mut("x").unwrap().pause(ms(100), ms(100));
+    assert_eq!(directory.remaining_back_off(ms(0), "pool"), None);
+    directory.by_id_mut("x").unwrap().back_off(ms(0), ms(500));
+    directory.by_id_mut("x").unwrap().back_off(ms(100), ms(100));
     assert!(usable(&directory, ms(499)).is_empty());
-    assert_eq!(directory.pause_left(ms(200), "pool"), Some(ms(300)));
+    assert_eq!(directory.remaining_back_off(ms(200), "pool"), Some(ms(300)));
     assert_eq!(usable(&directory, ms(500)), ["x"]);
-    directory.by_id_mut("x").unwrap().pause(ms(500), ms(500));
+    directory.by_id_mut("x").unwrap().back_off(ms(500), ms(500));
     directory.upsert(ms(600), started_at("x", 2));
     assert_eq!(usable(&directory, ms(600)), ["x"]);
 }
@@ -179,14 +185,14 @@
 fn pause_left_is_that_of_the_first_available_endpoint() {
     let mut directory = Directory::default();
     directory.replace(ms(0), vec![endpoint("x"), endpoint("y"), endpoint("z")]);
-    directory.by_id_mut("x").unwrap().pause(ms(0), ms(500));
-    directory.by_id_mut("y").unwrap().pause(ms(0), ms(900));
-    assert_eq!(directory.pause_left(ms(0), "pool"), None);
+    directory.by_id_mut("x").unwrap().back_off(ms(0), ms(500));
+    directory.by_id_mut("y").unwrap().back_off(ms(0), ms(900));
+    assert_eq!(directory.remaining_back_off(ms(0), "pool"), None);
     directory.mark_leaving("z", None);
-    assert_eq!(directory.pause_left(ms(0), "pool"), Some(ms(500)));
+    assert_eq!(directory.remaining_back_off(ms(0), "pool"), Some(ms(500)));
     directory.mark_leaving("x", None);
-    assert_eq!(directory.pause_left(ms(0), "pool"), Some(ms(900)));
-    assert_eq!(directory.pause_left(ms(0), "desk"), None);
+    assert_eq!(directory.remaining_back_off(ms(0), "pool"), Some(ms(900)));
+    assert_eq!(directory.remaining_back_off(ms(0), "desk"), None);
 }
 
 // Guards against a panic on overflow: records of endpoints also come unchecked from other nodes.
