--- a/crates/oatdale-node/src/main.rs
+++ b/crates/oatdale-node/src/main.rs
@@ -67,7 +67,7 @@
 fn read(path: &Path) -> Result<Settings, String> {
     let name = PathBuf::from(path).display().to_string();
     let text = std::fs::read_to_string(path).map_err(|err| format!("can't read {name}: {err}"))?;
-    if RelaySettings::is_meant(&text) {
+    if RelaySettings::is_relay_settings(&text) {
         let settings = RelaySettings::read(&text).map_err(|err| format!("{name}: {err}"))?;
         return Ok(Settings::Relay(Box::new(settings)));
     }
--- a/crates/oatdale-policy/src/relay/roll_out.rs
+++ b/crates/oatdale-policy/src/relay/roll_out.rs
@@ -27,7 +27,7 @@
 const SHARE_STEP: f64 = 0.01;
 
 /// Start of the trial: this fraction of the duration, but at most the time below. By then nodes
-/// have told each other which sessions began on the old version.
+/// have informed each other which sessions began on the old version.
 const TRIAL_START_FRACTION: f64 = 0.1;
 const MAX_TRIAL_START: Duration = Duration::from_millis(1_000);
 
--- a/crates/oatdale-relay/src/attempt.rs
+++ b/crates/oatdale-relay/src/attempt.rs
@@ -81,8 +81,8 @@
     request_cx: &mut RequestContext,
     options: SendOptions,
 ) -> Result<EndpointResponse<W>, Failure> {
-    crashes::settle(cx, request_cx).await;
-    if cx.quarantine_left(request_cx).is_some() {
+    crashes::wait_for_checks(cx, request_cx).await;
+    if cx.remaining_quarantine(request_cx).is_some() {
         return Err(Failure::Quarantined { sent: false });
     }
     let mut in_flight = match request_cx.place(cx) {
@@ -118,7 +118,7 @@
     );
     record_outcome(cx, request_cx, &in_flight, &result, attempt_time);
     if matches!(result, Err(Failure::Unknown(_) | Failure::Abandoned)) {
-        crashes::note_broken(cx, request_cx, &in_flight);
+        crashes::check_after_break(cx, request_cx, &in_flight);
     }
     in_flight.finish_prefill();
     result.map(|(head, metadata, body)| EndpointResponse {
@@ -160,7 +160,7 @@
             () = in_flight.wait_restarted() => {
                 return Err(Failure::Unknown("endpoint restarted before it responded".to_owned()));
             }
-            () = cx.quarantined(request_cx) => return Err(Failure::Quarantined { sent: true }),
+            () = cx.wait_quarantined(request_cx) => return Err(Failure::Quarantined { sent: true }),
         };
         match res {
             Ok(res) => break res,
@@ -288,7 +288,7 @@
         Err(Failure::Abandoned) => {
             in_flight.record_no_response();
             let source = request_cx.source(in_flight);
-            return cx.state().roll_outs.judged(&source, true);
+            return cx.state().roll_outs.record_slow(&source, true);
         }
         Err(Failure::NotSent(_)) => {
             in_flight.record_unreachable();
@@ -308,7 +308,9 @@
     // says little about a version; the intervals between its events say more and are recorded while
     // the stream runs.
     let is_timed = !failed && !request_cx.route().kind.is_stream();
-    let timing = is_timed.then(|| (request_cx.response_pace(), attempt_time));
+    let timing = is_timed.then(|| (request_cx.response_latency_class(), attempt_time));
     let source = request_cx.source(in_flight);
-    cx.state().roll_outs.answered(&source, failed, timing);
+    cx.state()
+        .roll_outs
+        .record_response(&source, failed, timing);
 }
--- a/crates/oatdale-relay/src/crashes.rs
+++ b/crates/oatdale-relay/src/crashes.rs
@@ -10,8 +10,8 @@
 mod check;
 mod records;
 
-pub(crate) use crate::crashes::check::{Checks, note_broken, settle};
-pub(crate) use crate::crashes::records::Unrecorded;
+pub(crate) use crate::crashes::check::{CrashChecks, check_after_break, wait_for_checks};
+pub(crate) use crate::crashes::records::PendingRecords;
 
 use crate::cx::Cx;
 use crate::gossip::{self, Message};
@@ -33,7 +33,7 @@
 
 impl<W: Wire> Cx<W> {
     /// Returns the remaining quarantine time of a request, if it is quarantined.
-    pub(crate) fn quarantine_left(&self, request_cx: &RequestContext) -> Option<Duration> {
+    pub(crate) fn remaining_quarantine(&self, request_cx: &RequestContext) -> Option<Duration> {
         if self.state().quarantine.is_empty() {
             return None;
         }
@@ -48,9 +48,9 @@
     }
 
     /// Resolves when the request is quarantined.
-    pub(crate) async fn quarantined(&self, request_cx: &RequestContext) {
+    pub(crate) async fn wait_quarantined(&self, request_cx: &RequestContext) {
         let mut changes = self.quarantine_changed.subscribe();
-        while self.quarantine_left(request_cx).is_none() {
+        while self.remaining_quarantine(request_cx).is_none() {
             // Unreachable: `self` owns the sender.
             if changes.changed().await.is_err() {
                 std::future::pending::<()>().await;
@@ -59,7 +59,7 @@
     }
 
     /// Records that an endpoint has completed a request.
-    pub(crate) fn note_completed(&self, request_cx: &RequestContext) {
+    pub(crate) fn record_completion(&self, request_cx: &RequestContext) {
         if self.state().quarantine.is_empty() {
             return;
         }
@@ -73,7 +73,7 @@
             }
             PreviousState::Quarantined => {
                 log::warn!(target: "quarantine", "event=released request={request} reason=\"a copy completed\"");
-                state.unrecorded.add(self.now(), request, false);
+                state.pending_records.add(self.now(), request, false);
                 gossip::broadcast(self, &state, &msg);
             }
         }
@@ -82,7 +82,7 @@
 
 /// Reports that an endpoint crashed while running these requests.
 fn report_crash<W: Wire>(cx: &Cx<W>, state: &mut State, endpoint: u32, requests: &[Fingerprint]) {
-    note_crash(cx, state, endpoint, requests);
+    count_crash(cx, state, endpoint, requests);
     let mut reports: HashMap<SocketAddr, Vec<u128>> = HashMap::new();
     for request in requests {
         for to in tally_peers(cx, state, *request) {
@@ -101,7 +101,7 @@
 }
 
 /// Counts a crash for these requests, and quarantines those that reach the limit.
-pub(crate) fn note_crash<W: Wire>(
+pub(crate) fn count_crash<W: Wire>(
     cx: &Cx<W>,
     state: &mut State,
     endpoint: u32,
@@ -116,7 +116,7 @@
             target: "quarantine",
             "event=quarantined request={request} reason=\"endpoints crashed while running it\" endpoint={endpoint}"
         );
-        state.unrecorded.add(now, *request, true);
+        state.pending_records.add(now, *request, true);
         gossip::broadcast(cx, state, &Message::Quarantined { request: request.0 });
         cx.notify_quarantine_change(state);
     }
@@ -124,63 +124,71 @@
 
 /// Applies another node's decision to quarantine a request. The nodes that count its crashes write
 /// the record if that node stops before it has done so.
-pub(crate) fn take_decision<W: Wire>(cx: &Cx<W>, state: &mut State, request: Fingerprint) {
+pub(crate) fn apply_quarantine<W: Wire>(cx: &Cx<W>, state: &mut State, request: Fingerprint) {
     let now = cx.now();
     let own_addr = cx.settings.listen.nodes;
     let rank = tally_nodes(state, now, request).position(|node| node == own_addr);
     let is_new = state.quarantine.remaining(now, request).is_none();
     match rank.filter(|_| is_new) {
-        Some(rank) => state.unrecorded.add_fallback(now, request, rank),
+        Some(rank) => state.pending_records.add_fallback(now, request, rank),
         // This node had released the request; endpoints have crashed under it again since.
-        None if is_new => state.unrecorded.remove(request),
+        None if is_new => state.pending_records.remove(request),
         None => {}
     }
-    take(cx, state, request, true);
+    apply_state(cx, state, request, true);
 }
 
 /// Applies a quarantine record read from the platform.
-pub(crate) fn take_record<W: Wire>(
+pub(crate) fn apply_record<W: Wire>(
     cx: &Cx<W>,
     state: &mut State,
     request: Fingerprint,
-    is_held: bool,
+    is_quarantined: bool,
 ) {
-    match state.unrecorded.handle_record(cx.now(), request, is_held) {
-        true => take(cx, state, request, is_held),
+    match state
+        .pending_records
+        .handle_record(cx.now(), request, is_quarantined)
+    {
+        true => apply_state(cx, state, request, is_quarantined),
         false => log::info!(
             target: "quarantine",
-            "event=late_record request={request} held={is_held} reason=\"a copy completed since\""
+            "event=late_record request={request} held={is_quarantined} reason=\"a copy completed since\""
         ),
     }
 }
 
 /// Applies another node's release of a request, a copy of which completed.
-pub(crate) fn take_release<W: Wire>(cx: &Cx<W>, state: &mut State, request: Fingerprint) {
+pub(crate) fn apply_release<W: Wire>(cx: &Cx<W>, state: &mut State, request: Fingerprint) {
     // A decision written after the release would quarantine the request again.
-    state.unrecorded.remove(request);
-    take(cx, state, request, false);
+    state.pending_records.remove(request);
+    apply_state(cx, state, request, false);
 }
 
 /// Applies whether a request is quarantined, as reported by another node or a record.
-pub(crate) fn take<W: Wire>(cx: &Cx<W>, state: &mut State, request: Fingerprint, is_held: bool) {
+pub(crate) fn apply_state<W: Wire>(
+    cx: &Cx<W>,
+    state: &mut State,
+    request: Fingerprint,
+    is_quarantined: bool,
+) {
     let now = cx.now();
-    let is_new = match is_held {
+    let is_new = match is_quarantined {
         true => state.quarantine.quarantine(now, request),
         false => state.quarantine.clear(request) != PreviousState::Unknown,
     };
     if is_new {
-        log::info!(target: "quarantine", "event=learned request={request} held={is_held}");
+        log::info!(target: "quarantine", "event=learned request={request} held={is_quarantined}");
         cx.notify_quarantine_change(state);
     }
 }
 
 /// Schedules writes of all quarantined requests, since their records may be lost. A record that
 /// still exists cancels its write when it is read.
-pub(crate) fn record_again(state: &mut State, now: Duration) {
-    let held: Vec<_> = state.quarantine.quarantined(now).collect();
-    for request in held {
+pub(crate) fn schedule_rewrites(state: &mut State, now: Duration) {
+    let quarantined: Vec<_> = state.quarantine.quarantined(now).collect();
+    for request in quarantined {
         state
-            .unrecorded
+            .pending_records
             .add_fallback(now, request, rand::random_range(0..TALLY_NODES));
     }
 }
@@ -188,9 +196,12 @@
 /// Returns the commands that record this node's decisions and are due.
 pub(crate) fn due_commands(state: &mut State, now: Duration) -> Vec<Command> {
     state.quarantine.expire(now);
-    let due = state.unrecorded.due_writes(now).into_iter();
-    due.map(|(request, is_held)| Command::RecordQuarantine { request, is_held })
-        .collect()
+    let due = state.pending_records.due_writes(now).into_iter();
+    due.map(|(request, is_quarantined)| Command::RecordQuarantine {
+        request,
+        is_quarantined,
+    })
+    .collect()
 }
 
 /// Returns the nodes that count the crashes of a request, most preferred first; may include this
--- a/crates/oatdale-relay/src/crashes/check.rs
+++ b/crates/oatdale-relay/src/crashes/check.rs
@@ -24,7 +24,7 @@
 
 /// Checks in progress, by endpoint.
 #[derive(Debug, Default)]
-pub(crate) struct Checks(HashMap<EndpointKey, Check>);
+pub(crate) struct CrashChecks(HashMap<EndpointKey, Check>);
 
 /// A check of one endpoint.
 #[derive(Debug, Default)]
@@ -35,7 +35,7 @@
     done: watch::Sender<()>,
 }
 
-impl Checks {
+impl CrashChecks {
     /// Adds a request, and returns whether a check of the endpoint has to be started.
     fn add(&mut self, endpoint: EndpointKey, request: Fingerprint) -> bool {
         let check = self.0.entry(endpoint).or_default();
@@ -59,7 +59,7 @@
 
 /// Waits until it is known whether the endpoints that a suspected request was sent to have crashed,
 /// since one more crash may quarantine it.
-pub(crate) async fn settle<W: Wire>(cx: &Cx<W>, request_cx: &RequestContext) {
+pub(crate) async fn wait_for_checks<W: Wire>(cx: &Cx<W>, request_cx: &RequestContext) {
     loop {
         let check = {
             let state = cx.state();
@@ -83,7 +83,7 @@
 /// Endpoints to which the request was sent before are checked too: once their response was dropped,
 /// a crash would go unnoticed. A leaving endpoint is not checked: it stops as planned, even with
 /// requests in flight.
-pub(crate) fn note_broken<W: Wire>(
+pub(crate) fn check_after_break<W: Wire>(
     cx: &Arc<Cx<W>>,
     request_cx: &RequestContext,
     in_flight: &InFlightRequest<W>,
--- a/crates/oatdale-relay/src/crashes/records.rs
+++ b/crates/oatdale-relay/src/crashes/records.rs
@@ -12,21 +12,21 @@
 
 /// Decisions that this node is responsible for writing and has not read back from the platform yet.
 #[derive(Debug, Default)]
-pub(crate) struct Unrecorded(BTreeMap<Fingerprint, Decision>);
+pub(crate) struct PendingRecords(BTreeMap<Fingerprint, Decision>);
 
 #[derive(Debug)]
 struct Decision {
-    is_held: bool,
+    is_quarantined: bool,
     decided_at: Duration,
     /// Time of the next write; unset once the record has been read back.
     due: Option<Duration>,
 }
 
-impl Unrecorded {
+impl PendingRecords {
     /// Adds a decision made by this node.
-    pub(crate) fn add(&mut self, now: Duration, request: Fingerprint, is_held: bool) {
+    pub(crate) fn add(&mut self, now: Duration, request: Fingerprint, is_quarantined: bool) {
         let decision = Decision {
-            is_held,
+            is_quarantined,
             decided_at: now,
             due: Some(now),
         };
@@ -38,7 +38,7 @@
     pub(crate) fn add_fallback(&mut self, now: Duration, request: Fingerprint, rank: usize) {
         let delay = WRITE_INTERVAL * u32::try_from(rank + 1).unwrap_or(u32::MAX);
         let decision = Decision {
-            is_held: true,
+            is_quarantined: true,
             decided_at: now,
             due: Some(now + delay),
         };
@@ -56,14 +56,14 @@
         &mut self,
         now: Duration,
         request: Fingerprint,
-        is_held: bool,
+        is_quarantined: bool,
     ) -> bool {
         match self.0.get_mut(&request) {
-            Some(decision) if !decision.is_held && is_held => {
+            Some(decision) if !decision.is_quarantined && is_quarantined => {
                 decision.due = Some(now);
                 false
             }
-            Some(decision) if !decision.is_held => {
+            Some(decision) if !decision.is_quarantined => {
                 decision.due = None;
                 true
             }
@@ -82,7 +82,7 @@
         due.filter(|(_, d)| d.due.is_some_and(|due| due <= now))
             .map(|(request, decision)| {
                 decision.due = Some(now + WRITE_INTERVAL);
-                (*request, decision.is_held)
+                (*request, decision.is_quarantined)
             })
             .collect()
     }
--- a/crates/oatdale-relay/src/cx.rs
+++ b/crates/oatdale-relay/src/cx.rs
@@ -6,9 +6,9 @@
 use crate::gossip::{self, Message};
 use crate::in_flight::InFlightRequest;
 use crate::metrics::Metrics;
-use crate::roll_outs::Allowed;
+use crate::roll_outs::AllowedVersions;
 use crate::settings::Settings;
-use crate::site::Site;
+use crate::site::SiteConfig;
 use crate::state::{PlacementRequest, State};
 use crate::update::{Endpoint, Update};
 use crate::wire::Wire;
@@ -89,7 +89,7 @@
         self.started + time
     }
 
-    pub(crate) fn site(&self) -> Option<Arc<Site>> {
+    pub(crate) fn site(&self) -> Option<Arc<SiteConfig>> {
         self.state().site.clone()
     }
 
@@ -141,24 +141,27 @@
             }
             Update::Evacuated(domains) => self.apply_evacuated(&mut state, domains),
             Update::RollOut(roll_out) => state.roll_outs.update(now, roll_out),
-            Update::Quarantine { request, is_held } => {
-                crashes::take_record(self, &mut state, request, is_held);
+            Update::Quarantine {
+                request,
+                is_quarantined,
+            } => {
+                crashes::apply_record(self, &mut state, request, is_quarantined);
             }
-            Update::RollOutEndLost(service) => state.roll_outs.end_lost(now, &service),
+            Update::RollOutEndLost(service) => state.roll_outs.handle_lost_end(now, &service),
             Update::Restored { kept } => {
                 self.metrics.restores.inc();
                 log::warn!(target: "node", "event=store_restored kept={kept}");
-                crashes::record_again(&mut state, now);
+                crashes::schedule_rewrites(&mut state, now);
             }
             Update::Nodes(nodes) => state.nodes.replace(now, nodes),
-            Update::ReadsAlone(alone) => state.reads_only_for_itself = alone,
-            Update::StoreLost => {
+            Update::ReadsOnlyForItself(alone) => state.reads_only_for_itself = alone,
+            Update::StoreUnavailable => {
                 self.metrics.store.set(0);
                 state.store_unavailable_since = Some(now);
                 state.directory.mark_store_unavailable();
                 state.nodes.mark_store_unavailable();
             }
-            Update::StoreBack => {
+            Update::StoreAvailable => {
                 self.metrics.store.set(1);
                 state.mark_store_available(now);
                 state.directory.mark_store_available(now);
@@ -187,7 +190,7 @@
         state.directory.set_evacuated(self.now(), domains);
     }
 
-    pub(crate) fn apply_site(&self, state: &mut State, site: Arc<Site>) {
+    pub(crate) fn apply_site(&self, state: &mut State, site: Arc<SiteConfig>) {
         let old = state.site.as_ref().map(|s| s.version);
         if old.is_some_and(|old| site.version <= old) {
             log::debug!(
@@ -215,7 +218,7 @@
     }
 
     /// Returns the software versions that a request may use now. `own` is the request's hash.
-    pub(crate) fn allowed(&self, service: &str, session: Option<u64>, own: u64) -> Allowed {
+    pub(crate) fn allowed(&self, service: &str, session: Option<u64>, own: u64) -> AllowedVersions {
         let now = self.now();
         let state = self.state();
         state.roll_outs.allowed(now, service, session, own)
--- a/crates/oatdale-relay/src/events.rs
+++ b/crates/oatdale-relay/src/events.rs
@@ -5,27 +5,27 @@
 //! a partial event been forwarded, the client would read two events as one.
 //!
 //! ```
-//! use oatdale_relay::WholeEvents;
+//! use oatdale_relay::EventReassembler;
 //!
-//! let mut events = WholeEvents::after(None);
+//! let mut events = EventReassembler::after(None);
 //! assert_eq!(events.push(b"id: 1\ndata: a\n\nid: 2\nda"), &b"id: 1\ndata: a\n\n"[..]);
-//! assert_eq!((events.last(), events.is_cut()), (Some(1), true));
+//! assert_eq!((events.last(), events.has_partial()), (Some(1), true));
 //! ```
 
 use bytes::Bytes;
 
 /// Reassembles the complete events of a stream.
 #[derive(Clone, Debug, Default)]
-pub struct WholeEvents {
+pub struct EventReassembler {
     /// Start of an event whose end has not been received yet.
     partial: Vec<u8>,
     last: Option<u64>,
 }
 
-impl WholeEvents {
+impl EventReassembler {
     /// Creates the state for a stream that resumes after event `last`.
     pub fn after(last: Option<u64>) -> Self {
-        WholeEvents {
+        EventReassembler {
             partial: Vec::new(),
             last,
         }
@@ -37,12 +37,12 @@
     }
 
     /// Whether the data received so far ends in the middle of an event.
-    pub fn is_cut(&self) -> bool {
+    pub fn has_partial(&self) -> bool {
         !self.partial.is_empty()
     }
 
     /// Discards a partial event that its endpoint will not complete.
-    pub fn drop_part(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 
--- a/crates/oatdale-relay/src/gossip.rs
+++ b/crates/oatdale-relay/src/gossip.rs
@@ -7,8 +7,8 @@
 use crate::crashes;
 use crate::cx::Cx;
 use crate::in_flight::InFlightRequest;
-use crate::loads::{AGGREGATORS_PER_GROUP, Load, MOST_LOADS, Scheme};
-use crate::roll_outs::{JUDGES, OnOld, Report};
+use crate::loads::{AGGREGATORS_PER_GROUP, AggregationScheme, Load, MAX_LOADS_PER_DATAGRAM};
+use crate::roll_outs::{COORDINATORS, OldSessions, Report};
 use crate::state::{State, hash};
 use crate::wire::Wire;
 use oatdale_policy::relay::Fingerprint;
@@ -19,7 +19,7 @@
 
 /// Interval between reports while a roll-out is under way: all nodes notice a bad version within
 /// it, and a site of ten nodes sends about two hundred datagrams a second.
-pub(crate) const REPORT_EVERY: Duration = Duration::from_millis(400);
+pub(crate) const REPORT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Longest datagram, in bytes, that passes every network unfragmented.
 const MAX_DATAGRAM_BYTES: usize = 1_200;
@@ -44,7 +44,7 @@
 pub(crate) enum Message {
     Report(Report),
     /// The sender's sessions on old versions.
-    OnOld(OnOld),
+    OnOld(OldSessions),
     /// The node with this host name is stopping.
     Leaving(String),
     /// The endpoint with this id, started at `born`, announced that it is leaving.
@@ -111,7 +111,7 @@
     let now = cx.now();
     match ciborium::from_reader(datagram) {
         Ok(Message::Report(report)) => cx.state().roll_outs.merge_report(now, &report),
-        Ok(Message::OnOld(on_old)) => cx.state().roll_outs.merge_old_sessions(now, &on_old),
+        Ok(Message::OnOld(sessions)) => cx.state().roll_outs.merge_old_sessions(now, &sessions),
         Ok(Message::Leaving(host)) => {
             log::info!(target: "gossip", "event=node_leaves host={host}");
             let mut state = cx.state();
@@ -153,13 +153,13 @@
         }),
         Ok(Message::Crashed { endpoint, requests }) => apply_from_known(cx, from, |state| {
             let requests: Vec<_> = requests.into_iter().map(Fingerprint).collect();
-            crashes::note_crash(cx, state, endpoint, &requests);
+            crashes::count_crash(cx, state, endpoint, &requests);
         }),
         Ok(Message::Quarantined { request }) => apply_from_known(cx, from, |state| {
-            crashes::take_decision(cx, state, Fingerprint(request));
+            crashes::apply_quarantine(cx, state, Fingerprint(request));
         }),
         Ok(Message::Completed { request }) => apply_from_known(cx, from, |state| {
-            crashes::take_release(cx, state, Fingerprint(request));
+            crashes::apply_release(cx, state, Fingerprint(request));
         }),
         Ok(Message::Sums { nodes, loads }) => apply_from_known(cx, from, |state| {
             // No sum covers more nodes than are known; a sender that claims more would block the
@@ -184,11 +184,11 @@
 
 /// Reports the roll-outs under way to other nodes.
 ///
-/// All nodes report to the first ones by name, the judges; these report to all, so that the number
-/// of datagrams grows with the number of nodes and not with its square. Sessions on old versions
-/// are reported to all by the node that has them: with more nodes than judges, the others would not
-/// learn of them otherwise.
-pub(crate) async fn report<W: Wire>(cx: &Cx<W>) {
+/// All nodes report to the first ones by name, the coordinators; these report to all, so that the
+/// number of datagrams grows with the number of nodes and not with its square. Sessions on old
+/// versions are reported to all by the node that has them: with more nodes than coordinators, the
+/// others would not learn of them otherwise.
+pub(crate) async fn report_roll_outs<W: Wire>(cx: &Cx<W>) {
     for (datagram, to) in roll_out_datagrams(cx) {
         if let Err(err) = cx.socket.send_to(&datagram, to).await {
             log::debug!(target: "gossip", "event=send_failed to={to} err={err}");
@@ -223,7 +223,7 @@
 
 /// Periodically sends this node's loads to the aggregators, and its sums to the nodes that
 /// reported.
-pub(crate) async fn share_loads<W: Wire>(cx: Arc<Cx<W>>) {
+pub(crate) async fn run_load_exchange<W: Wire>(cx: Arc<Cx<W>>) {
     loop {
         let interval = cx.state().load_sums.scheme().interval;
         tokio::time::sleep(interval).await;
@@ -237,7 +237,7 @@
 fn send_own_loads<W: Wire>(cx: &Cx<W>, state: &mut State) {
     let now = cx.now();
     let nodes = state.nodes.iter(now).count();
-    let scheme = Scheme::new(nodes, state.directory.len());
+    let scheme = AggregationScheme::new(nodes, state.directory.len());
     state.load_sums.set_scheme(scheme);
     state.load_aggregator.set_scheme(scheme);
     let own_loads = state.load_sums.own_report(state.directory.loads());
@@ -285,7 +285,7 @@
     let to: Vec<_> = to.collect();
     // Sent without any load too: aggregators send sums only to nodes that report.
     let batches = loads
-        .chunks(MOST_LOADS)
+        .chunks(MAX_LOADS_PER_DATAGRAM)
         .chain(loads.is_empty().then_some(loads));
     for batch in batches {
         send_now(cx, to.iter().copied(), &message(batch.to_vec()));
@@ -309,7 +309,7 @@
 }
 
 /// Announces to all other nodes that this one is stopping.
-pub(crate) async fn leave<W: Wire>(cx: &Cx<W>) {
+pub(crate) async fn announce_leaving<W: Wire>(cx: &Cx<W>) {
     let others: Vec<_> = other_nodes(cx, &cx.state()).collect();
     let message = Message::Leaving(cx.settings.host.clone());
     let Some(datagram) = encode(&message) else {
@@ -358,14 +358,18 @@
     let now = cx.now();
     let mut state = cx.state();
     let host = &cx.settings.host;
-    let on_old = state.roll_outs.on_old(now);
+    let old_sessions = state.roll_outs.old_session_messages(now);
     let reports = state.roll_outs.reports(now, host, |service, target| {
         state.directory.has_other_work(service, target)
     });
     let mut nodes: Vec<_> = state.nodes.iter(now).collect();
     nodes.sort_by(|a, b| a.host.cmp(&b.host));
-    let is_judge = nodes.iter().take(JUDGES).any(|n| n.host == *host);
-    let recipient_count = if is_judge { nodes.len() } else { JUDGES };
+    let is_coordinator = nodes.iter().take(COORDINATORS).any(|n| n.host == *host);
+    let recipient_count = if is_coordinator {
+        nodes.len()
+    } else {
+        COORDINATORS
+    };
     let others = |limit: usize| {
         let first = nodes.iter().take(limit);
         first.filter(|n| n.host != *host).map(|n| n.nodes)
@@ -377,7 +381,7 @@
     {
         out.extend(others(recipient_count).map(|to| (datagram.clone(), to)));
     }
-    for datagram in on_old
+    for datagram in old_sessions
         .into_iter()
         .filter_map(|o| encode(&Message::OnOld(o)))
     {
--- a/crates/oatdale-relay/src/lib.rs
+++ b/crates/oatdale-relay/src/lib.rs
@@ -9,7 +9,7 @@
 //! # Examples
 //!
 //! ```
-//! use oatdale_relay::{CallerLimits, Route, RouteKind, Site};
+//! use oatdale_relay::{CallerLimits, Route, RouteKind, SiteConfig};
 //! use std::collections::HashMap;
 //! use std::time::Duration;
 //!
@@ -34,7 +34,7 @@
 //!     idle_timeout: Duration::from_secs(15),
 //! };
 //! let routes = vec![route("/"), route("/slots/")];
-//! let site = Site::new(7, routes, HashMap::new(), limits, None);
+//! let site = SiteConfig::new(7, routes, HashMap::new(), limits, None);
 //! assert_eq!(site.route("desk.example", "/slots/41"), Some(1));
 //! assert_eq!(site.route("other.example", "/slots/41"), None);
 //! ```
@@ -76,18 +76,22 @@
 
 pub use crate::directory::{Directory, EndpointKey, Entry, RecordChange};
 pub use crate::error::{Error, Result};
-pub use crate::events::WholeEvents;
-pub use crate::loads::{Adder, Load, MOST_LOADS, Scheme, Shared};
+pub use crate::events::EventReassembler;
+pub use crate::loads::{AggregationScheme, Load, LoadAggregator, LoadSums, MAX_LOADS_PER_DATAGRAM};
 pub use crate::node::Relay;
 pub use crate::replica::{
-    AskError, Content, FetchRequest, Members, Record, RecordUpdate, RecordsClient, Replica,
+    Content, FetchError, FetchRequest, Members, Record, RecordUpdate, Replica, ReplicaClient,
     ReplicaUpdate, Topic,
 };
 pub use crate::revision::Revision;
-pub use crate::roll_outs::{Allowed, OnOld, Pace, Report, RollOuts, Source};
+pub use crate::roll_outs::{
+    AllowedVersions, LatencyClass, OldSessions, Report, ResponseSource, RollOuts,
+};
 pub use crate::settings::{Bounds, Ladder, Listen, Platform, Settings, SettingsError};
-pub use crate::site::{CallerLimits, Customer, Customers, Route, RouteKind, ServiceFacts, Site};
+pub use crate::site::{
+    CallerLimits, Customer, Customers, Route, RouteKind, ServiceFacts, SiteConfig,
+};
 pub use crate::update::{Command, Endpoint, Link, Node, RollOut, RollOutEnd, Update};
-pub use crate::versions::{Keep, KeptVersion, KnownVersions, Versions};
+pub use crate::versions::{KeptVersion, KnownVersions, RetentionPolicy, VersionTracker};
 pub use crate::wire::{Forward, Prompt, RequestMetadata, ResponseMetadata, Wire};
 pub use oatdale_policy::relay::EngineReport;
--- a/crates/oatdale-relay/src/loads.rs
+++ b/crates/oatdale-relay/src/loads.rs
@@ -12,7 +12,7 @@
 
 mod scheme;
 
-pub use crate::loads::scheme::Scheme;
+pub use crate::loads::scheme::AggregationScheme;
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
 
 /// Maximum number of loads in one datagram: each takes up to nine of the 1,200 bytes that pass
 /// every network.
-pub const MOST_LOADS: usize = 120;
+pub const MAX_LOADS_PER_DATAGRAM: usize = 120;
 
 /// Aggregators per group. One would do; the second continues while the first is down and the other
 /// nodes have not noticed.
@@ -48,8 +48,8 @@
 
 /// Sums up the loads reported by the nodes.
 #[derive(Clone, Debug, Default)]
-pub struct Adder {
-    scheme: Scheme,
+pub struct LoadAggregator {
+    scheme: AggregationScheme,
     /// Time of each node's last report, and its loads.
     nodes: BTreeMap<SocketAddr, (Duration, TimedLoads)>,
     reported: LastReport,
@@ -57,8 +57,8 @@
 
 /// Load sums as received from the aggregators.
 #[derive(Clone, Debug, Default)]
-pub struct Shared {
-    scheme: Scheme,
+pub struct LoadSums {
+    scheme: AggregationScheme,
     own: LastReport,
     sums: TimedLoads,
     /// When a sum was last accepted, and the number of nodes that it covers.
@@ -107,9 +107,9 @@
     }
 }
 
-impl Adder {
+impl LoadAggregator {
     /// Sets the aggregation scheme.
-    pub fn set_scheme(&mut self, scheme: Scheme) {
+    pub fn set_scheme(&mut self, scheme: AggregationScheme) {
         self.scheme = scheme;
     }
 
@@ -139,14 +139,14 @@
     }
 }
 
-impl Shared {
+impl LoadSums {
     /// Sets the aggregation scheme.
-    pub fn set_scheme(&mut self, scheme: Scheme) {
+    pub fn set_scheme(&mut self, scheme: AggregationScheme) {
         self.scheme = scheme;
     }
 
     /// Returns the aggregation scheme in use.
-    pub fn scheme(&self) -> Scheme {
+    pub fn scheme(&self) -> AggregationScheme {
         self.scheme
     }
 
--- a/crates/oatdale-relay/src/loads/scheme.rs
+++ b/crates/oatdale-relay/src/loads/scheme.rs
@@ -19,7 +19,7 @@
 
 /// Aggregation scheme for a site of a given size.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Scheme {
+pub struct AggregationScheme {
     /// Number of groups that endpoints are divided into: a power of two, so that nodes whose counts
     /// of nodes and endpoints differ slightly mostly agree.
     pub groups: u32,
@@ -27,13 +27,13 @@
     pub interval: Duration,
 }
 
-impl Scheme {
+impl AggregationScheme {
     /// Returns the scheme for this number of nodes and endpoints.
     pub fn new(nodes: usize, endpoints: usize) -> Self {
         let groups = (nodes * endpoints / GROUP_SIZE).max(1).ilog2();
         let groups = 1_usize << groups;
         let interval_factor = (groups / MAX_FAST_GROUPS).max(1);
-        Scheme {
+        AggregationScheme {
             groups: u32::try_from(groups).unwrap_or(u32::MAX),
             interval: MIN_INTERVAL * u32::try_from(interval_factor).unwrap_or(u32::MAX),
         }
@@ -50,8 +50,8 @@
     }
 }
 
-impl Default for Scheme {
+impl Default for AggregationScheme {
     fn default() -> Self {
-        Scheme::new(1, 1)
+        AggregationScheme::new(1, 1)
     }
 }
--- a/crates/oatdale-relay/src/node.rs
+++ b/crates/oatdale-relay/src/node.rs
@@ -4,7 +4,7 @@
 use crate::cx::Cx;
 use crate::error::{ListenSnafu, MetricsSnafu, Result};
 use crate::front::{self, ShutdownPhase};
-use crate::gossip::{self, REPORT_EVERY};
+use crate::gossip::{self, REPORT_INTERVAL};
 use crate::local::serve_status;
 use crate::metrics::Metrics;
 use crate::peers;
@@ -63,10 +63,10 @@
             tokio::spawn(serve_status(cx.clone(), bind(addr)?));
         }
         tokio::spawn(peers::serve(cx.clone(), records, bind(listen.state)?));
-        tokio::spawn(peers::follow(cx.clone()));
+        tokio::spawn(peers::poll_while_store_unavailable(cx.clone()));
         tokio::spawn(front::accept(cx.clone(), callers, shutdown_rx));
         tokio::spawn(gossip::listen(cx.clone()));
-        tokio::spawn(gossip::share_loads(cx.clone()));
+        tokio::spawn(gossip::run_load_exchange(cx.clone()));
         tokio::spawn(apply_updates(cx.clone(), updates));
         tokio::spawn(tick(cx.clone(), commands.clone()));
         log::info!(
@@ -88,10 +88,10 @@
         let stop_time = self.cx.state().bounds.stop_time();
         log::info!(target: "node", "event=stopping under_way={}", self.in_flight());
         self.cx.state().stopping = Some(stop_began);
-        if self.commands.send(Command::Leave).await.is_err() {
+        if self.commands.send(Command::Deregister).await.is_err() {
             log::warn!(target: "node", "event=leave_not_sent reason=\"platform adapter has stopped\"");
         }
-        gossip::leave(&self.cx).await;
+        gossip::announce_leaving(&self.cx).await;
         tokio::time::sleep_until(stop_began + stop_time.mul_f64(ACCEPT_FRACTION)).await;
         self.shutdown.send_replace(ShutdownPhase::Closing);
         let deadline = stop_began + stop_time.saturating_sub(ABANDON_MARGIN);
@@ -129,9 +129,9 @@
     loop {
         tokio::time::sleep(TICK_INTERVAL).await;
         let has_new_order = cx.state().roll_outs.take_new_order();
-        if has_new_order || last_report.elapsed() >= REPORT_EVERY {
+        if has_new_order || last_report.elapsed() >= REPORT_INTERVAL {
             last_report = Instant::now();
-            gossip::report(&cx).await;
+            gossip::report_roll_outs(&cx).await;
         }
         for command in due_commands(&cx) {
             log::info!(target: "node", "event=write {command:?}");
--- a/crates/oatdale-relay/src/peers.rs
+++ b/crates/oatdale-relay/src/peers.rs
@@ -57,11 +57,11 @@
     records: Arc<Replica>,
     req: Request<Incoming>,
 ) -> Result<Response<Body>, Infallible> {
-    if req.uri().path() == replica::PATH {
-        return Ok(replica::answer(&records, req.into_body()).await);
+    if req.uri().path() == replica::RECORDS_PATH {
+        return Ok(replica::handle_fetch(&records, req.into_body()).await);
     }
-    if req.uri().path() == replica::KNOWN_PATH {
-        return Ok(replica::answer_known(&records, req.into_body()).await);
+    if req.uri().path() == replica::VERSIONS_PATH {
+        return Ok(replica::handle_versions(&records, req.into_body()).await);
     }
     let after = req.uri().query().and_then(|q| q.strip_prefix("after="));
     let after = after.and_then(|version| version.parse().ok());
@@ -103,7 +103,7 @@
 }
 
 /// Polls other nodes while the key-value service does not answer this one.
-pub(crate) async fn follow<W: Wire>(cx: Arc<Cx<W>>) {
+pub(crate) async fn poll_while_store_unavailable<W: Wire>(cx: Arc<Cx<W>>) {
     loop {
         sleep(POLL_INTERVAL).await;
         let unavailable_since = cx.state().store_unavailable_since;
@@ -171,7 +171,7 @@
         false => state.directory.mark_store_unavailable(),
     }
     for request in snapshot.quarantined {
-        crashes::take(cx, state, Fingerprint(request), true);
+        crashes::apply_state(cx, state, Fingerprint(request), true);
     }
     if snapshot.is_current || state.directory.is_empty() {
         for addr in state.directory.replace(now, snapshot.endpoints) {
--- a/crates/oatdale-relay/src/peers/wire.rs
+++ b/crates/oatdale-relay/src/peers/wire.rs
@@ -1,7 +1,7 @@
 //! CBOR encoding of the state that a node sends to a peer.
 
 use crate::roll_outs::Report;
-use crate::site::{CallerLimits, Customers, Route, ServiceFacts, Site};
+use crate::site::{CallerLimits, Customers, Route, ServiceFacts, SiteConfig};
 use crate::update::{Endpoint, Node, RollOut};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -53,8 +53,8 @@
     }
 }
 
-impl From<&Site> for SiteWire {
-    fn from(site: &Site) -> Self {
+impl From<&SiteConfig> for SiteWire {
+    fn from(site: &SiteConfig) -> Self {
         SiteWire {
             version: site.version,
             routes: site.routes.clone(),
@@ -65,9 +65,9 @@
     }
 }
 
-impl From<SiteWire> for Site {
+impl From<SiteWire> for SiteConfig {
     fn from(wire: SiteWire) -> Self {
-        Site::new(
+        SiteConfig::new(
             wire.version,
             wire.routes,
             wire.services,
--- a/crates/oatdale-relay/src/replica.rs
+++ b/crates/oatdale-relay/src/replica.rs
@@ -7,16 +7,16 @@
 //! revisions of the same service. Its requests also show that it is running, so that it needs no
 //! record of its own.
 
-mod ask;
+mod client;
 mod members;
 mod request;
 mod serve;
 
-pub use crate::replica::ask::{AskError, RecordsClient};
+pub use crate::replica::client::{FetchError, ReplicaClient};
 pub use crate::replica::members::Members;
 pub use crate::replica::request::FetchRequest;
-pub(crate) use crate::replica::request::{KNOWN_PATH, PATH};
-pub(crate) use crate::replica::serve::{answer, answer_known};
+pub(crate) use crate::replica::request::{RECORDS_PATH, VERSIONS_PATH};
+pub(crate) use crate::replica::serve::{handle_fetch, handle_versions};
 
 use crate::revision::Revision;
 use crate::update::Node;
@@ -73,7 +73,8 @@
     /// The records; in the order of their revisions unless this is a snapshot.
     pub records: Vec<RecordUpdate>,
     /// Time since the responding node reached the service again, if it had lost it.
-    pub back: Option<Duration>,
+    #[serde(rename = "back")]
+    pub reachable_for: Option<Duration>,
 }
 
 /// The state of one record in a [`ReplicaUpdate`].
@@ -179,10 +180,10 @@
 
     /// Applies the changes of a topic up to a revision. Ignored unless the topic is loaded, as
     /// changes alone are not a complete set.
-    pub fn change(&self, topic: Topic, revision: Revision, changes: &[Record]) {
+    pub fn apply_changes(&self, topic: Topic, revision: Revision, changes: &[Record]) {
         let mut state = self.lock();
         if let Some(records) = state.records_of(topic) {
-            records.change(revision, changes);
+            records.apply_changes(revision, changes);
         }
         state.record_service_answer(topic);
         self.notify_waiting(state);
@@ -208,12 +209,12 @@
     }
 
     /// Sets the length of the longest value that is passed on, in bytes.
-    pub fn set_longest(&self, max_bytes: usize) {
+    pub fn set_max_value_bytes(&self, max_bytes: usize) {
         self.lock().max_bytes = max_bytes;
     }
 
     /// Whether the records of a topic are loaded.
-    pub fn has(&self, topic: Topic) -> bool {
+    pub fn is_loaded(&self, topic: Topic) -> bool {
         self.lock().records_of(topic).is_some()
     }
 
@@ -246,7 +247,7 @@
     }
 
     /// Sets the known versions of a topic in an era.
-    pub fn set_known(&self, topic: Topic, era: u64, versions: Vec<KnownVersions>) {
+    pub fn set_known_versions(&self, topic: Topic, era: u64, versions: Vec<KnownVersions>) {
         self.versions.send_modify(|all| {
             all.insert(topic, (era, versions));
         });
@@ -297,7 +298,7 @@
     }
 
     /// Resolves when a request arrives before the records are loaded.
-    pub async fn wanted(&self) {
+    pub async fn load_requested(&self) {
         self.load_requested.notified().await;
     }
 
@@ -380,7 +381,8 @@
     }
 
     fn fetch_outcome(&mut self, topic: Topic, after: Option<Revision>) -> Outcome {
-        let (max_bytes, back) = (self.max_bytes, self.reachable_since.map(|at| at.elapsed()));
+        let (max_bytes, reachable_for) =
+            (self.max_bytes, self.reachable_since.map(|at| at.elapsed()));
         let service = self.service;
         let records = match self.records_of(topic) {
             _ if service == ServiceStatus::Unreachable => return Outcome::Unavailable,
@@ -398,7 +400,7 @@
                 .into_iter()
                 .map(|r| r.into_update(max_bytes))
                 .collect(),
-            back,
+            reachable_for,
         })
     }
 }
@@ -438,7 +440,7 @@
             self.gaps.pop_front();
             self.changes_since = self.changes_since.max(self.gaps[0].0);
         }
-        self.change(revision, &changes);
+        self.apply_changes(revision, &changes);
     }
 
     /// Whether the kept changes are sufficient for a follower at this revision. A follower whose
@@ -449,7 +451,7 @@
         after >= self.changes_since && !self.gaps.iter().any(in_gap)
     }
 
-    fn change(&mut self, revision: Revision, changes: &[Record]) {
+    fn apply_changes(&mut self, revision: Revision, changes: &[Record]) {
         for record in changes {
             self.put(record);
             // Pages of a snapshot that were read after the first one may hold later changes.
--- a/crates/oatdale-relay/src/replica/ask.rs
+++ b/crates/oatdale-relay/src/replica/client.rs
@@ -1,6 +1,6 @@
 //! A client that fetches records from readers.
 
-use crate::replica::request::{KNOWN_PATH, PATH};
+use crate::replica::request::{RECORDS_PATH, VERSIONS_PATH};
 use crate::replica::{FetchRequest, ReplicaUpdate};
 use crate::versions::KnownVersions;
 use http::{Method, Request, StatusCode, Uri};
@@ -22,7 +22,7 @@
 
 /// An error when fetching from a reader.
 #[derive(Debug, Snafu)]
-pub enum AskError {
+pub enum FetchError {
     /// The request could not be encoded.
     #[snafu(display("cannot encode the request: {source}"))]
     Encode {
@@ -57,49 +57,50 @@
 
 /// A client of other nodes' replicas.
 #[derive(Clone, Debug)]
-pub struct RecordsClient {
+pub struct ReplicaClient {
     pool: Pool,
 }
 
-impl Default for RecordsClient {
+impl Default for ReplicaClient {
     fn default() -> Self {
         let pool = Pool::new(PoolConfig {
             connect_timeout: IO_TIMEOUT,
             ..PoolConfig::default()
         });
-        RecordsClient { pool }
+        ReplicaClient { pool }
     }
 }
 
-impl RecordsClient {
+impl ReplicaClient {
     /// Fetches the changes of a topic. The response has to begin within `timeout` in addition to
     /// the request's own wait time.
     ///
     /// # Errors
     ///
-    /// [`AskError`]; in each case another node or the service has to be asked.
-    pub async fn ask(
+    /// [`FetchError`]; in each case the caller has to fetch from another node or the service.
+    pub async fn fetch(
         &self,
         reader: SocketAddr,
         request: &FetchRequest,
         timeout: Duration,
-    ) -> Result<ReplicaUpdate, AskError> {
+    ) -> Result<ReplicaUpdate, FetchError> {
         let response_timeout = request.wait() + timeout;
-        self.post(reader, PATH, request, response_timeout).await
+        self.post(reader, RECORDS_PATH, request, response_timeout)
+            .await
     }
 
     /// Fetches the versions that a running node knows in an era.
     ///
     /// # Errors
     ///
-    /// As for [`ask`](RecordsClient::ask).
-    pub async fn ask_known(
+    /// As for [`fetch`](ReplicaClient::fetch).
+    pub async fn fetch_versions(
         &self,
         node: SocketAddr,
         era: u64,
         timeout: Duration,
-    ) -> Result<Vec<KnownVersions>, AskError> {
-        self.post(node, KNOWN_PATH, &era, timeout).await
+    ) -> Result<Vec<KnownVersions>, FetchError> {
+        self.post(node, VERSIONS_PATH, &era, timeout).await
     }
 
     /// Posts a payload and decodes the response, which has to begin within `response_timeout`.
@@ -109,7 +110,7 @@
         path: &'static str,
         payload: &impl Serialize,
         response_timeout: Duration,
-    ) -> Result<T, AskError> {
+    ) -> Result<T, FetchError> {
         let mut body = Vec::new();
         ciborium::into_writer(payload, &mut body).context(EncodeSnafu)?;
         let mut req = Request::new(Full::from(body));
--- a/crates/oatdale-relay/src/replica/request.rs
+++ b/crates/oatdale-relay/src/replica/request.rs
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 /// The path for fetching records.
-pub(crate) const PATH: &str = "/v1/records";
+pub(crate) const RECORDS_PATH: &str = "/v1/records";
 
 /// The path at which a starting node fetches the versions that another node knows.
-pub(crate) const KNOWN_PATH: &str = "/v1/records/versions";
+pub(crate) const VERSIONS_PATH: &str = "/v1/records/versions";
 
 /// Maximum wait that a follower may request.
 const MAX_WAIT: Duration = Duration::from_secs(10);
--- a/crates/oatdale-relay/src/replica/serve.rs
+++ b/crates/oatdale-relay/src/replica/serve.rs
@@ -17,7 +17,7 @@
 const REQUEST_STALL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Responds to a follower's fetch; 503 if it has to ask elsewhere.
-pub(crate) async fn answer(replica: &Replica, body: Incoming) -> Response<Body> {
+pub(crate) async fn handle_fetch(replica: &Replica, body: Incoming) -> Response<Body> {
     let req = match read_request(body).await {
         Ok(req) => req,
         Err(reason) => return bad_request(&reason),
@@ -36,7 +36,7 @@
 
 /// Responds to a starting node with the known versions; 503 if this node has not read the records
 /// in that era.
-pub(crate) async fn answer_known(replica: &Replica, body: Incoming) -> Response<Body> {
+pub(crate) async fn handle_versions(replica: &Replica, body: Incoming) -> Response<Body> {
     let era = match read_request(body).await {
         Ok(era) => era,
         Err(reason) => return bad_request(&reason),
--- a/crates/oatdale-relay/src/request_context.rs
+++ b/crates/oatdale-relay/src/request_context.rs
@@ -7,8 +7,8 @@
 use crate::headers::host_header;
 use crate::in_flight::InFlightRequest;
 use crate::reply::Refusal;
-use crate::roll_outs::{Allowed, Pace, Source};
-use crate::site::{Route, Site};
+use crate::roll_outs::{AllowedVersions, LatencyClass, ResponseSource};
+use crate::site::{Route, SiteConfig};
 use crate::state::{PlacementRequest, hash};
 use crate::wire::{Forward, RequestMetadata, Wire};
 use bytes::Bytes;
@@ -28,7 +28,7 @@
 
 /// A request, its routing and the state of its attempts.
 pub(crate) struct RequestContext {
-    pub(crate) site: Arc<Site>,
+    pub(crate) site: Arc<SiteConfig>,
     route: usize,
     pub(crate) service: String,
     pub(crate) customer: Option<String>,
@@ -59,7 +59,7 @@
 
 impl RequestContext {
     pub(crate) fn new(
-        site: Arc<Site>,
+        site: Arc<SiteConfig>,
         route: usize,
         metadata: RequestMetadata,
         head: http::request::Parts,
@@ -108,7 +108,7 @@
             .metadata
             .key
             .as_deref()
-            .and_then(|key| customers.of_key(key));
+            .and_then(|key| customers.find_by_key(key));
         match customer {
             Some(customer) => {
                 self.urgency = customer.urgency.unwrap_or(self.urgency);
@@ -182,8 +182,8 @@
     }
 
     /// Origin of an endpoint's response, for roll-out statistics.
-    pub(crate) fn source<'a, W>(&'a self, in_flight: &'a InFlightRequest<W>) -> Source<'a> {
-        Source {
+    pub(crate) fn source<'a, W>(&'a self, in_flight: &'a InFlightRequest<W>) -> ResponseSource<'a> {
+        ResponseSource {
             is_failing: in_flight.is_failing,
             service: &self.service,
             version: &in_flight.version,
@@ -195,12 +195,12 @@
     }
 
     /// Group of requests with comparable response times: those of one plain route.
-    pub(crate) fn response_pace(&self) -> Pace {
+    pub(crate) fn response_latency_class(&self) -> LatencyClass {
         hash(&("answer", &self.route().prefix))
     }
 
     /// Group of streams with comparable event intervals: those of one model size.
-    pub(crate) fn event_pace(&self) -> Pace {
+    pub(crate) fn event_latency_class(&self) -> LatencyClass {
         hash(&("event", self.model_index))
     }
 
@@ -253,11 +253,11 @@
 
     /// Software versions that the request may use now. Looked up again for each attempt: a roll-out
     /// may have ended since the last one, and the version allowed then may be gone.
-    fn allowed_versions<W: Wire>(&self, cx: &Cx<W>) -> Allowed {
+    fn allowed_versions<W: Wire>(&self, cx: &Cx<W>) -> AllowedVersions {
         cx.allowed(&self.service, self.session_hash(), hash(&self.metadata.id))
     }
 
-    fn placement_query<'a>(&'a self, allowed: &'a Allowed) -> PlacementRequest<'a> {
+    fn placement_query<'a>(&'a self, allowed: &'a AllowedVersions) -> PlacementRequest<'a> {
         PlacementRequest {
             service: &self.service,
             allowed,
@@ -275,11 +275,11 @@
         };
         let now = cx.now();
         let mut state = cx.state();
-        let on_old = state
+        let old_sessions = state
             .roll_outs
             .pin(now, &self.service, session, &in_flight.version);
-        if let Some(on_old) = on_old {
-            gossip::broadcast(cx, &state, &Message::OnOld(on_old));
+        if let Some(old_sessions) = old_sessions {
+            gossip::broadcast(cx, &state, &Message::OnOld(old_sessions));
         }
     }
 
--- a/crates/oatdale-relay/src/roll_outs.rs
+++ b/crates/oatdale-relay/src/roll_outs.rs
@@ -2,29 +2,29 @@
 //! nodes have collected about the new version, and when to record the outcome.
 
 mod active;
+mod baseline;
 mod rates;
 mod report;
 mod sessions;
-mod usual;
 
 use crate::state;
 use crate::update::{RollOut, RollOutEnd};
 use active::{PeerReport, RollOutState};
+use baseline::BaselineTimes;
 use oatdale_policy::relay::{Counts, ExposureLimit, Origin, Phase, Verdict, uses_new_version};
 use rates::Rates;
 use report::millis;
 use sessions::Sessions;
 use std::collections::HashMap;
 use std::time::Duration;
-use usual::BaselineTimes;
 
-pub(crate) use active::JUDGES;
-pub use report::{OnOld, Report};
-pub use usual::Pace;
+pub(crate) use active::COORDINATORS;
+pub use baseline::LatencyClass;
+pub use report::{OldSessions, Report};
 
 /// The software versions that a request may use.
 #[derive(Clone, PartialEq, Debug)]
-pub enum Allowed {
+pub enum AllowedVersions {
     /// Any version.
     All,
     /// This version; others only if it has no endpoint.
@@ -44,12 +44,12 @@
         share: f64,
     },
     /// Any version but this one.
-    Not(String),
+    Exclude(String),
 }
 
 /// The origin of a response.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Source<'a> {
+pub struct ResponseSource<'a> {
     /// The service.
     pub service: &'a str,
     /// The endpoint's software version.
@@ -104,7 +104,7 @@
     }
 
     /// Handles the loss of the record of how a service's last rollout ended.
-    pub fn end_lost(&mut self, now: Duration, service: &str) {
+    pub fn handle_lost_end(&mut self, now: Duration, service: &str) {
         if let Some(active) = self.by_service.get_mut(service) {
             active.reschedule_end(now);
         }
@@ -118,32 +118,32 @@
         service: &str,
         session: Option<u64>,
         hash: u64,
-    ) -> Allowed {
+    ) -> AllowedVersions {
         let Some(active) = self.by_service.get(service) else {
-            return Allowed::All;
+            return AllowedVersions::All;
         };
         let target = active.roll_out.target.clone();
         match active.roll_out.end {
-            Some(RollOutEnd::Completed) => return Allowed::Prefer(target),
-            Some(RollOutEnd::RolledBack) => return Allowed::Not(target),
+            Some(RollOutEnd::Completed) => return AllowedVersions::Prefer(target),
+            Some(RollOutEnd::RolledBack) => return AllowedVersions::Exclude(target),
             None => {}
         }
         if active.verdict == Verdict::Bad {
-            return Allowed::Not(target);
+            return AllowedVersions::Exclude(target);
         }
         let phase = active.phase(now);
         let in_trial = phase == Phase::Trial;
         let is_old = session.is_some_and(|s| self.sessions.is_on_old(s, &target));
         let share = active.share.unwrap_or(0.0);
         match uses_new_version(phase, share, session.unwrap_or(hash)) {
-            true if in_trial && is_old => Allowed::Not(target),
-            true if in_trial => Allowed::Trial {
+            true if in_trial && is_old => AllowedVersions::Exclude(target),
+            true if in_trial => AllowedVersions::Trial {
                 version: target,
                 seed: state::hash(&(service, &active.roll_out.target)),
                 share,
             },
-            true => Allowed::Prefer(target),
-            false => Allowed::Not(target),
+            true => AllowedVersions::Prefer(target),
+            false => AllowedVersions::Exclude(target),
         }
     }
 
@@ -175,7 +175,7 @@
         service: &str,
         session: u64,
         version: &str,
-    ) -> Option<OnOld> {
+    ) -> Option<OldSessions> {
         self.sessions.pin(now, session, version);
         let active = self.by_service.get(service)?;
         let is_old = version != active.roll_out.target;
@@ -192,34 +192,44 @@
 
     /// Records a response head: whether the endpoint failed, and how long it took, where that time
     /// is meaningful.
-    pub fn answered(&mut self, source: &Source<'_>, failed: bool, time: Option<(Pace, Duration)>) {
+    pub fn record_response(
+        &mut self,
+        source: &ResponseSource<'_>,
+        failed: bool,
+        time: Option<(LatencyClass, Duration)>,
+    ) {
         if let Some((counts, _)) = self.counts(source) {
             counts.answers += 1;
             counts.failed += u64::from(failed);
         }
-        if let Some((pace, time)) = time {
-            self.timed(source, pace, time);
+        if let Some((class, time)) = time {
+            self.record_duration(source, class, time);
         }
         if let Some(active) = self.by_service.get_mut(source.service) {
             active.update_verdict();
         }
     }
 
-    /// Records how long an endpoint took; durations with the same pace are comparable.
-    pub fn timed(&mut self, source: &Source<'_>, pace: Pace, time: Duration) {
-        let threshold = self.slow_after(pace);
+    /// Records how long an endpoint took; durations of one latency class are comparable.
+    pub fn record_duration(
+        &mut self,
+        source: &ResponseSource<'_>,
+        class: LatencyClass,
+        time: Duration,
+    ) {
+        let threshold = self.slow_threshold(class);
         if let Some(threshold) = threshold {
-            self.judged(source, time > threshold);
+            self.record_slow(source, time > threshold);
         }
         let is_new = self.counts(source).is_some_and(|(_, is_new)| is_new);
         if !is_new {
-            self.baselines.learn(pace, time);
+            self.baselines.record(class, time);
         }
     }
 
     /// Records whether an endpoint was slow when the duration is not known, for example because the
     /// response is still outstanding.
-    pub fn judged(&mut self, source: &Source<'_>, slow: bool) {
+    pub fn record_slow(&mut self, source: &ResponseSource<'_>, slow: bool) {
         if let Some((counts, _)) = self.counts(source) {
             counts.timed += 1;
             counts.slow += u64::from(slow);
@@ -229,14 +239,14 @@
         }
     }
 
-    /// Returns the duration above which a sample of this pace counts as slow, if a baseline exists.
-    pub fn slow_after(&self, pace: Pace) -> Option<Duration> {
-        self.baselines.slow_after(pace)
+    /// Returns the duration above which a sample of this class is slow, if a baseline exists.
+    pub fn slow_threshold(&self, class: LatencyClass) -> Option<Duration> {
+        self.baselines.slow_threshold(class)
     }
 
     /// Returns the counters for a response and whether it is from the new version, while a rollout
     /// is in progress.
-    fn counts(&mut self, source: &Source<'_>) -> Option<(&mut Counts, bool)> {
+    fn counts(&mut self, source: &ResponseSource<'_>) -> Option<(&mut Counts, bool)> {
         let active = self.by_service.get_mut(source.service)?;
         let is_new = active.roll_out.target == source.version;
         // The endpoints of the old version are counted together: they form the baseline.
@@ -263,7 +273,7 @@
     pub fn merge_report(&mut self, now: Duration, report: &Report) {
         let reported_order = report.roll_out();
         let known = self.by_service.get(&report.service).map(|a| &a.roll_out);
-        if known.is_none_or(|known| known.is_overtaken_by(&reported_order)) {
+        if known.is_none_or(|known| known.is_superseded_by(&reported_order)) {
             self.update(now, reported_order.clone());
         }
         let Some(active) = self.by_service.get_mut(&report.service) else {
@@ -286,8 +296,8 @@
     }
 
     /// Merges the sessions that another node has on an old version.
-    pub fn merge_old_sessions(&mut self, now: Duration, on_old: &OnOld) {
-        for &session in &on_old.sessions {
+    pub fn merge_old_sessions(&mut self, now: Duration, old_sessions: &OldSessions) {
+        for &session in &old_sessions.sessions {
             self.sessions.pin_old(now, session);
         }
     }
@@ -317,8 +327,8 @@
                 target: a.roll_out.target.clone(),
                 duration_ms: millis(a.roll_out.duration),
                 age_ms: millis(now.saturating_sub(a.started_at)),
-                new: report::cells(&a.own_counts.new),
-                old: report::cells(&a.own_counts.old),
+                new: report::to_wire(&a.own_counts.new),
+                old: report::to_wire(&a.own_counts.old),
                 old_busy: old_busy(&a.roll_out.service, &a.roll_out.target),
                 rate: self.rates.get(now, &a.roll_out.service),
                 recent_rate: self.rates.recent(now, &a.roll_out.service),
@@ -335,7 +345,7 @@
     /// Returns the sessions that this node has on old versions and that other nodes need to know of
     /// while rollouts are in progress; empty if the full list was sent less than
     /// `SESSIONS_INTERVAL` ago.
-    pub fn on_old(&mut self, now: Duration) -> Vec<OnOld> {
+    pub fn old_session_messages(&mut self, now: Duration) -> Vec<OldSessions> {
         if self
             .sessions_sent_at
             .is_some_and(|sent_at| now < sent_at + SESSIONS_INTERVAL)
@@ -344,7 +354,7 @@
         }
         let active = self.by_service.values();
         let undecided = active.filter(|a| a.is_undecided(now));
-        let messages: Vec<OnOld> = undecided
+        let messages: Vec<OldSessions> = undecided
             .flat_map(|a| self.sessions.to_send(&a.roll_out.target, |s| a.may_join(s)))
             .collect();
         self.sessions_sent_at = Some(now).filter(|_| !messages.is_empty());
--- a/crates/oatdale-relay/src/roll_outs/active.rs
+++ b/crates/oatdale-relay/src/roll_outs/active.rs
@@ -21,7 +21,7 @@
 
 /// Number of nodes that take turns writing the outcome and receive reports from the others; enough
 /// that some of them are alive.
-pub(crate) const JUDGES: usize = 8;
+pub(crate) const COORDINATORS: usize = 8;
 
 /// Requests at endpoints per client request; higher than 1 because of retries.
 const ATTEMPTS_PER_REQUEST: f64 = 1.4;
@@ -174,7 +174,7 @@
             _ => return None,
         };
         let first_due = *self.due_since.get_or_insert(now);
-        let earliest = first_due + END_WRITE_STAGGER * rank.min(JUDGES) as u32;
+        let earliest = first_due + END_WRITE_STAGGER * rank.min(COORDINATORS) as u32;
         let is_waiting = self
             .last_write
             .is_some_and(|last_write| now < last_write + END_WRITE_INTERVAL);
--- a/crates/oatdale-relay/src/roll_outs/usual.rs
+++ b/crates/oatdale-relay/src/roll_outs/baseline.rs
@@ -5,21 +5,21 @@
 use std::time::Duration;
 
 /// A class of responses, or of pauses between events, with comparable durations.
-pub type Pace = u64;
+pub type LatencyClass = u64;
 
-/// Baseline durations by pace.
+/// Baseline durations by latency class.
 #[derive(Debug, Default)]
 pub(super) struct BaselineTimes {
-    by_pace: HashMap<Pace, BaselineTime>,
+    by_class: HashMap<LatencyClass, BaselineTime>,
 }
 
 impl BaselineTimes {
-    pub(super) fn learn(&mut self, pace: Pace, time: Duration) {
-        self.by_pace.entry(pace).or_default().record(time);
+    pub(super) fn record(&mut self, class: LatencyClass, time: Duration) {
+        self.by_class.entry(class).or_default().record(time);
     }
 
     /// Returns the duration above which a sample counts as slow, if a baseline exists.
-    pub(super) fn slow_after(&self, pace: Pace) -> Option<Duration> {
-        self.by_pace.get(&pace)?.slow_threshold()
+    pub(super) fn slow_threshold(&self, class: LatencyClass) -> Option<Duration> {
+        self.by_class.get(&class)?.slow_threshold()
     }
 }
--- a/crates/oatdale-relay/src/roll_outs/report.rs
+++ b/crates/oatdale-relay/src/roll_outs/report.rs
@@ -22,9 +22,9 @@
     /// Age of the order as known to the node, in milliseconds.
     pub age_ms: u64,
     /// Response counts of the new version.
-    pub new: Vec<CellWire>,
+    pub new: Vec<OriginCountsWire>,
     /// Response counts of the old versions.
-    pub old: Vec<CellWire>,
+    pub old: Vec<OriginCountsWire>,
     /// Whether the node has requests in flight on an old version.
     pub old_busy: bool,
     /// The node's requests per second for the service.
@@ -36,11 +36,11 @@
 /// Response counts of one origin: route, endpoint, and the numbers of all, failed, timed and slow
 /// responses. Encoded without field names so that dozens of them fit into a datagram.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
-pub struct CellWire(u32, u32, [u64; 4]);
+pub struct OriginCountsWire(u32, u32, [u64; 4]);
 
 /// Sessions that began on an old version and would be in the trial if they were new.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
-pub struct OnOld {
+pub struct OldSessions {
     /// Hashes of the session names.
     pub sessions: Vec<u64>,
 }
@@ -58,26 +58,28 @@
     }
 
     pub(super) fn version_counts(&self) -> VersionCounts {
-        let cells = |wire: &[CellWire]| wire.iter().copied().map(Into::into).collect();
+        let decode = |wire: &[OriginCountsWire]| wire.iter().copied().map(Into::into).collect();
         VersionCounts {
-            new: cells(&self.new),
-            old: cells(&self.old),
+            new: decode(&self.new),
+            old: decode(&self.old),
         }
     }
 }
 
-pub(super) fn cells(cells: &CountsByOrigin) -> Vec<CellWire> {
-    cells.iter().map(CellWire::from).collect()
+pub(super) fn to_wire(counts: &CountsByOrigin) -> Vec<OriginCountsWire> {
+    counts.iter().map(OriginCountsWire::from).collect()
 }
 
-impl From<(Origin, Counts)> for CellWire {
+impl From<(Origin, Counts)> for OriginCountsWire {
     fn from((origin, counts): (Origin, Counts)) -> Self {
-        CellWire(origin.route, origin.endpoint, to_array(counts))
+        OriginCountsWire(origin.route, origin.endpoint, to_array(counts))
     }
 }
 
-impl From<CellWire> for (Origin, Counts) {
-    fn from(CellWire(route, endpoint, [answers, failed, timed, slow]): CellWire) -> Self {
+impl From<OriginCountsWire> for (Origin, Counts) {
+    fn from(
+        OriginCountsWire(route, endpoint, [answers, failed, timed, slow]): OriginCountsWire,
+    ) -> Self {
         let counts = Counts {
             answers,
             failed,
--- a/crates/oatdale-relay/src/roll_outs/sessions.rs
+++ b/crates/oatdale-relay/src/roll_outs/sessions.rs
@@ -5,7 +5,7 @@
 //! sessions to each other: each new one at once, since its next request may follow within a second,
 //! and all of them periodically, for nodes that missed the first message or started later.
 
-use super::report::OnOld;
+use super::report::OldSessions;
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
@@ -57,7 +57,7 @@
 
     /// Returns the announcement of a session that this node has just pinned to an old version, or
     /// `None` if it was announced less than `ANNOUNCE_INTERVAL` ago.
-    pub(super) fn announce(&mut self, now: Duration, session: u64) -> Option<OnOld> {
+    pub(super) fn announce(&mut self, now: Duration, session: u64) -> Option<OldSessions> {
         let pin = self.pins.get_mut(&session)?;
         if pin
             .announced_at
@@ -69,7 +69,7 @@
         self.recent.push_front(session);
         self.recent.truncate(RECENT_SESSIONS);
         let sessions = self.recent.iter().copied().collect();
-        Some(OnOld { sessions })
+        Some(OldSessions { sessions })
     }
 
     /// Pins a session that another node has on an old version.
@@ -90,7 +90,7 @@
 
     /// Returns announcements of the sessions that this node itself has on an old version and that
     /// other nodes might route to the new one because they may be in the trial.
-    pub(super) fn to_send(&self, target: &str, may_join: impl Fn(u64) -> bool) -> Vec<OnOld> {
+    pub(super) fn to_send(&self, target: &str, may_join: impl Fn(u64) -> bool) -> Vec<OldSessions> {
         let on_old = |pin: &Pin| pin.version.as_deref().is_some_and(|v| v != target);
         let all: Vec<u64> = self
             .pins
@@ -101,7 +101,7 @@
             .collect();
         let batches = all.chunks(SESSIONS_PER_DATAGRAM);
         batches
-            .map(|batch| OnOld {
+            .map(|batch| OldSessions {
                 sessions: batch.to_vec(),
             })
             .collect()
--- a/crates/oatdale-relay/src/serve.rs
+++ b/crates/oatdale-relay/src/serve.rs
@@ -143,7 +143,7 @@
     let first_byte = request_cx.arrival.elapsed().as_secs_f64();
     match result {
         Ok(Reply::Buffered(head, body, endpoint)) => {
-            cx.note_completed(&request_cx);
+            cx.record_completion(&request_cx);
             cx.metrics.first_byte.observe(first_byte);
             request_log.fields += &format!("endpoint={endpoint} status={} ", head.status.as_u16());
             request_log.set_outcome("complete");
@@ -162,7 +162,7 @@
         Err((refusal, detail)) => {
             request_log.set_outcome(&format!("refused {refusal}: {detail}"));
             let retry = match refusal {
-                Refusal::Quarantined => cx.quarantine_left(&request_cx),
+                Refusal::Quarantined => cx.remaining_quarantine(&request_cx),
                 _ if refusal.status().as_u16() == 503 => Some(retry_delay(cx, &request_cx)),
                 _ => None,
             };
@@ -338,7 +338,7 @@
             }
             Read::Broken(reason) => {
                 endpoint_res.in_flight.record_no_response();
-                crashes::note_broken(cx, request_cx, &endpoint_res.in_flight);
+                crashes::check_after_break(cx, request_cx, &endpoint_res.in_flight);
                 return Decision::Failed(Failure::Unknown(reason));
             }
             Read::Late => return Decision::Failed(Failure::Unknown("body timed out".to_owned())),
@@ -391,12 +391,12 @@
                 Some((Ok(chunk), Some((cx, request_cx, endpoint_res, request_log))))
             }
             Read::End => {
-                cx.note_completed(&request_cx);
+                cx.record_completion(&request_cx);
                 request_log.set_outcome("complete");
                 None
             }
             Read::Broken(reason) => {
-                crashes::note_broken(&cx, &request_cx, &endpoint_res.in_flight);
+                crashes::check_after_break(&cx, &request_cx, &endpoint_res.in_flight);
                 request_log.set_outcome(&format!("response body broke off: {reason}"));
                 Some((Err(io::Error::other(reason)), None))
             }
--- a/crates/oatdale-relay/src/settings.rs
+++ b/crates/oatdale-relay/src/settings.rs
@@ -158,7 +158,7 @@
     }
 
     /// Whether a text contains relay settings, that is, names one of the relay's platforms.
-    pub fn is_meant(text: &str) -> bool {
+    pub fn is_relay_settings(text: &str) -> bool {
         #[derive(Deserialize)]
         struct Head {
             #[expect(dead_code, reason = "only its presence and type count")]
--- a/crates/oatdale-relay/src/site.rs
+++ b/crates/oatdale-relay/src/site.rs
@@ -7,7 +7,7 @@
 
 /// One version of the relay configuration.
 #[derive(Clone, PartialEq, Debug)]
-pub struct Site {
+pub struct SiteConfig {
     /// Version number; increases with each change.
     pub version: u64,
     /// All routes.
@@ -145,7 +145,7 @@
     }
 
     /// Returns the customer that owns an API key.
-    pub fn of_key(&self, key: &str) -> Option<&Customer> {
+    pub fn find_by_key(&self, key: &str) -> Option<&Customer> {
         self.by_key.get(key).map(|&index| &self.customers[index])
     }
 }
@@ -162,7 +162,7 @@
     }
 }
 
-impl Site {
+impl SiteConfig {
     /// Creates a configuration.
     pub fn new(
         version: u64,
@@ -170,7 +170,7 @@
         services: HashMap<String, ServiceFacts>,
         limits: CallerLimits,
         customers: Option<Customers>,
-    ) -> Site {
+    ) -> SiteConfig {
         let mut by_host: HashMap<String, Vec<usize>> = HashMap::new();
         for (index, route) in routes.iter().enumerate() {
             by_host.entry(route.host.clone()).or_default().push(index);
@@ -178,7 +178,7 @@
         for indices in by_host.values_mut() {
             indices.sort_by_key(|&index| std::cmp::Reverse(routes[index].prefix.len()));
         }
-        Site {
+        SiteConfig {
             version,
             routes,
             services,
--- a/crates/oatdale-relay/src/state.rs
+++ b/crates/oatdale-relay/src/state.rs
@@ -2,13 +2,13 @@
 
 mod warm_up;
 
-use crate::crashes::{Checks, Unrecorded};
+use crate::crashes::{CrashChecks, PendingRecords};
 use crate::directory::{Directory, EndpointKey, Entry};
-use crate::loads::{Adder, Shared};
+use crate::loads::{LoadAggregator, LoadSums};
 use crate::nodes::Nodes;
-use crate::roll_outs::{Allowed, RollOuts};
+use crate::roll_outs::{AllowedVersions, RollOuts};
 use crate::settings::Bounds;
-use crate::site::Site;
+use crate::site::SiteConfig;
 use oatdale_policy::relay::{
     Candidate, Mean, Placement, Quarantine, RetryLimit, RetryLimiter, choose,
 };
@@ -38,20 +38,20 @@
 /// State of the relay, as learned from the platform and from responses.
 pub(crate) struct State {
     pub(crate) bounds: Bounds,
-    pub(crate) site: Option<Arc<Site>>,
+    pub(crate) site: Option<Arc<SiteConfig>>,
     pub(crate) directory: Directory,
     /// Pending checks whether endpoints crashed.
-    pub(crate) checks: Checks,
+    pub(crate) checks: CrashChecks,
     /// Requests quarantined because they crash endpoints.
     pub(crate) quarantine: Quarantine,
     /// This node's quarantine decisions that the platform's records do not contain yet.
-    pub(crate) unrecorded: Unrecorded,
+    pub(crate) pending_records: PendingRecords,
     pub(crate) roll_outs: RollOuts,
     pub(crate) nodes: Nodes,
     /// Sums up the loads reported by other nodes.
-    pub(crate) load_aggregator: Adder,
+    pub(crate) load_aggregator: LoadAggregator,
     /// Load of all nodes together at each endpoint.
-    pub(crate) load_sums: Shared,
+    pub(crate) load_sums: LoadSums,
     retry_limiters: HashMap<String, RetryLimiter>,
     /// Mean wait at the largest models, as a fraction of their target latency, by service.
     largest_model_waits: HashMap<String, Mean>,
@@ -74,7 +74,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PlacementRequest<'a> {
     pub(crate) service: &'a str,
-    pub(crate) allowed: &'a Allowed,
+    pub(crate) allowed: &'a AllowedVersions,
     /// Endpoints that the request was already sent to.
     pub(crate) excluded: &'a [EndpointKey],
     /// Hash of the prompt's shared prefix, if an engine may have it cached.
@@ -90,13 +90,13 @@
             bounds,
             site: None,
             directory: Directory::default(),
-            checks: Checks::default(),
+            checks: CrashChecks::default(),
             quarantine: Quarantine::default(),
-            unrecorded: Unrecorded::default(),
+            pending_records: PendingRecords::default(),
             roll_outs: RollOuts::default(),
             nodes: Nodes::default(),
-            load_aggregator: Adder::default(),
-            load_sums: Shared::default(),
+            load_aggregator: LoadAggregator::default(),
+            load_sums: LoadSums::default(),
             retry_limiters: HashMap::new(),
             largest_model_waits: HashMap::new(),
             generation_sizes: HashMap::new(),
@@ -131,7 +131,7 @@
     }
 
     /// Drops statistics of routes that the configuration no longer has.
-    pub(crate) fn retain_routes(&mut self, site: &Site) {
+    pub(crate) fn retain_routes(&mut self, site: &SiteConfig) {
         let names: HashSet<_> = site.routes.iter().map(|r| r.name.as_str()).collect();
         self.generation_sizes
             .retain(|name, _| names.contains(name.as_str()));
@@ -204,9 +204,11 @@
         };
         let available = filter_entries(&eligible, |e| has_capacity(now, e, time));
         match request.allowed {
-            Allowed::Trial { version, .. } if available.is_empty() => filter_entries(all, |e| {
-                e.endpoint.version != *version && has_capacity(now, e, time)
-            }),
+            AllowedVersions::Trial { version, .. } if available.is_empty() => {
+                filter_entries(all, |e| {
+                    e.endpoint.version != *version && has_capacity(now, e, time)
+                })
+            }
             _ => available,
         }
     }
@@ -235,18 +237,18 @@
 /// Returns the endpoints whose version the request may use.
 fn filter_by_version<'a>(
     now: Duration,
-    allowed: &Allowed,
+    allowed: &AllowedVersions,
     all: &[KeyedEntry<'a>],
 ) -> Vec<KeyedEntry<'a>> {
     let is_version = |version: &str, e: &Entry| e.endpoint.version == version;
     match allowed {
-        Allowed::All => all.to_vec(),
-        Allowed::Not(version) => filter_entries(all, |e| !is_version(version, e)),
-        Allowed::Prefer(version) => match filter_entries(all, |e| is_version(version, e)) {
+        AllowedVersions::All => all.to_vec(),
+        AllowedVersions::Exclude(version) => filter_entries(all, |e| !is_version(version, e)),
+        AllowedVersions::Prefer(version) => match filter_entries(all, |e| is_version(version, e)) {
             preferred if preferred.is_empty() => all.to_vec(),
             preferred => preferred,
         },
-        Allowed::Trial {
+        AllowedVersions::Trial {
             version,
             seed,
             share,
--- a/crates/oatdale-relay/src/stream.rs
+++ b/crates/oatdale-relay/src/stream.rs
@@ -4,7 +4,7 @@
 use crate::crashes;
 use crate::cx::Cx;
 use crate::endpoint_response::{EndpointResponse, Read};
-use crate::events::WholeEvents;
+use crate::events::EventReassembler;
 use crate::request_context::RequestContext;
 use crate::request_log::RequestLog;
 use crate::site::RouteKind;
@@ -34,7 +34,7 @@
     cx: Arc<Cx<W>>,
     request_cx: RequestContext,
     response: EndpointResponse<W>,
-    events: WholeEvents,
+    events: EventReassembler,
     request_log: RequestLog<W>,
     /// Whether the caller has received the end of the stream, or an error instead.
     ended: bool,
@@ -58,7 +58,7 @@
         response: EndpointResponse<W>,
         request_log: RequestLog<W>,
     ) -> Self {
-        let events = WholeEvents::after(request_cx.metadata.last_event_id);
+        let events = EventReassembler::after(request_cx.metadata.last_event_id);
         EventRelay {
             cx,
             request_cx,
@@ -93,8 +93,8 @@
                         return Some(Ok(complete_events));
                     }
                 },
-                Item::End if !self.events.is_cut() => {
-                    self.cx.note_completed(&self.request_cx);
+                Item::End if !self.events.has_partial() => {
+                    self.cx.record_completion(&self.request_cx);
                     self.request_log.set_outcome("complete");
                     self.ended = true;
                     return None;
@@ -118,7 +118,7 @@
         let mut state = self.cx.state();
         state
             .roll_outs
-            .timed(&source, self.request_cx.event_pace(), pace);
+            .record_duration(&source, self.request_cx.event_latency_class(), pace);
     }
 
     /// Time at which the stream counts as slow unless more events arrive before.
@@ -127,14 +127,14 @@
             .cx
             .state()
             .roll_outs
-            .slow_after(self.request_cx.event_pace())?;
+            .slow_threshold(self.request_cx.event_latency_class())?;
         self.pace.slow_at(bound)
     }
 
     fn record_slow(&mut self) {
         self.pace.mark_slow();
         let source = self.request_cx.source(&self.response.in_flight);
-        self.cx.state().roll_outs.judged(&source, true);
+        self.cx.state().roll_outs.record_slow(&source, true);
     }
 
     async fn read(&mut self) -> Item {
@@ -188,8 +188,8 @@
     /// Resumes the stream at another endpoint, or returns the reason why that failed.
     async fn resume(&mut self, broken: &str) -> Result<(), String> {
         self.response.in_flight.record_no_response();
-        crashes::note_broken(&self.cx, &self.request_cx, &self.response.in_flight);
-        self.events.drop_part();
+        crashes::check_after_break(&self.cx, &self.request_cx, &self.response.in_flight);
+        self.events.discard_partial();
         let last_event_id = self.events.last();
         let mut reason = broken.to_owned();
         while self.request_cx.route().kind == RouteKind::ResumableStream
--- a/crates/oatdale-relay/src/update.rs
+++ b/crates/oatdale-relay/src/update.rs
@@ -3,7 +3,7 @@
 use crate::replica::Replica;
 use crate::revision::Revision;
 use crate::settings::Settings;
-use crate::site::Site;
+use crate::site::SiteConfig;
 use crate::state::hash;
 use oatdale_policy::relay::{Fingerprint, ReaderCandidate};
 use serde::{Deserialize, Serialize};
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug)]
 pub enum Update {
     /// A configuration; one that is older than the one in force is ignored.
-    Site(Arc<Site>),
+    Site(Arc<SiteConfig>),
     /// All endpoints; any other known endpoint is gone.
     Endpoints(Vec<Endpoint>),
     /// An endpoint is new or has changed.
@@ -53,16 +53,16 @@
         /// The request.
         request: Fingerprint,
         /// Whether the request is to be refused.
-        is_held: bool,
+        is_quarantined: bool,
     },
     /// Whether this node reads the records for itself only, and so sends what it reads to all other
     /// nodes. Nodes that have a reader do not, since all of them would send the same at once.
-    ReadsAlone(bool),
+    ReadsOnlyForItself(bool),
     /// The platform's key-value service does not answer this node.
-    StoreLost,
+    StoreUnavailable,
     /// The key-value service answers again, and all records read since then were read after its
     /// return.
-    StoreBack,
+    StoreAvailable,
 }
 
 /// A command from the relay to the adapter.
@@ -82,10 +82,10 @@
         /// The request.
         request: Fingerprint,
         /// Whether the request is to be refused.
-        is_held: bool,
+        is_quarantined: bool,
     },
     /// Removes this node from the list of nodes that callers get.
-    Leave,
+    Deregister,
 }
 
 /// One start of one endpoint.
@@ -149,7 +149,7 @@
     ///
     /// An order of a later era may come from an older backup, which that node cannot detect if it
     /// has just started. In that case the records decide.
-    pub(crate) fn is_overtaken_by(&self, other: &RollOut) -> bool {
+    pub(crate) fn is_superseded_by(&self, other: &RollOut) -> bool {
         self.order < other.order && self.order.era == other.order.era
     }
 }
--- a/crates/oatdale-relay/src/versions.rs
+++ b/crates/oatdale-relay/src/versions.rs
@@ -31,7 +31,7 @@
 
 /// How long the version of a key that was read takes precedence over that of a restored service.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Keep {
+pub enum RetentionPolicy {
     /// Not at all: the nodes write the record again themselves.
     Never,
     /// For as long as its lease may take to expire and its owner to write the record again.
@@ -42,8 +42,8 @@
 
 /// The versions of the records of one topic.
 #[derive(Debug)]
-pub struct Versions {
-    policy: fn(&str) -> Keep,
+pub struct VersionTracker {
+    policy: fn(&str) -> RetentionPolicy,
     era: Option<u64>,
     /// When the last restore was detected.
     restored_at: Option<Duration>,
@@ -99,10 +99,10 @@
     pub revision: Revision,
 }
 
-impl Versions {
+impl VersionTracker {
     /// Creates an empty set of versions, where `policy` gives the retention of a key.
-    pub fn new(policy: fn(&str) -> Keep) -> Self {
-        Versions {
+    pub fn new(policy: fn(&str) -> RetentionPolicy) -> Self {
+        VersionTracker {
             policy,
             era: None,
             restored_at: None,
@@ -112,7 +112,12 @@
     }
 
     /// Applies all records as read at a revision, and returns those that are valid.
-    pub fn take_all(&mut self, now: Duration, revision: Revision, all: Vec<Record>) -> Vec<Record> {
+    pub fn apply_snapshot(
+        &mut self,
+        now: Duration,
+        revision: Revision,
+        all: Vec<Record>,
+    ) -> Vec<Record> {
         self.observe_era(now, revision.era);
         let present: BTreeSet<String> = all.iter().map(|r| r.key.clone()).collect();
         let mut valid: Vec<Record> = all
@@ -126,7 +131,7 @@
 
     /// Applies changes up to a revision. All of them are valid, since they were written after the
     /// backup was made.
-    pub fn take_changes(&mut self, now: Duration, revision: Revision, changes: &[Record]) {
+    pub fn apply_changes(&mut self, now: Duration, revision: Revision, changes: &[Record]) {
         self.observe_era(now, revision.era);
         for record in changes {
             match self.keys.get_mut(&record.key) {
@@ -138,7 +143,7 @@
     }
 
     /// Applies the versions that another node knows, before anything is read.
-    pub fn learn(&mut self, now: Duration, known: Vec<KnownVersions>) {
+    pub fn import(&mut self, now: Duration, known: Vec<KnownVersions>) {
         for known in known {
             let superseded = known.overtaken.into_iter();
             let superseded = superseded.map(|(revision, hash)| (Version { revision, hash }, now));
@@ -159,7 +164,7 @@
 
     /// Returns the versions of keys that were superseded recently or whose kept record differs from
     /// the service's.
-    pub fn known(&self, now: Duration) -> Vec<KnownVersions> {
+    pub fn export(&self, now: Duration) -> Vec<KnownVersions> {
         let known = self.keys.iter().map(|(key, versions)| {
             let is_kept = |reason: &KeepReason| self.takes_precedence(now, key, reason.retention());
             let kept = versions.keep_reason.filter(is_kept).map(|_| KeptVersion {
@@ -184,7 +189,7 @@
             .keys
             .iter()
             .filter_map(|(key, v)| Some((key, v.keep_reason?)));
-        let leased = kept.filter(|(key, _)| (self.policy)(key) == Keep::WhileLeased);
+        let leased = kept.filter(|(key, _)| (self.policy)(key) == RetentionPolicy::WhileLeased);
         let times = leased.map(|(_, reason)| reason.retention());
         times.min().map(|retention| restored_at + retention)
     }
@@ -200,9 +205,9 @@
     /// holds for `retention` after a restore.
     fn takes_precedence(&self, now: Duration, key: &str, retention: Duration) -> bool {
         match ((self.policy)(key), self.restored_at) {
-            (Keep::Never, _) | (_, None) => false,
-            (Keep::WhileLeased, Some(restored_at)) => now < restored_at + retention,
-            (Keep::UntilWritten, Some(_)) => true,
+            (RetentionPolicy::Never, _) | (_, None) => false,
+            (RetentionPolicy::WhileLeased, Some(restored_at)) => now < restored_at + retention,
+            (RetentionPolicy::UntilWritten, Some(_)) => true,
         }
     }
 
--- a/crates/oatdale-relay/tests/loads.rs
+++ b/crates/oatdale-relay/tests/loads.rs
@@ -1,6 +1,6 @@
 //! Load reports between nodes, and their sums.
 
-use oatdale_relay::{Adder, Load, MOST_LOADS, Scheme, Shared};
+use oatdale_relay::{AggregationScheme, Load, LoadAggregator, LoadSums, MAX_LOADS_PER_DATAGRAM};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -18,8 +18,8 @@
 
 #[test]
 fn sums_minus_own_load_give_the_load_of_the_other_nodes() {
-    let mut aggregator = Adder::default();
-    let mut load_sums = Shared::default();
+    let mut aggregator = LoadAggregator::default();
+    let mut load_sums = LoadSums::default();
     let own = load_sums.own_report([(1, 3.0), (2, 0.5)].into_iter());
     assert_eq!(own, [load(1, 30), load(2, 5)]);
     aggregator.record_report(ms(0), node(1), &own);
@@ -38,7 +38,7 @@
 // that belong there would be sent to other endpoints for a second.
 #[test]
 fn load_that_drops_to_zero_is_reported_once() {
-    let mut load_sums = Shared::default();
+    let mut load_sums = LoadSums::default();
     load_sums.own_report([(1, 3.0), (2, 1.0)].into_iter());
     let next = load_sums.own_report([(1, 0.0), (2, 1.0)].into_iter());
     assert_eq!(next, [load(2, 10), load(1, 0)]);
@@ -48,7 +48,7 @@
 // Both aggregators are down, or a node is cut off. Old reports say nothing about the current load.
 #[test]
 fn reports_older_than_a_second_are_ignored() {
-    let mut aggregator = Adder::default();
+    let mut aggregator = LoadAggregator::default();
     aggregator.record_report(ms(0), node(1), &[load(1, 30)]);
     aggregator.record_report(ms(900), node(2), &[load(1, 5)]);
     let (nodes, sums, reporters) = aggregator.sum(ms(1_100));
@@ -56,7 +56,7 @@
         (nodes, sums, reporters),
         (1, vec![load(1, 5)], vec![node(2)])
     );
-    let mut load_sums = Shared::default();
+    let mut load_sums = LoadSums::default();
     load_sums.record_sums(ms(0), 5, &[load(1, 50)]);
     assert_eq!(load_sums.other_nodes_load(ms(999), 1), 5.0);
     assert_eq!(load_sums.other_nodes_load(ms(1_000), 1), 0.0);
@@ -67,7 +67,7 @@
 // them, all endpoints would look idle.
 #[test]
 fn sum_over_few_nodes_does_not_replace_one_over_many() {
-    let mut load_sums = Shared::default();
+    let mut load_sums = LoadSums::default();
     load_sums.record_sums(ms(0), 60, &[load(1, 400)]);
     load_sums.record_sums(ms(100), 3, &[load(1, 10)]);
     assert_eq!(load_sums.other_nodes_load(ms(200), 1), 40.0);
@@ -82,7 +82,7 @@
 // site: only idle sites would know theirs.
 #[test]
 fn largest_load_report_fits_into_a_datagram() {
-    let all = vec![load(u32::MAX, u16::MAX); MOST_LOADS];
+    let all = vec![load(u32::MAX, u16::MAX); MAX_LOADS_PER_DATAGRAM];
     let mut datagram = Vec::new();
     ciborium::into_writer(&all, &mut datagram).expect("loads are encodable");
     assert!(
@@ -97,7 +97,7 @@
 #[test]
 fn aggregator_traffic_is_bounded_at_any_site_size() {
     for (nodes, endpoints) in [(7, 12), (66, 117), (87, 90), (300, 300), (360, 2_100)] {
-        let scheme = Scheme::new(nodes, endpoints);
+        let scheme = AggregationScheme::new(nodes, endpoints);
         let a_second = 1.0 / scheme.interval.as_secs_f64();
         let in_group = endpoints as f64 / f64::from(scheme.groups);
         // A node that aggregates two groups, with 60 bytes overhead per datagram and nine bytes per
@@ -113,13 +113,13 @@
             "{nodes} nodes: {datagrams} datagrams per second, at most 256 expected"
         );
     }
-    assert_eq!(Scheme::new(66, 63).groups, 1);
+    assert_eq!(AggregationScheme::new(66, 63).groups, 1);
 }
 
 #[test]
 fn less_frequent_reports_stay_valid_longer() {
-    let mut load_sums = Shared::default();
-    let scheme = Scheme::new(360, 2_100);
+    let mut load_sums = LoadSums::default();
+    let scheme = AggregationScheme::new(360, 2_100);
     assert!(scheme.interval > ms(1_000), "{scheme:?}");
     load_sums.set_scheme(scheme);
     load_sums.record_sums(ms(0), 360, &[load(1, 50)]);
--- a/crates/oatdale-relay/tests/replica.rs
+++ b/crates/oatdale-relay/tests/replica.rs
@@ -36,7 +36,7 @@
 /// A replica with the records `a` and `b`, read at revision 10.
 fn replica() -> Replica {
     let replica = Replica::default();
-    replica.set_longest(100);
+    replica.set_max_value_bytes(100);
     replica.replace(TOPIC, rev(10), &[record("a", 3), record("b", 7)]);
     replica
 }
@@ -82,13 +82,13 @@
         (update.revision.number, keys(&update)),
         (10, vec!["a", "b"])
     );
-    assert_eq!(update.back, None);
+    assert_eq!(update.reachable_for, None);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_fetch_with_a_revision_returns_the_changes_after_it() {
     let replica = replica();
-    replica.change(
+    replica.apply_changes(
         TOPIC,
         rev(14),
         &[record("c", 11), deleted("a", 12), record("c", 14)],
@@ -113,7 +113,7 @@
     let replica = replica();
     let update = fetch(&replica, Some(rev(20))).await.expect("an update");
     assert_eq!((update.revision.number, keys(&update)), (20, vec![]));
-    replica.change(TOPIC, rev(21), &[record("b", 21)]);
+    replica.apply_changes(TOPIC, rev(21), &[record("b", 21)]);
     let update = fetch(&replica, Some(rev(20))).await.expect("an update");
     assert_eq!((update.revision.number, keys(&update)), (21, vec!["b"]));
 }
@@ -126,7 +126,7 @@
     let update = fetch(&replica, Some(rev(9))).await.expect("an update");
     assert!(update.is_snapshot);
     for revision in 11..6_000 {
-        replica.change(TOPIC, rev(revision), &[record("a", revision)]);
+        replica.apply_changes(TOPIC, rev(revision), &[record("a", revision)]);
     }
     let update = fetch(&replica, Some(rev(11))).await.expect("an update");
     assert!(update.is_snapshot);
@@ -192,7 +192,7 @@
     let pending = tokio::spawn(async move { reader.fetch(request(Some(rev(10)), WAIT)).await });
     tokio::time::sleep(WAIT / 4).await;
     let start = Instant::now();
-    replica.change(TOPIC, rev(11), &[deleted("a", 11)]);
+    replica.apply_changes(TOPIC, rev(11), &[deleted("a", 11)]);
     let update = pending
         .await
         .expect("the fetch completes")
@@ -241,17 +241,17 @@
     replica.replace(TOPIC, rev(20), &[record("b", 7)]);
     tokio::time::sleep(WAIT).await;
     let update = fetch(&replica, Some(rev(10))).await.expect("an update");
-    assert_eq!(update.back, Some(WAIT));
+    assert_eq!(update.reachable_for, Some(WAIT));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_cleared_replica_refuses_fetches() {
     let replica = replica();
-    assert!(replica.has(TOPIC));
+    assert!(replica.is_loaded(TOPIC));
     replica.clear();
-    assert!(!replica.has(TOPIC));
+    assert!(!replica.is_loaded(TOPIC));
     assert_eq!(fetch(&replica, None).await, None);
-    replica.change(TOPIC, rev(30), &[record("a", 30)]);
+    replica.apply_changes(TOPIC, rev(30), &[record("a", 30)]);
     assert_eq!(fetch(&replica, None).await, None);
 }
 
@@ -262,7 +262,7 @@
     let replica = replica();
     let mut long = record("a", 11);
     long.value = Some(Bytes::from(vec![b'x'; 101]));
-    replica.change(TOPIC, rev(11), &[long]);
+    replica.apply_changes(TOPIC, rev(11), &[long]);
     let update = fetch(&replica, Some(rev(10))).await.expect("an update");
     assert_eq!(update.records[0].content, Content::TooLong);
     assert_eq!(update.records[0].revision, rev(11));
@@ -275,7 +275,7 @@
     let replica = Arc::new(Replica::default());
     let reader = replica.clone();
     let pending = tokio::spawn(async move { reader.fetch(request(None, WAIT)).await });
-    timeout(WAIT / 4, replica.wanted())
+    timeout(WAIT / 4, replica.load_requested())
         .await
         .expect("the early request is signalled");
     replica.replace(TOPIC, rev(10), &[record("a", 3)]);
--- a/crates/oatdale-relay/tests/replica_spec.rs
+++ b/crates/oatdale-relay/tests/replica_spec.rs
@@ -127,7 +127,7 @@
     /// Returns the response of the production replica to a follower of this reader.
     fn reply(&self, model: &Model, reader: &Reader, after: Option<usize>) -> Option<ReplicaUpdate> {
         let replica = Replica::default();
-        replica.set_longest(100);
+        replica.set_max_value_bytes(100);
         for read in &reader.reads {
             match *read {
                 Read::Snapshot(at) => {
@@ -139,7 +139,7 @@
                         _ => to,
                     };
                     let changes = changes_between(&model.changes, from, to);
-                    replica.change(Topic::Endpoints, at(revision), &changes);
+                    replica.apply_changes(Topic::Endpoints, at(revision), &changes);
                 }
             }
         }
--- a/crates/oatdale-relay/tests/restore_spec.rs
+++ b/crates/oatdale-relay/tests/restore_spec.rs
@@ -2,16 +2,16 @@
 //! their values again at any time or not at all; readers read snapshots or changes with delay;
 //! responses arrive late; a follower switches between the readers.
 //!
-//! Which records are valid at a reader and how it responds is decided by the production `Versions`
-//! and `Replica`, fed with the reads of the model's reader. The service is a list of writes; a
-//! backup is a prefix of it.
+//! Which records are valid at a reader and how it responds is decided by the production
+//! `VersionTracker` and `Replica`, fed with the reads of the model's reader. The service is a list
+//! of writes; a backup is a prefix of it.
 
 use bytes::Bytes;
 use futures::FutureExt;
 use oatdale_check::{Counterexample, Spec, explore};
 use oatdale_relay::{
-    Content, FetchRequest, Keep, KnownVersions, Record, RecordUpdate, Replica, ReplicaUpdate,
-    Revision, Topic, Versions,
+    Content, FetchRequest, KnownVersions, Record, RecordUpdate, Replica, ReplicaUpdate,
+    RetentionPolicy, Revision, Topic, VersionTracker,
 };
 use std::time::Duration;
 use tokio::runtime::Builder;
@@ -109,8 +109,8 @@
     fault: Fault,
 }
 
-fn policy(_: &str) -> Keep {
-    Keep::UntilWritten
+fn policy(_: &str) -> RetentionPolicy {
+    RetentionPolicy::UntilWritten
 }
 
 fn key_index(record_key: &str) -> usize {
@@ -197,23 +197,23 @@
 
 impl Restores {
     /// Returns the production objects after all reads of a reader.
-    fn replay(&self, reader: &Reader) -> (Versions, Replica) {
-        let mut versions = Versions::new(policy);
+    fn replay(&self, reader: &Reader) -> (VersionTracker, Replica) {
+        let mut versions = VersionTracker::new(policy);
         let replica = Replica::default();
-        replica.set_longest(100);
+        replica.set_max_value_bytes(100);
         for input in &reader.inputs {
             match input {
-                Input::Known(known) => versions.learn(NOW, known.clone()),
+                Input::Known(known) => versions.import(NOW, known.clone()),
                 Input::Response(Response::Snapshot(revision, all)) => {
                     let valid = match self.fault {
                         Fault::AcceptsBackup => all.clone(),
-                        _ => versions.take_all(NOW, *revision, all.clone()),
+                        _ => versions.apply_snapshot(NOW, *revision, all.clone()),
                     };
                     replica.replace(Topic::Endpoints, *revision, &valid);
                 }
                 Input::Response(Response::Changes(_, revision, changes)) => {
-                    versions.take_changes(NOW, *revision, changes);
-                    replica.change(Topic::Endpoints, *revision, changes);
+                    versions.apply_changes(NOW, *revision, changes);
+                    replica.apply_changes(Topic::Endpoints, *revision, changes);
                 }
             }
         }
@@ -312,7 +312,7 @@
         let other = &model.readers[(index + 1) % READERS];
         match other.applied_up_to {
             None => (model.write_count == 0).then(Vec::new),
-            Some(other_rev) if other_rev.era == model.era => Some(self.replay(other).0.known(NOW)),
+            Some(other_rev) if other_rev.era == model.era => Some(self.replay(other).0.export(NOW)),
             Some(_) => None,
         }
     }
@@ -332,7 +332,7 @@
         let mut next = model.clone();
         let follower = &mut next.follower;
         if follower.applied_up_to.is_none() {
-            follower.known = self.replay(&model.readers[index]).0.known(NOW);
+            follower.known = self.replay(&model.readers[index]).0.export(NOW);
         }
         let revision = update.revision;
         let records: Vec<_> = update.records.into_iter().map(to_record).collect();
@@ -353,17 +353,17 @@
 
 /// Returns the values that the follower holds after all responses that it received.
 fn replay_follower(follower: &Follower) -> [u8; KEYS.len()] {
-    let mut versions = Versions::new(policy);
-    versions.learn(NOW, follower.known.clone());
+    let mut versions = VersionTracker::new(policy);
+    versions.import(NOW, follower.known.clone());
     let mut values = [0; KEYS.len()];
     for response in &follower.received {
         let records = match response {
             Response::Snapshot(revision, all) => {
                 values = Default::default();
-                versions.take_all(NOW, *revision, all.clone())
+                versions.apply_snapshot(NOW, *revision, all.clone())
             }
             Response::Changes(_, revision, changes) => {
-                versions.take_changes(NOW, *revision, changes);
+                versions.apply_changes(NOW, *revision, changes);
                 changes.clone()
             }
         };
--- a/crates/oatdale-relay/tests/roll_outs.rs
+++ b/crates/oatdale-relay/tests/roll_outs.rs
@@ -1,7 +1,7 @@
 //! Tests of rollout decisions from orders, a node's own responses and other nodes' reports.
 
 use oatdale_policy::relay::{ExposureLimit, Origin};
-use oatdale_relay::{Allowed, Revision, RollOut, RollOutEnd, RollOuts, Source};
+use oatdale_relay::{AllowedVersions, ResponseSource, Revision, RollOut, RollOutEnd, RollOuts};
 use std::time::Duration;
 
 const EXPOSURE_LIMIT: ExposureLimit = ExposureLimit {
@@ -34,8 +34,8 @@
 }
 
 /// A response from an endpoint of a version, on the only route.
-fn answer(version: &str, endpoint: u32) -> Source<'_> {
-    Source {
+fn answer(version: &str, endpoint: u32) -> ResponseSource<'_> {
+    ResponseSource {
         service: "pool",
         version,
         origin: Origin { route: 1, endpoint },
@@ -43,8 +43,8 @@
     }
 }
 
-fn is_old(allowed: &Allowed) -> bool {
-    matches!(allowed, Allowed::Not(version) if version == "v2")
+fn is_old(allowed: &AllowedVersions) -> bool {
+    matches!(allowed, AllowedVersions::Exclude(version) if version == "v2")
 }
 
 #[test]
@@ -52,11 +52,14 @@
     let node = node();
     assert!(is_old(&node.allowed(ms(500), "pool", None, IN_TRIAL)));
     let allowed = node.allowed(ms(2_000), "pool", None, IN_TRIAL);
-    assert!(matches!(allowed, Allowed::Trial { .. }), "{allowed:?}");
+    assert!(
+        matches!(allowed, AllowedVersions::Trial { .. }),
+        "{allowed:?}"
+    );
     assert!(is_old(&node.allowed(ms(2_000), "pool", None, u64::MAX)));
     assert_eq!(
         node.allowed(ms(2_000), "desk", None, IN_TRIAL),
-        Allowed::All
+        AllowedVersions::All
     );
 }
 
@@ -68,13 +71,13 @@
     let mut peer = node();
     let mut sender = node();
     sender.pin(ms(900), "pool", IN_TRIAL, "v1");
-    for on_old in sender.on_old(ms(1_000)) {
-        peer.merge_old_sessions(ms(1_500), &on_old);
+    for old_sessions in sender.old_session_messages(ms(1_000)) {
+        peer.merge_old_sessions(ms(1_500), &old_sessions);
     }
     assert!(is_old(&peer.allowed(ms(2_000), "pool", Some(IN_TRIAL), 7)));
     // Once all requests go to the new version, the session's do too.
     let switched = peer.allowed(ms(9_900), "pool", Some(IN_TRIAL), 7);
-    assert_eq!(switched, Allowed::Prefer("v2".to_owned()));
+    assert_eq!(switched, AllowedVersions::Prefer("v2".to_owned()));
 }
 
 // A session's second request may arrive at any other node within half a second of the first, and a
@@ -109,7 +112,7 @@
         unaware.merge_report(ms(100_000), &report);
     }
     let allowed = unaware.allowed(ms(100_000), "pool", None, u64::MAX);
-    assert_eq!(allowed, Allowed::Prefer("v2".to_owned()));
+    assert_eq!(allowed, AllowedVersions::Prefer("v2".to_owned()));
 }
 
 // Each of three nodes sees one failure per endpoint, too few for a verdict. Their sum must be
@@ -119,10 +122,10 @@
     let mut nodes = [node(), node(), node()];
     for node in &mut nodes {
         for endpoint in 1..=2 {
-            node.answered(&answer("v2", endpoint), true, None);
+            node.record_response(&answer("v2", endpoint), true, None);
         }
         for _ in 0..20 {
-            node.answered(&answer("v1", 3), false, None);
+            node.record_response(&answer("v1", 3), false, None);
         }
     }
     let reports: Vec<_> = nodes
@@ -152,7 +155,7 @@
     assert!(is_old(&node.allowed(ms(9_900), "pool", None, u64::MAX)));
     node.update(ms(20_000), order(3, None));
     let allowed = node.allowed(ms(20_100), "pool", None, u64::MAX);
-    assert_eq!(allowed, Allowed::Not("v3".to_owned()));
+    assert_eq!(allowed, AllowedVersions::Exclude("v3".to_owned()));
 }
 
 // The outcome is written once the old version has no requests in flight, or shortly before the
@@ -197,11 +200,11 @@
             endpoint: u32::MAX - n as u32 % 12,
         };
         for version in ["v1", "v2"] {
-            let source = Source {
+            let source = ResponseSource {
                 origin,
                 ..answer(version, 1)
             };
-            node.answered(&source, false, None);
+            node.record_response(&source, false, None);
         }
     }
     for report in node.reports(ms(1_500), "front-thu-duc-12", |_, _| true) {
@@ -209,11 +212,11 @@
         ciborium::into_writer(&report, &mut wire).unwrap();
         assert!(wire.len() < 1_150);
     }
-    let messages = node.on_old(ms(1_400));
+    let messages = node.old_session_messages(ms(1_400));
     assert!(!messages.is_empty());
-    for on_old in messages {
+    for old_sessions in messages {
         let mut wire = Vec::new();
-        ciborium::into_writer(&on_old, &mut wire).unwrap();
+        ciborium::into_writer(&old_sessions, &mut wire).unwrap();
         assert!(wire.len() < 1_150);
     }
 }
@@ -226,14 +229,14 @@
     let mut node = node();
     for n in 0..700 {
         let is_failing_endpoint = n % 4 == 0;
-        let source = Source {
+        let source = ResponseSource {
             is_failing: is_failing_endpoint,
             ..answer("v1", 3)
         };
-        node.answered(&source, is_failing_endpoint && n % 8 == 0, None);
+        node.record_response(&source, is_failing_endpoint && n % 8 == 0, None);
     }
     for n in 0..42 {
-        node.answered(&answer("v2", n % 3), n % 4 == 1, None);
+        node.record_response(&answer("v2", n % 3), n % 4 == 1, None);
     }
     let due = node.due_ends(ms(2_000), 0, |_, _| false);
     assert_eq!(due.first().map(|d| d.1), Some(RollOutEnd::RolledBack));
--- a/crates/oatdale-relay/tests/versions.rs
+++ b/crates/oatdale-relay/tests/versions.rs
@@ -1,17 +1,17 @@
 //! Which records are valid after the key-value service was restored from an older backup.
 
 use bytes::Bytes;
-use oatdale_relay::{Keep, Record, Revision, Versions};
+use oatdale_relay::{Record, RetentionPolicy, Revision, VersionTracker};
 use std::time::Duration;
 
 const ERA1: u64 = 1;
 const ERA2: u64 = 2;
 
-fn policy(key: &str) -> Keep {
+fn policy(key: &str) -> RetentionPolicy {
     match key.split('/').next() {
-        Some("leased") => Keep::WhileLeased,
-        Some("node") => Keep::Never,
-        _ => Keep::UntilWritten,
+        Some("leased") => RetentionPolicy::WhileLeased,
+        Some("node") => RetentionPolicy::Never,
+        _ => RetentionPolicy::UntilWritten,
     }
 }
 
@@ -36,17 +36,21 @@
 }
 
 /// Versions after a read of all records in the old era, followed by some changes.
-fn read_versions(all: Vec<Record>, changes: &[Record]) -> Versions {
-    let mut versions = Versions::new(policy);
-    versions.take_all(secs(0), Revision::new(ERA1, 10), all);
-    versions.take_changes(secs(0), Revision::new(ERA1, 20), changes);
+fn read_versions(all: Vec<Record>, changes: &[Record]) -> VersionTracker {
+    let mut versions = VersionTracker::new(policy);
+    versions.apply_snapshot(secs(0), Revision::new(ERA1, 10), all);
+    versions.apply_changes(secs(0), Revision::new(ERA1, 20), changes);
     versions
 }
 
 /// Returns the values that are valid at `now` if the service shows these records at a revision of
 /// the new era.
-fn valid_values(versions: &mut Versions, now: Duration, all: Vec<Record>) -> Vec<(String, String)> {
-    let all = versions.take_all(now, Revision::new(ERA2, 12), all);
+fn valid_values(
+    versions: &mut VersionTracker,
+    now: Duration,
+    all: Vec<Record>,
+) -> Vec<(String, String)> {
+    let all = versions.apply_snapshot(now, Revision::new(ERA2, 12), all);
     all.into_iter()
         .map(|r| {
             (
@@ -81,7 +85,7 @@
         valid_values(&mut versions, secs(3_601), rewritten),
         [pair("op", "old")]
     );
-    let known = versions.known(secs(3_601));
+    let known = versions.export(secs(3_601));
     assert!(known.iter().all(|versions| versions.kept.is_none()));
 }
 
@@ -90,7 +94,7 @@
 fn an_unchanged_record_keeps_its_revision_after_a_restore() {
     let mut versions = read_versions(vec![written("op", ERA1, 5, "same")], &[]);
     let all = vec![written("op", ERA2, 5, "same")];
-    let all = versions.take_all(secs(1), Revision::new(ERA2, 12), all);
+    let all = versions.apply_snapshot(secs(1), Revision::new(ERA2, 12), all);
     assert_eq!(all, [written("op", ERA1, 5, "same")]);
 }
 
@@ -160,9 +164,9 @@
         written("op", ERA1, 21, "a"),
         written("leased/x", ERA1, 22, "x"),
     ];
-    let all = versions.take_all(secs(5), Revision::new(ERA1, 22), all);
+    let all = versions.apply_snapshot(secs(5), Revision::new(ERA1, 22), all);
     assert_eq!(all.len(), 2);
-    let all = versions.take_all(secs(6), Revision::new(ERA1, 23), Vec::new());
+    let all = versions.apply_snapshot(secs(6), Revision::new(ERA1, 23), Vec::new());
     assert!(all.is_empty());
 }
 
@@ -183,8 +187,8 @@
         written("leased/b", ERA2, 7, "b"),
     ];
     valid_values(&mut versions, secs(100), backup.clone());
-    let mut started = Versions::new(policy);
-    started.learn(secs(0), versions.known(secs(100)));
+    let mut started = VersionTracker::new(policy);
+    started.import(secs(0), versions.export(secs(100)));
     let mut valid = valid_values(&mut started, secs(0), backup);
     valid.sort();
     assert_eq!(
@@ -203,10 +207,10 @@
 fn a_starting_node_learns_superseded_versions_from_another_node() {
     let old = written("op", ERA1, 5, "old");
     let versions = read_versions(vec![old], &[written("op", ERA1, 15, "new")]);
-    let mut started = Versions::new(policy);
-    started.learn(secs(0), versions.known(secs(1)));
+    let mut started = VersionTracker::new(policy);
+    started.import(secs(0), versions.export(secs(1)));
     let new = vec![written("op", ERA1, 15, "new")];
-    started.take_all(secs(0), Revision::new(ERA1, 20), new);
+    started.apply_snapshot(secs(0), Revision::new(ERA1, 20), new);
     let backup = vec![written("op", ERA2, 5, "old")];
     assert_eq!(
         valid_values(&mut started, secs(5), backup),
@@ -219,11 +223,11 @@
 fn each_restore_restarts_the_retention() {
     let mut versions = read_versions(Vec::new(), &[written("leased/a", ERA1, 15, "a")]);
     assert_eq!(valid_values(&mut versions, secs(100), Vec::new()).len(), 1);
-    let all_kept = versions.take_all(secs(101), Revision::new(ERA2 + 1, 12), Vec::new());
+    let all_kept = versions.apply_snapshot(secs(101), Revision::new(ERA2 + 1, 12), Vec::new());
     assert_eq!(all_kept.len(), 1);
-    let all_kept = versions.take_all(secs(102), Revision::new(ERA2 + 1, 12), Vec::new());
+    let all_kept = versions.apply_snapshot(secs(102), Revision::new(ERA2 + 1, 12), Vec::new());
     assert_eq!(all_kept.len(), 1);
-    let all_kept = versions.take_all(secs(103), Revision::new(ERA2 + 1, 12), Vec::new());
+    let all_kept = versions.apply_snapshot(secs(103), Revision::new(ERA2 + 1, 12), Vec::new());
     assert!(all_kept.is_empty());
 }
 
