--- a/crates/oatdale-policy/examples/measure/exposure.rs
+++ b/crates/oatdale-policy/examples/measure/exposure.rs
@@ -1,9 +1,9 @@
 //! Exposure: requests that a bad canary serves until it is stopped, against a breaker with a
-//! fixed threshold that stops healthy roll-outs as rarely.
+//! fixed threshold that stops healthy rollouts as rarely.
 //!
 //! Four nodes share their counts once a second. The breaker sees every outcome at once and stops
 //! when too many of the last hundred were bad; its threshold is the lowest that stops at most one
-//! in a thousand healthy roll-outs, found on streams of their own.
+//! in a thousand healthy rollouts, found on streams of their own.
 
 use crate::Seeds;
 use crate::report::Report;
@@ -17,7 +17,7 @@
 /// The canary's share.
 const SHARE: f64 = 0.2;
 
-/// Requests of one roll-out at most.
+/// Requests of one rollout at most.
 const REQUESTS: usize = 5_000;
 
 /// Requests a second over all nodes.
@@ -28,13 +28,13 @@
 /// Outcomes that the breaker looks back on.
 const WINDOW: usize = 100;
 
-/// Healthy roll-outs for each seed, from which false stops are counted.
+/// Healthy rollouts for each seed, from which false stops are counted.
 const HEALTHY: u64 = 500;
 
 /// Healthy streams from which the breaker's thresholds are found.
 const CALIBRATION: u64 = 20_000;
 
-/// The share of healthy roll-outs that may be stopped, for each of three faults.
+/// The share of healthy rollouts that may be stopped, for each of three faults.
 const FALSE_STOPS: f64 = 0.001 / 3.0;
 
 /// How a version behaves: the shares of errors, low ratings and slow answers.
@@ -58,7 +58,7 @@
     slow: 0.10,
 };
 
-/// Threads for the healthy roll-outs.
+/// Threads for the healthy rollouts.
 const THREADS: usize = 4;
 
 /// A breaker and the counts in its windows at which it stops, for errors, low ratings and slow
@@ -127,7 +127,7 @@
     ]
 }
 
-/// How often healthy roll-outs are stopped, at the usual shares of bad outcomes and where a cause
+/// How often healthy rollouts are stopped, at the usual shares of bad outcomes and where a cause
 /// that all versions share raises them.
 fn false_stops(report: &mut Report, seeds: Seeds, breakers: &[Breaker]) {
     let metric = "stopped of 1000 healthy";
@@ -169,7 +169,7 @@
     })
 }
 
-/// One roll-out under the real routers: requests served by the canary, and whether it was stopped.
+/// One rollout under the real routers: requests served by the canary, and whether it was stopped.
 fn sequential(canary: Behaviour, other: Behaviour, rating_lag: usize, seed: u64) -> (usize, bool) {
     let cfg = Arc::new(config());
     let mut rollout = Rollout {
@@ -346,7 +346,7 @@
     }
 }
 
-/// The most bad outcomes in any window of one healthy roll-out.
+/// The most bad outcomes in any window of one healthy rollout.
 fn worst(share: f64, draw: &mut Draw) -> usize {
     let mut window = Window::default();
     let served = (REQUESTS as f64 * SHARE) as usize;
--- a/crates/oatdale-relay/src/attempt.rs
+++ b/crates/oatdale-relay/src/attempt.rs
@@ -265,7 +265,7 @@
     Ok(())
 }
 
-/// Updates endpoint health and roll-out statistics with an attempt's outcome.
+/// Updates endpoint health and rollout statistics with an attempt's outcome.
 fn record_outcome<W: Wire>(
     cx: &Cx<W>,
     request_cx: &RequestContext,
--- a/crates/oatdale-relay/src/gossip.rs
+++ b/crates/oatdale-relay/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Datagrams between nodes: counts for roll-outs under way, announcements of leaving nodes and
+//! Datagrams between nodes: counts for rollouts under way, announcements of leaving nodes and
 //! endpoints, long prompts, loads and crashes.
 //!
 //! A lost datagram is made up for by the next one: each carries the sender's counts since the
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Interval between reports while a roll-out is under way: all nodes notice a bad version within
+/// Interval between reports while a rollout is under way: all nodes notice a bad version within
 /// it, and a site of ten nodes sends about two hundred datagrams a second.
 pub(crate) const REPORT_INTERVAL: Duration = Duration::from_millis(400);
 
@@ -182,7 +182,7 @@
     }
 }
 
-/// Reports the roll-outs under way to other nodes.
+/// Reports the rollouts under way to other nodes.
 ///
 /// All nodes report to the first ones by name, the coordinators; these report to all, so that the
 /// number of datagrams grows with the number of nodes and not with its square. Sessions on old
--- a/crates/oatdale-relay/src/peers/wire.rs
+++ b/crates/oatdale-relay/src/peers/wire.rs
@@ -22,9 +22,9 @@
     pub(super) evacuated: Option<BTreeSet<String>>,
     /// All nodes.
     pub(super) nodes: Vec<Node>,
-    /// Roll-outs that have ended.
+    /// Rollouts that have ended.
     pub(super) ended: Vec<RollOut>,
-    /// Roll-outs under way, with the sender's counts.
+    /// Rollouts under way, with the sender's counts.
     pub(super) under_way: Vec<Report>,
     /// Requests refused because they crash endpoints; nodes of an earlier version do not send them.
     #[serde(default)]
--- a/crates/oatdale-relay/src/request_context.rs
+++ b/crates/oatdale-relay/src/request_context.rs
@@ -181,7 +181,7 @@
         model_count > 1 && self.model_index + 1 == model_count
     }
 
-    /// Origin of an endpoint's response, for roll-out statistics.
+    /// Origin of an endpoint's response, for rollout statistics.
     pub(crate) fn source<'a, W>(&'a self, in_flight: &'a InFlightRequest<W>) -> ResponseSource<'a> {
         ResponseSource {
             is_failing: in_flight.is_failing,
@@ -251,7 +251,7 @@
         cx.has_eligible_endpoint(&self.placement_query(&allowed))
     }
 
-    /// Software versions that the request may use now. Looked up again for each attempt: a roll-out
+    /// Software versions that the request may use now. Looked up again for each attempt: a rollout
     /// may have ended since the last one, and the version allowed then may be gone.
     fn allowed_versions<W: Wire>(&self, cx: &Cx<W>) -> AllowedVersions {
         cx.allowed(&self.service, self.session_hash(), hash(&self.metadata.id))
--- a/crates/oatdale-relay/src/update.rs
+++ b/crates/oatdale-relay/src/update.rs
@@ -37,9 +37,9 @@
     EndpointGone(String),
     /// The failure domains whose endpoints are to get no new requests.
     Evacuated(BTreeSet<String>),
-    /// The current state of a roll-out.
+    /// The current state of a rollout.
     RollOut(RollOut),
-    /// The record of how this service's roll-out ended was lost.
+    /// The record of how this service's rollout ended was lost.
     RollOutEndLost(String),
     /// The key-value service was restored from an older backup.
     Restored {
@@ -68,13 +68,13 @@
 /// A command from the relay to the adapter.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Writes how a roll-out ended, unless its state has changed since.
+    /// Writes how a rollout ended, unless its state has changed since.
     EndRollOut {
         /// The service.
         service: String,
         /// The version that was rolled out.
         target: String,
-        /// How the roll-out ended.
+        /// How the rollout ended.
         end: RollOutEnd,
     },
     /// Records for all nodes whether a request is to be refused because it crashes endpoints.
@@ -124,11 +124,11 @@
     pub service: String,
     /// The version to which traffic moves.
     pub target: String,
-    /// Duration of the roll-out as ordered.
+    /// Duration of the rollout as ordered.
     pub duration: Duration,
     /// Revision of the order; increases with each order.
     pub order: Revision,
-    /// How the roll-out ended, if it has.
+    /// How the rollout ended, if it has.
     pub end: Option<RollOutEnd>,
 }
 
@@ -154,7 +154,7 @@
     }
 }
 
-/// How a roll-out ended.
+/// How a rollout ended.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum RollOutEnd {
     /// All traffic is on the new version; the old version stops.
