--- a/crates/oatdale-policy/src/relay/retry_limiter.rs
+++ b/crates/oatdale-policy/src/relay/retry_limiter.rs
@@ -1,4 +1,4 @@
-//! Limit on retries: requests that a node sends once more, as a retry or to a larger model.
+//! Limit on the requests that a node sends once more, as a retry or to a larger model.
 
 use std::collections::VecDeque;
 use std::time::Duration;
--- a/crates/oatdale-relay/src/request_context.rs
+++ b/crates/oatdale-relay/src/request_context.rs
@@ -242,13 +242,13 @@
         cx: &Arc<Cx<W>>,
     ) -> Result<InFlightRequest<W>, IneligibleCounts> {
         let allowed = self.allowed_versions(cx);
-        cx.place(&self.placement_query(&allowed))
+        cx.place(&self.placement_request(&allowed))
     }
 
     /// Whether there is an eligible endpoint that has not received the request yet.
     pub(crate) fn has_eligible_endpoint<W: Wire>(&self, cx: &Cx<W>) -> bool {
         let allowed = self.allowed_versions(cx);
-        cx.has_eligible_endpoint(&self.placement_query(&allowed))
+        cx.has_eligible_endpoint(&self.placement_request(&allowed))
     }
 
     /// Software versions that the request may use now. Looked up again for each attempt: a rollout
@@ -257,7 +257,7 @@
         cx.allowed(&self.service, self.session_hash(), hash(&self.metadata.id))
     }
 
-    fn placement_query<'a>(&'a self, allowed: &'a AllowedVersions) -> PlacementRequest<'a> {
+    fn placement_request<'a>(&'a self, allowed: &'a AllowedVersions) -> PlacementRequest<'a> {
         PlacementRequest {
             service: &self.service,
             allowed,
