--- a/crates/oatdale-relay/src/peers.rs
+++ b/crates/oatdale-relay/src/peers.rs
@@ -8,9 +8,9 @@
 
 use crate::crashes;
 use crate::cx::Cx;
-use crate::local::serve_with;
+use crate::local::serve_http;
 use crate::replica::{self, Replica};
-use crate::reply::{Body, plain};
+use crate::reply::{Body, short_response};
 use crate::wire::Wire;
 use bytes::Bytes;
 use http::{Request, Response, StatusCode, Uri};
@@ -46,7 +46,7 @@
 
 /// Serves this node's state to other nodes.
 pub(crate) async fn serve<W: Wire>(cx: Arc<Cx<W>>, records: Arc<Replica>, listener: TcpListener) {
-    serve_with(listener, move |req| {
+    serve_http(listener, move |req| {
         handle(cx.clone(), records.clone(), req)
     })
     .await;
@@ -57,23 +57,23 @@
     records: Arc<Replica>,
     req: Request<Incoming>,
 ) -> Result<Response<Body>, Infallible> {
-    if req.uri().path() == replica::PATH {
-        return Ok(replica::answer(&records, req.into_body()).await);
+    if req.uri().path() == replica::RECORDS_PATH {
+        return Ok(replica::handle_fetch(&records, req.into_body()).await);
     }
-    if req.uri().path() == replica::KNOWN_PATH {
-        return Ok(replica::answer_known(&records, req.into_body()).await);
+    if req.uri().path() == replica::VERSIONS_PATH {
+        return Ok(replica::handle_versions(&records, req.into_body()).await);
     }
     let after = req.uri().query().and_then(|q| q.strip_prefix("after="));
     let after = after.and_then(|version| version.parse().ok());
     let res = match (req.uri().path(), after) {
         (STATE_PATH, Some(after)) => match snapshot(&cx, after).encode() {
-            Ok(body) => plain(StatusCode::OK, body),
+            Ok(body) => short_response(StatusCode::OK, body),
             Err(err) => {
                 log::warn!(target: "peers", "event=encode_failed err={err}");
-                plain(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new())
+                short_response(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new())
             }
         },
-        _ => plain(StatusCode::NOT_FOUND, Bytes::new()),
+        _ => short_response(StatusCode::NOT_FOUND, Bytes::new()),
     };
     Ok(res)
 }
@@ -96,14 +96,14 @@
         }),
         quarantined: state
             .quarantine
-            .held(now)
+            .quarantined(now)
             .map(|request| request.0)
             .collect(),
     }
 }
 
 /// Polls other nodes while the key-value service does not answer this one.
-pub(crate) async fn follow<W: Wire>(cx: Arc<Cx<W>>) {
+pub(crate) async fn poll_while_store_unavailable<W: Wire>(cx: Arc<Cx<W>>) {
     loop {
         sleep(POLL_INTERVAL).await;
         let unavailable_since = cx.state().store_unavailable_since;
@@ -171,7 +171,7 @@
         false => state.directory.mark_store_unavailable(),
     }
     for request in snapshot.quarantined {
-        crashes::take(cx, state, Fingerprint(request), true);
+        crashes::apply_state(cx, state, Fingerprint(request), true);
     }
     if snapshot.is_current || state.directory.is_empty() {
         for addr in state.directory.replace(now, snapshot.endpoints) {
--- a/crates/oatdale-relay/src/peers/wire.rs
+++ b/crates/oatdale-relay/src/peers/wire.rs
@@ -1,7 +1,7 @@
 //! CBOR encoding of the state that a node sends to a peer.
 
 use crate::roll_outs::Report;
-use crate::site::{CallerLimits, Customers, Route, ServiceFacts, Site};
+use crate::site::{CallerLimits, Customers, Route, ServiceFacts, SiteConfig};
 use crate::update::{Endpoint, Node, RollOut};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -22,9 +22,9 @@
     pub(super) evacuated: Option<BTreeSet<String>>,
     /// All nodes.
     pub(super) nodes: Vec<Node>,
-    /// Roll-outs that have ended.
+    /// Rollouts that have ended.
     pub(super) ended: Vec<RollOut>,
-    /// Roll-outs under way, with the sender's counts.
+    /// Rollouts under way, with the sender's counts.
     pub(super) under_way: Vec<Report>,
     /// Requests refused because they crash endpoints; nodes of an earlier version do not send them.
     #[serde(default)]
@@ -53,8 +53,8 @@
     }
 }
 
-impl From<&Site> for SiteWire {
-    fn from(site: &Site) -> Self {
+impl From<&SiteConfig> for SiteWire {
+    fn from(site: &SiteConfig) -> Self {
         SiteWire {
             version: site.version,
             routes: site.routes.clone(),
@@ -65,9 +65,9 @@
     }
 }
 
-impl From<SiteWire> for Site {
+impl From<SiteWire> for SiteConfig {
     fn from(wire: SiteWire) -> Self {
-        Site::new(
+        SiteConfig::new(
             wire.version,
             wire.routes,
             wire.services,
--- a/crates/oatdale-relay/src/replica/serve.rs
+++ b/crates/oatdale-relay/src/replica/serve.rs
@@ -1,7 +1,7 @@
 //! HTTP handlers that serve the replica to followers.
 
 use crate::replica::Replica;
-use crate::reply::{Body, plain};
+use crate::reply::{Body, short_response};
 use bytes::Bytes;
 use http::{Response, StatusCode};
 use hyper::body::Incoming;
@@ -17,14 +17,14 @@
 const REQUEST_STALL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Responds to a follower's fetch; 503 if it has to ask elsewhere.
-pub(crate) async fn answer(replica: &Replica, body: Incoming) -> Response<Body> {
+pub(crate) async fn handle_fetch(replica: &Replica, body: Incoming) -> Response<Body> {
     let req = match read_request(body).await {
         Ok(req) => req,
         Err(reason) => return bad_request(&reason),
     };
     match replica.fetch(req).await {
         Some(update) => encode(&update),
-        None => plain(StatusCode::SERVICE_UNAVAILABLE, Bytes::new()),
+        None => short_response(StatusCode::SERVICE_UNAVAILABLE, Bytes::new()),
     }
 }
 
@@ -36,29 +36,29 @@
 
 /// Responds to a starting node with the known versions; 503 if this node has not read the records
 /// in that era.
-pub(crate) async fn answer_known(replica: &Replica, body: Incoming) -> Response<Body> {
+pub(crate) async fn handle_versions(replica: &Replica, body: Incoming) -> Response<Body> {
     let era = match read_request(body).await {
         Ok(era) => era,
         Err(reason) => return bad_request(&reason),
     };
     match replica.versions_in_era(era).await {
         Some(versions) => encode(&versions),
-        None => plain(StatusCode::SERVICE_UNAVAILABLE, Bytes::new()),
+        None => short_response(StatusCode::SERVICE_UNAVAILABLE, Bytes::new()),
     }
 }
 
 fn bad_request(reason: &str) -> Response<Body> {
     log::warn!(target: "replica", "event=bad_request reason=\"{reason}\"");
-    plain(StatusCode::BAD_REQUEST, Bytes::new())
+    short_response(StatusCode::BAD_REQUEST, Bytes::new())
 }
 
 fn encode(value: &impl Serialize) -> Response<Body> {
     let mut body = Vec::new();
     match ciborium::into_writer(value, &mut body) {
-        Ok(()) => plain(StatusCode::OK, body.into()),
+        Ok(()) => short_response(StatusCode::OK, body.into()),
         Err(err) => {
             log::warn!(target: "replica", "event=encode_failed err={err}");
-            plain(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new())
+            short_response(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new())
         }
     }
 }
--- a/crates/oatdale-relay/src/settings.rs
+++ b/crates/oatdale-relay/src/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of a relay node, read from YAML.
 
-use oatdale_policy::relay::Exposure;
+use oatdale_policy::relay::ExposureLimit;
 use serde::Deserialize;
 use snafu::{ResultExt, Snafu};
 use std::net::SocketAddr;
@@ -158,7 +158,7 @@
     }
 
     /// Whether a text contains relay settings, that is, names one of the relay's platforms.
-    pub fn is_meant(text: &str) -> bool {
+    pub fn is_relay_settings(text: &str) -> bool {
         #[derive(Deserialize)]
         struct Head {
             #[expect(dead_code, reason = "only its presence and type count")]
@@ -178,8 +178,8 @@
 const PLANNED_COLD_FRACTION: f64 = 0.8;
 
 impl Bounds {
-    pub(crate) fn exposure(&self) -> Exposure {
-        Exposure {
+    pub(crate) fn exposure_limit(&self) -> ExposureLimit {
+        ExposureLimit {
             share: self.exposure_share,
             slack: self.exposure_slack,
         }
@@ -198,7 +198,7 @@
     }
 
     /// Returns the time from the stop signal until the process is killed.
-    pub(crate) fn stop(&self) -> Duration {
+    pub(crate) fn stop_time(&self) -> Duration {
         Duration::from_secs_f64(self.stop_s.max(0.0))
     }
 }
--- a/crates/oatdale-relay/src/update.rs
+++ b/crates/oatdale-relay/src/update.rs
@@ -3,7 +3,7 @@
 use crate::replica::Replica;
 use crate::revision::Revision;
 use crate::settings::Settings;
-use crate::site::Site;
+use crate::site::SiteConfig;
 use crate::state::hash;
 use oatdale_policy::relay::{Fingerprint, ReaderCandidate};
 use serde::{Deserialize, Serialize};
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug)]
 pub enum Update {
     /// A configuration; one that is older than the one in force is ignored.
-    Site(Arc<Site>),
+    Site(Arc<SiteConfig>),
     /// All endpoints; any other known endpoint is gone.
     Endpoints(Vec<Endpoint>),
     /// An endpoint is new or has changed.
@@ -37,9 +37,9 @@
     EndpointGone(String),
     /// The failure domains whose endpoints are to get no new requests.
     Evacuated(BTreeSet<String>),
-    /// The current state of a roll-out.
+    /// The current state of a rollout.
     RollOut(RollOut),
-    /// The record of how this service's roll-out ended was lost.
+    /// The record of how this service's rollout ended was lost.
     RollOutEndLost(String),
     /// The key-value service was restored from an older backup.
     Restored {
@@ -53,28 +53,28 @@
         /// The request.
         request: Fingerprint,
         /// Whether the request is to be refused.
-        is_held: bool,
+        is_quarantined: bool,
     },
     /// Whether this node reads the records for itself only, and so sends what it reads to all other
     /// nodes. Nodes that have a reader do not, since all of them would send the same at once.
-    ReadsAlone(bool),
+    ReadsOnlyForItself(bool),
     /// The platform's key-value service does not answer this node.
-    StoreLost,
+    StoreUnavailable,
     /// The key-value service answers again, and all records read since then were read after its
     /// return.
-    StoreBack,
+    StoreAvailable,
 }
 
 /// A command from the relay to the adapter.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Writes how a roll-out ended, unless its state has changed since.
+    /// Writes how a rollout ended, unless its state has changed since.
     EndRollOut {
         /// The service.
         service: String,
         /// The version that was rolled out.
         target: String,
-        /// How the roll-out ended.
+        /// How the rollout ended.
         end: RollOutEnd,
     },
     /// Records for all nodes whether a request is to be refused because it crashes endpoints.
@@ -82,10 +82,10 @@
         /// The request.
         request: Fingerprint,
         /// Whether the request is to be refused.
-        is_held: bool,
+        is_quarantined: bool,
     },
     /// Removes this node from the list of nodes that callers get.
-    Leave,
+    Deregister,
 }
 
 /// One start of one endpoint.
@@ -124,11 +124,11 @@
     pub service: String,
     /// The version to which traffic moves.
     pub target: String,
-    /// Duration of the roll-out as ordered.
+    /// Duration of the rollout as ordered.
     pub duration: Duration,
     /// Revision of the order; increases with each order.
     pub order: Revision,
-    /// How the roll-out ended, if it has.
+    /// How the rollout ended, if it has.
     pub end: Option<RollOutEnd>,
 }
 
@@ -149,12 +149,12 @@
     ///
     /// An order of a later era may come from an older backup, which that node cannot detect if it
     /// has just started. In that case the records decide.
-    pub(crate) fn is_overtaken_by(&self, other: &RollOut) -> bool {
+    pub(crate) fn is_superseded_by(&self, other: &RollOut) -> bool {
         self.order < other.order && self.order.era == other.order.era
     }
 }
 
-/// How a roll-out ended.
+/// How a rollout ended.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum RollOutEnd {
     /// All traffic is on the new version; the old version stops.
