--- a/crates/oatdale-node/src/api/chat.rs
+++ b/crates/oatdale-node/src/api/chat.rs
@@ -9,7 +9,7 @@
 use http::{HeaderMap, Request, StatusCode};
 use hyper::body::Incoming;
 use oatdale_platform::chat::ChatRequest;
-use oatdale_policy::Ask;
+use oatdale_policy::RequestInfo;
 use tokio::time::Instant;
 
 /// Bytes of a prompt for a token, on the average of Latin text; the engine counts exactly, this
@@ -32,7 +32,7 @@
     let limit = time_limit(&head.headers, who.live.cfg.services[service].deadline)?;
     let once = Once::of(&who, service, &head, head.uri.path())?;
     let prompt = request.prompt();
-    let ask = Ask {
+    let request_info = RequestInfo {
         customer: who.customer,
         service,
         idempotent: once == Once::No,
@@ -41,14 +41,14 @@
         input_tokens: tokens(prompt.len()),
         output_tokens: request.max_tokens.unwrap_or(USUAL_OUTPUT),
         prefix: spread(&[&prompt.as_bytes()[..prompt.len().min(PREFIX_BYTES)]]),
-        draw: draw(&head.headers, id),
+        rollout_hash: rollout_hash(&head.headers, id),
         stream: request.stream,
         class: class(prompt.len()),
     };
     let job = Job {
         id,
         live: who.live,
-        ask,
+        request_info,
         deadline: Instant::now() + limit,
         claim: once.claim(),
         work: Work::Chat(Box::new(ChatWork { request })),
@@ -66,7 +66,7 @@
 }
 
 /// A request's place in roll-outs' shares: a session's is the same for all its requests.
-fn draw(headers: &HeaderMap, id: RequestId) -> u64 {
+fn rollout_hash(headers: &HeaderMap, id: RequestId) -> u64 {
     match headers.get(sessions::NAME_HEADER) {
         Some(name) => spread(&[b"draw", name.as_bytes()]),
         None => id.0 as u64,
--- a/crates/oatdale-node/src/api/plain.rs
+++ b/crates/oatdale-node/src/api/plain.rs
@@ -8,7 +8,7 @@
 use http::header::AUTHORIZATION;
 use http::{Request, StatusCode, Uri};
 use hyper::body::Incoming;
-use oatdale_policy::{Ask, Session};
+use oatdale_policy::{RequestInfo, Session};
 use tokio::time::Instant;
 
 /// What precedes a plain service's name in a path.
@@ -22,7 +22,7 @@
     let id = new_id();
     let limit = time_limit(&head.headers, who.live.cfg.services[service].deadline)?;
     let once = Once::of(&who, service, &head, target.path())?;
-    let ask = Ask {
+    let request_info = RequestInfo {
         customer: who.customer,
         service,
         idempotent: once == Once::No,
@@ -31,7 +31,7 @@
         input_tokens: 0,
         output_tokens: 0,
         prefix: 0,
-        draw: id.0 as u64,
+        rollout_hash: id.0 as u64,
         stream: false,
         class: 0,
     };
@@ -41,7 +41,7 @@
     let job = Job {
         id,
         live: who.live,
-        ask,
+        request_info,
         deadline: Instant::now() + limit,
         claim: once.claim(),
         work: Work::Plain(Box::new(PlainWork {
--- a/crates/oatdale-node/src/api/sessions.rs
+++ b/crates/oatdale-node/src/api/sessions.rs
@@ -167,10 +167,15 @@
     }
 }
 
-async fn choose(cx: &Cx, who: &Who, service: ServiceKey, draw: u64) -> Result<String, Problem> {
+async fn choose(
+    cx: &Cx,
+    who: &Who,
+    service: ServiceKey,
+    rollout_hash: u64,
+) -> Result<String, Problem> {
     let opened = cx
         .route
-        .open_session(who.live.clone(), who.customer, service, draw)
+        .open_session(who.live.clone(), who.customer, service, rollout_hash)
         .await
         .map_err(|refusal| Problem::refusal(refusal, Run::NotRun))?;
     Ok(opened.live.cfg.version_name(opened.version))
--- a/crates/oatdale-node/src/call.rs
+++ b/crates/oatdale-node/src/call.rs
@@ -23,7 +23,7 @@
 use http::StatusCode;
 use log::{info, warn};
 use oatdale_journal::{Claim, ClaimKey, Closing, Millis, Opening, Outcome as Ending};
-use oatdale_policy::{Ask, Refusal, RefusalReason, Ticket};
+use oatdale_policy::{Refusal, RefusalReason, RequestInfo, Ticket};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -44,7 +44,7 @@
     /// The revision that it was read under.
     pub(crate) live: Arc<Live>,
     /// What the router is told of it.
-    pub(crate) ask: Ask,
+    pub(crate) request_info: RequestInfo,
     /// By when its answer must have ended.
     pub(crate) deadline: Instant,
     /// The key to claim before it is dispatched, if it has one and must not run twice.
@@ -123,7 +123,7 @@
         let offer = self
             .cx
             .route
-            .offer(self.job.id, self.job.live.clone(), self.job.ask);
+            .offer(self.job.id, self.job.live.clone(), self.job.request_info);
         let reply = self.reply.as_mut()?;
         tokio::select! {
             verdict = offer => Some(verdict),
@@ -265,11 +265,11 @@
     }
 
     fn customer(&self) -> &str {
-        &self.job.live.cfg.customers[self.job.ask.customer].name
+        &self.job.live.cfg.customers[self.job.request_info.customer].name
     }
 
     fn service(&self) -> &str {
-        &self.job.live.cfg.services[self.job.ask.service].name
+        &self.job.live.cfg.services[self.job.request_info.service].name
     }
 
     fn log_end(&self) {
--- a/crates/oatdale-node/src/call/attempt.rs
+++ b/crates/oatdale-node/src/call/attempt.rs
@@ -70,7 +70,7 @@
             deadline: self.job.deadline,
         };
         let version = routed.dispatch.version.map(|key| cfg.version_name(key));
-        let idempotent = self.job.ask.idempotent;
+        let idempotent = self.job.request_info.idempotent;
         let (engines, plain) = (&self.cx.engines, &self.cx.plain);
         let sending = async {
             match &mut self.job.work {
@@ -105,7 +105,7 @@
             Work::Plain(_) => false,
         };
         let plain = matches!(self.job.work, Work::Plain(_));
-        match (routed.dispatch.judge, streams, plain) {
+        match (routed.dispatch.needs_rating, streams, plain) {
             (false, true, _) => {
                 self.forward(routed, Forward::Chat(ChatStream::new(answer)))
                     .await
@@ -238,7 +238,7 @@
     /// Keeps a complete answer, has it rated if the router wants to know, and counts its cost.
     async fn keep(&mut self, routed: &Routed, answered: Answered, usage: Usage) -> AttemptResult {
         self.add_cost(routed, usage);
-        let rating = match routed.dispatch.judge {
+        let rating = match routed.dispatch.needs_rating {
             true => self.verdict(routed, &answered).await,
             false => {
                 if answered.head.status.is_success() {
@@ -277,7 +277,7 @@
 
     fn urgency(&self) -> u8 {
         let cfg = &self.job.live.cfg;
-        let service = &cfg.services[self.job.ask.service];
+        let service = &cfg.services[self.job.request_info.service];
         let latency_first = match service.kind {
             ServiceKind::Model { latency_weight, .. } => latency_weight >= 0.5,
             ServiceKind::Plain => cfg.pools[service.pool].kind == PoolKind::Plain,
--- a/crates/oatdale-node/src/call/rated.rs
+++ b/crates/oatdale-node/src/call/rated.rs
@@ -47,10 +47,10 @@
         Some(Rated {
             service: self.service().to_owned(),
             version: version_name(routed)?,
-            class: self.job.ask.class,
+            class: self.job.request_info.class,
             prompt: chat.request.prompt(),
             answer,
-            escalated: routed.dispatch.why_version == VersionReason::Escalated,
+            escalated: routed.dispatch.version_reason == VersionReason::Escalated,
         })
     }
 }
--- a/crates/oatdale-node/src/live.rs
+++ b/crates/oatdale-node/src/live.rs
@@ -4,7 +4,7 @@
 use oatdale_config::{
     Config, CustomerKey, Digest, Document, EndpointKey, Key, Revision, ServiceKey, VersionKey,
 };
-use oatdale_policy::{Ask, Session};
+use oatdale_policy::{RequestInfo, Session};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
@@ -90,28 +90,28 @@
         self.versions.get(name).copied()
     }
 
-    /// Finds the items of `ask`, whose keys belong to `from`, in this revision.
+    /// Finds the items of `request_info`, whose keys belong to `from`, in this revision.
     ///
     /// A request may be read under one revision and routed under the next. Keys are places in a
     /// text, so an old key used with a new text would name another customer or version without
     /// any sign of it; going by name makes that impossible.
-    pub(crate) fn translate(&self, from: &Live, ask: &Ask) -> Option<Ask> {
+    pub(crate) fn translate(&self, from: &Live, request_info: &RequestInfo) -> Option<RequestInfo> {
         if from.revision == self.revision {
-            return Some(*ask);
+            return Some(*request_info);
         }
-        let customer = &from.cfg.customers[ask.customer].name;
-        let session = match ask.session {
+        let customer = &from.cfg.customers[request_info.customer].name;
+        let session = match request_info.session {
             Session::Pinned { version, step } => Session::Pinned {
                 version: self.version(&from.cfg.version_name(version))?,
                 step,
             },
             other => other,
         };
-        Some(Ask {
+        Some(RequestInfo {
             customer: self.cfg.customers.find(|c| c.name == *customer)?,
-            service: self.service(&from.cfg.services[ask.service].name)?,
+            service: self.service(&from.cfg.services[request_info.service].name)?,
             session,
-            ..*ask
+            ..*request_info
         })
     }
 
--- a/crates/oatdale-node/src/node/parts.rs
+++ b/crates/oatdale-node/src/node/parts.rs
@@ -30,7 +30,7 @@
     ConfigStore, EngineClient, HostListClient, HttpKv, HttpKvConfig, PlainClient, Pool,
     RatingClient,
 };
-use oatdale_policy::Place;
+use oatdale_policy::NodeIdentity;
 use socket2::Socket;
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -169,7 +169,7 @@
         notices: mpsc::Sender<route::StopNotice>,
         mesh: &mpsc::Sender<Command>,
     ) -> Result<Handles> {
-        let place = Place {
+        let identity = NodeIdentity {
             domain: None,
             seed: self.own.incarnation,
         };
@@ -179,7 +179,7 @@
             stops: notices,
             metrics: self.metrics.clone(),
             domain: self.settings.domain.clone(),
-            place,
+            identity,
         });
         spawn("route", move || route::run(duty))?;
         let journal = self.start_journal()?;
--- a/crates/oatdale-node/src/route.rs
+++ b/crates/oatdale-node/src/route.rs
@@ -13,7 +13,7 @@
 use crate::route::handle::{Call, Release};
 use crate::route::state::State;
 use oatdale_config::{Revision, VersionKey};
-use oatdale_policy::{Dispatch, Place, Refusal, VersionCounters};
+use oatdale_policy::{Dispatch, NodeIdentity, Refusal, VersionCounters};
 use std::fmt;
 use std::sync::Arc;
 use std::time::Duration;
@@ -96,7 +96,7 @@
     /// The node's own failure domain.
     pub(crate) domain: String,
     /// The router's seed.
-    pub(crate) place: Place,
+    pub(crate) identity: NodeIdentity,
 }
 
 /// A version that the evidence speaks against, to be recorded for all nodes.
--- a/crates/oatdale-node/src/route/handle.rs
+++ b/crates/oatdale-node/src/route/handle.rs
@@ -4,7 +4,9 @@
 use crate::live::Live;
 use crate::rate::Rated;
 use oatdale_config::{CustomerKey, EndpointKey, Revision, ServiceKey};
-use oatdale_policy::{Ask, LoadReport, Outcome, Refusal, RefusalReason, Ticket, VersionCounters};
+use oatdale_policy::{
+    LoadReport, Outcome, Refusal, RefusalReason, RequestInfo, Ticket, VersionCounters,
+};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
@@ -18,14 +20,14 @@
     Offer {
         id: RequestId,
         live: Arc<Live>,
-        ask: Ask,
+        request_info: RequestInfo,
         reply: oneshot::Sender<Verdict>,
     },
     OpenSession {
         live: Arc<Live>,
         customer: CustomerKey,
         service: ServiceKey,
-        draw: u64,
+        rollout_hash: u64,
         reply: oneshot::Sender<Result<Opened, Refusal>>,
     },
     Load {
@@ -78,12 +80,17 @@
     }
 
     /// Offers a request; waits while the request waits for its turn.
-    pub(crate) async fn offer(&self, id: RequestId, live: Arc<Live>, ask: Ask) -> Verdict {
+    pub(crate) async fn offer(
+        &self,
+        id: RequestId,
+        live: Arc<Live>,
+        request_info: RequestInfo,
+    ) -> Verdict {
         let (reply, answer) = oneshot::channel();
         let call = Call::Offer {
             id,
             live,
-            ask,
+            request_info,
             reply,
         };
         match self.calls.try_send(call) {
@@ -118,14 +125,14 @@
         live: Arc<Live>,
         customer: CustomerKey,
         service: ServiceKey,
-        draw: u64,
+        rollout_hash: u64,
     ) -> Result<Opened, Refusal> {
         let (reply, answer) = oneshot::channel();
         let call = Call::OpenSession {
             live,
             customer,
             service,
-            draw,
+            rollout_hash,
             reply,
         };
         match self.calls.try_send(call) {
--- a/crates/oatdale-node/src/route/news.rs
+++ b/crates/oatdale-node/src/route/news.rs
@@ -17,7 +17,7 @@
                 .filter_map(|name| self.live.version(name))
                 .collect()
         });
-        self.router.endpoint_holds(endpoint, versions);
+        self.router.set_loaded_versions(endpoint, versions);
     }
 
     pub(super) fn load(&mut self, endpoint: EndpointKey, report: LoadReport, leaving: bool) {
@@ -40,7 +40,7 @@
         for (key, endpoint) in self.live.cfg.endpoints.iter() {
             let name = &endpoint.name;
             let leaving = self.listed_leaving.contains(name) || self.said_leaving.contains(name);
-            self.router.endpoint_leaving(now, key, leaving);
+            self.router.set_endpoint_leaving(now, key, leaving);
         }
     }
 
@@ -65,7 +65,7 @@
     pub(super) fn shares(&mut self, shares: &[(String, f64)]) {
         for (name, share) in shares {
             if let Some(customer) = self.live.cfg.customers.find(|c| c.name == *name) {
-                self.router.set_share(customer, *share);
+                self.router.set_customer_share(customer, *share);
             }
         }
     }
--- a/crates/oatdale-node/src/route/state.rs
+++ b/crates/oatdale-node/src/route/state.rs
@@ -8,8 +8,8 @@
 use log::info;
 use oatdale_config::{CustomerKey, ServiceKey};
 use oatdale_policy::{
-    Ask, Dispatch, Next, Offer, Outcome, Refusal, RefusalReason, Router, Snapshot, StopDecision,
-    Ticket, Turn, VersionReason,
+    AdmissionDecision, AttemptDecision, Dispatch, Outcome, QueueDecision, Refusal, RefusalReason,
+    RequestInfo, Router, Snapshot, StopDecision, Ticket, VersionReason,
 };
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -36,7 +36,7 @@
     /// A router under `live` that knows of nothing else.
     pub(super) fn new(links: &Links, live: Arc<Live>, start: Instant) -> State {
         State {
-            router: Router::new(live.cfg.clone(), links.place),
+            router: Router::new(live.cfg.clone(), links.identity),
             waiting: HashMap::new(),
             ids: HashMap::new(),
             stopped: Vec::new(),
@@ -91,17 +91,17 @@
             Call::Offer {
                 id,
                 live,
-                ask,
+                request_info,
                 reply,
-            } => self.offer(id, &live, &ask, reply),
+            } => self.offer(id, &live, &request_info, reply),
             Call::OpenSession {
                 live,
                 customer,
                 service,
-                draw,
+                rollout_hash,
                 reply,
             } => {
-                let opened = self.open_session(&live, customer, service, draw);
+                let opened = self.open_session(&live, customer, service, rollout_hash);
                 // A caller that went away needs no session.
                 let _ = reply.send(opened);
             }
@@ -129,22 +129,28 @@
         }
     }
 
-    fn offer(&mut self, id: RequestId, from: &Live, ask: &Ask, reply: oneshot::Sender<Verdict>) {
-        let Some(ask) = self.live.translate(from, ask) else {
+    fn offer(
+        &mut self,
+        id: RequestId,
+        from: &Live,
+        request_info: &RequestInfo,
+        reply: oneshot::Sender<Verdict>,
+    ) {
+        let Some(request_info) = self.live.translate(from, request_info) else {
             self.refuse(id, reply, no_version());
             return;
         };
         let now = self.now();
-        match self.router.offer(now, &ask) {
-            Offer::Run(dispatch) => {
+        match self.router.offer(now, &request_info) {
+            AdmissionDecision::Run(dispatch) => {
                 self.ids.insert(dispatch.ticket, id);
                 self.send(reply, dispatch);
             }
-            Offer::Wait(ticket) => {
+            AdmissionDecision::Wait(ticket) => {
                 self.ids.insert(ticket, id);
                 self.waiting.insert(ticket, reply);
             }
-            Offer::Refuse(refusal) => self.refuse(id, reply, refusal),
+            AdmissionDecision::Refuse(refusal) => self.refuse(id, reply, refusal),
         }
     }
 
@@ -194,12 +200,12 @@
     fn finish(&mut self, ticket: Ticket, outcome: &Outcome, reply: oneshot::Sender<Verdict>) {
         let now = self.now();
         match self.router.finish(now, ticket, outcome) {
-            Next::Run(dispatch) => self.send(reply, dispatch),
-            Next::Done => {
+            AttemptDecision::Run(dispatch) => self.send(reply, dispatch),
+            AttemptDecision::Done => {
                 self.ids.remove(&ticket);
                 let _ = reply.send(Verdict::Done);
             }
-            Next::Refuse(refusal) => {
+            AttemptDecision::Refuse(refusal) => {
                 let id = self.ids.remove(&ticket).unwrap_or(RequestId(0));
                 self.refuse(id, reply, refusal);
             }
@@ -209,16 +215,16 @@
     /// Serves the waiting requests whose turn came.
     pub(super) fn turns(&mut self) {
         let now = self.now();
-        while let Some((ticket, turn)) = self.router.next_turn(now) {
+        while let Some((ticket, decision)) = self.router.poll_queue(now) {
             let reply = self.waiting.remove(&ticket);
-            match (turn, reply) {
-                (Turn::Run(dispatch), Some(reply)) => self.send(reply, dispatch),
-                (Turn::Run(_), None) => self.cancel(ticket),
-                (Turn::Refuse(refusal), Some(reply)) => {
+            match (decision, reply) {
+                (QueueDecision::Run(dispatch), Some(reply)) => self.send(reply, dispatch),
+                (QueueDecision::Run(_), None) => self.cancel(ticket),
+                (QueueDecision::Refuse(refusal), Some(reply)) => {
                     let id = self.ids.remove(&ticket).unwrap_or(RequestId(0));
                     self.refuse(id, reply, refusal);
                 }
-                (Turn::Refuse(_), None) => {
+                (QueueDecision::Refuse(_), None) => {
                     self.ids.remove(&ticket);
                 }
             }
@@ -230,7 +236,7 @@
         from: &Live,
         customer: CustomerKey,
         service: ServiceKey,
-        draw: u64,
+        rollout_hash: u64,
     ) -> Result<Opened, Refusal> {
         let customer = &from.cfg.customers[customer].name;
         let service = &from.cfg.services[service].name;
@@ -241,10 +247,12 @@
             return Err(no_version());
         };
         let now = self.now();
-        let (version, why) = self.router.open_session(now, customer, service, draw)?;
+        let (version, reason) = self
+            .router
+            .open_session(now, customer, service, rollout_hash)?;
         info!(
             target: "route",
-            "event=session customer={:?} service={:?} version={:?} why={why:?} revision={}",
+            "event=session customer={:?} service={:?} version={:?} why={reason:?} revision={}",
             self.live.cfg.customers[customer].name,
             self.live.cfg.services[service].name,
             self.live.cfg.version_name(version),
@@ -312,13 +320,13 @@
             cfg.endpoints[dispatch.endpoint].name,
             version.as_deref().unwrap_or("-"),
             dispatch.considered,
-            dispatch.why_version,
-            dispatch.why_endpoint,
-            dispatch.judge,
+            dispatch.version_reason,
+            dispatch.endpoint_reason,
+            dispatch.needs_rating,
             self.live.revision.0
         );
         self.metrics.dispatched(
-            dispatch.why_version == VersionReason::Escalated,
+            dispatch.version_reason == VersionReason::Escalated,
             dispatch.attempt,
         );
     }
--- a/crates/oatdale-policy/benches/decision.rs
+++ b/crates/oatdale-policy/benches/decision.rs
@@ -9,7 +9,9 @@
     Limits, Model, ModelKey, Pool, PoolKey, PoolKind, Price, Service, ServiceKey, ServiceKind,
     Version, VersionKey, VersionState,
 };
-use oatdale_policy::{Ask, AttemptResult, Offer, Outcome, Place, Router, Session};
+use oatdale_policy::{
+    AdmissionDecision, AttemptResult, NodeIdentity, Outcome, RequestInfo, Router, Session,
+};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -23,11 +25,11 @@
 
 fn main() {
     let cfg = Arc::new(config());
-    let place = Place {
+    let identity = NodeIdentity {
         domain: Some(DomainKey::from_index(0)),
         seed: 1,
     };
-    let mut router = Router::new(cfg.clone(), place);
+    let mut router = Router::new(cfg.clone(), identity);
     let mut offers = Vec::new();
     let mut requests = Vec::new();
     for round in 0..ROUNDS as u64 {
@@ -59,10 +61,10 @@
         let n = round * REQUESTS + i;
         let now = Duration::from_micros(300 * n);
         let offer_start = Instant::now();
-        let offer = router.offer(now, &ask(now, n));
+        let decision = router.offer(now, &request_info(now, n));
         offers += offer_start.elapsed();
-        let Offer::Run(dispatch) = offer else {
-            panic!("expected an idle fleet to run the request, got {offer:?}");
+        let AdmissionDecision::Run(dispatch) = decision else {
+            panic!("expected an idle fleet to run the request, got {decision:?}");
         };
         router.finish(now, dispatch.ticket, &outcome(n));
     }
@@ -78,18 +80,18 @@
     );
 }
 
-fn ask(now: Duration, n: u64) -> Ask {
-    let draw = n.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    Ask {
+fn request_info(now: Duration, n: u64) -> RequestInfo {
+    let rollout_hash = n.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    RequestInfo {
         customer: CustomerKey::from_index((n % CUSTOMERS as u64) as usize),
-        service: ServiceKey::from_index((draw >> 40) as usize % SERVICES),
+        service: ServiceKey::from_index((rollout_hash >> 40) as usize % SERVICES),
         idempotent: true,
         session: Session::None,
         deadline: now + Duration::from_secs(30),
         input_tokens: 1000,
         output_tokens: 400,
-        prefix: draw >> 32,
-        draw,
+        prefix: rollout_hash >> 32,
+        rollout_hash,
         stream: true,
         class: (n % 8) as u8,
     }
--- a/crates/oatdale-policy/examples/measure/cascade.rs
+++ b/crates/oatdale-policy/examples/measure/cascade.rs
@@ -17,7 +17,8 @@
 use crate::world::{ModelService, SimRng, Site, random_customer};
 use oatdale_config::{Config, Key, ServiceKey, VersionKey};
 use oatdale_policy::{
-    Ask, AttemptResult, Dispatch, Next, Offer, Outcome, Place, Router, Session, VersionReason,
+    AdmissionDecision, AttemptDecision, AttemptResult, Dispatch, NodeIdentity, Outcome,
+    RequestInfo, Router, Session, VersionReason,
 };
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -276,13 +277,13 @@
 
     /// Results of the router, with one request at a time and delayed sampled ratings.
     fn run_router(&self, site: &Site, seed: u64) -> Vec<RequestResult> {
-        let place = Place {
+        let identity = NodeIdentity {
             domain: None,
             seed: seed + 1,
         };
         let mut run = RouterRun {
             scenario: self,
-            router: Router::new(self.cfg.clone(), place),
+            router: Router::new(self.cfg.clone(), identity),
             rng: SimRng::new(seed ^ 0x5eed),
             pending_ratings: VecDeque::new(),
         };
@@ -315,7 +316,7 @@
         let now = Duration::from_millis(100 * request_index as u64);
         self.deliver_ratings(request_index, now);
         let request = self.scenario.requests[request_index];
-        let ask = Ask {
+        let info = RequestInfo {
             customer: random_customer(&mut self.rng, customers),
             service: ServiceKey::from_index(0),
             idempotent: true,
@@ -323,21 +324,23 @@
             deadline: now + Duration::from_secs(60),
             input_tokens: request.input,
             output_tokens: MAX_OUTPUT_TOKENS,
-            prefix: request.draw,
-            draw: request.draw,
+            prefix: request.random_hash,
+            rollout_hash: request.random_hash,
             stream: false,
             class: request.class as u8,
         };
-        let Offer::Run(mut dispatch) = self.router.offer(now, &ask) else {
+        let AdmissionDecision::Run(mut dispatch) = self.router.offer(now, &info) else {
             panic!("idle site did not dispatch a request at once");
         };
         let mut result = RequestResult::default();
         loop {
             let outcome = self.attempt(request_index, dispatch, &mut result);
             match self.router.finish(now, dispatch.ticket, &outcome) {
-                Next::Run(next) => dispatch = next,
-                Next::Done => return result,
-                Next::Refuse(refusal) => panic!("refused without a failed attempt: {refusal:?}"),
+                AttemptDecision::Run(next) => dispatch = next,
+                AttemptDecision::Done => return result,
+                AttemptDecision::Refuse(refusal) => {
+                    panic!("refused without a failed attempt: {refusal:?}")
+                }
             }
         }
     }
@@ -358,19 +361,19 @@
         let class = &scenario.workload(request_index).classes[request.class];
         result.accepted = is_accepted(class, request, version.index());
         let rating = f64::from(u8::from(result.accepted));
-        if !dispatch.judge && self.rng.uniform() < scenario.workloads[0].rated_share {
+        if !dispatch.needs_rating && self.rng.uniform() < scenario.workloads[0].rated_share {
             self.pending_ratings.push_back(PendingRating {
                 due: request_index + RATING_LAG_REQUESTS,
                 class: request.class as u8,
                 version,
-                escalated: dispatch.why_version == VersionReason::Escalated,
+                escalated: dispatch.version_reason == VersionReason::Escalated,
                 rating,
             });
         }
         let total = Duration::from_secs_f64(total);
         Outcome {
             result: AttemptResult::Complete {
-                rating: dispatch.judge.then_some(rating),
+                rating: dispatch.needs_rating.then_some(rating),
                 output_tokens: request.output,
             },
             forwarded: false,
--- a/crates/oatdale-policy/examples/measure/cascade/load.rs
+++ b/crates/oatdale-policy/examples/measure/cascade/load.rs
@@ -40,8 +40,8 @@
     pub(super) difficulty: f64,
     /// Independent part of the difficulty for each version.
     pub(super) noise: [f64; 3],
-    /// Random hash for [`oatdale_policy::Ask`].
-    pub(super) draw: u64,
+    /// Random hash for [`oatdale_policy::RequestInfo`].
+    pub(super) random_hash: u64,
 }
 
 /// Skyward: short tagging, notes and pass schedules.
@@ -109,7 +109,7 @@
         output: rng.log_normal(output, LENGTH_SIGMA) as u32 + 1,
         difficulty: rng.uniform(),
         noise: [(); 3].map(|()| rng.uniform()),
-        draw: rng.random_bits(),
+        random_hash: rng.random_bits(),
     }
 }
 
--- a/crates/oatdale-policy/examples/measure/exposure.rs
+++ b/crates/oatdale-policy/examples/measure/exposure.rs
@@ -9,7 +9,9 @@
 use crate::report::Report;
 use crate::world::{ModelService, SimRng, Site};
 use oatdale_config::{Config, CustomerKey, Key, ModelKey, ServiceKey, VersionKey, VersionState};
-use oatdale_policy::{Ask, AttemptResult, Dispatch, Offer, Outcome, Place, Router, Session};
+use oatdale_policy::{
+    AdmissionDecision, AttemptResult, Dispatch, NodeIdentity, Outcome, RequestInfo, Router, Session,
+};
 use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::Duration;
@@ -192,11 +194,11 @@
     let mut rollout = Rollout {
         routers: (0..NODES as u64)
             .map(|node| {
-                let place = Place {
+                let identity = NodeIdentity {
                     domain: None,
                     seed: seed * 16 + node,
                 };
-                Router::new(cfg.clone(), place)
+                Router::new(cfg.clone(), identity)
             })
             .collect(),
         canary,
@@ -238,7 +240,7 @@
             self.routers[node].observe_rating(now, service(), 0, version, rating);
         }
         let node = self.rng.below(NODES);
-        let ask = Ask {
+        let info = RequestInfo {
             customer: CustomerKey::from_index(self.rng.below(10)),
             service: service(),
             idempotent: false,
@@ -247,11 +249,11 @@
             input_tokens: 100,
             output_tokens: 100,
             prefix: self.rng.random_bits(),
-            draw: self.rng.random_bits(),
+            rollout_hash: self.rng.random_bits(),
             stream: true,
             class: 0,
         };
-        let Offer::Run(dispatch) = self.routers[node].offer(now, &ask) else {
+        let AdmissionDecision::Run(dispatch) = self.routers[node].offer(now, &info) else {
             // Endpoints are avoided for a while after consecutive failures, which happens if a
             // version always fails.
             return;
--- a/crates/oatdale-policy/examples/measure/sim.rs
+++ b/crates/oatdale-policy/examples/measure/sim.rs
@@ -9,8 +9,8 @@
 use crate::world::{SimRng, random_customer};
 use oatdale_config::{Config, CustomerKey, DomainKey, EndpointKey, Key, VersionKey};
 use oatdale_policy::{
-    Ask, AttemptResult, LoadReport, Next, Offer, Outcome, Place, Refusal, Router, Session, Ticket,
-    Turn,
+    AdmissionDecision, AttemptDecision, AttemptResult, LoadReport, NodeIdentity, Outcome,
+    QueueDecision, Refusal, RequestInfo, Router, Session, Ticket,
 };
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -79,11 +79,11 @@
     pub(crate) fn run(setup: Setup) -> Sim {
         let cfg = Arc::new(setup.site.config());
         let router = |node: usize| {
-            let place = Place {
+            let identity = NodeIdentity {
                 domain: Some(DomainKey::from_index(node % 3)),
                 seed: setup.seed * 64 + node as u64 + 1,
             };
-            Router::with_tuning(cfg.clone(), place, setup.tuning)
+            Router::with_tuning(cfg.clone(), identity, setup.tuning)
         };
         let mut engines: Vec<Engine> = cfg
             .endpoints
@@ -156,7 +156,7 @@
             } => self.end(endpoint, started, sent_at),
             Event::SampleLoad => self.sample_load(),
             Event::DeliverReport { endpoint, report } => self.deliver_report(endpoint, report),
-            Event::Wake { node } => self.process_turns(node),
+            Event::Wake { node } => self.process_queue(node),
         }
     }
 
@@ -293,15 +293,15 @@
 
     fn offer(&mut self, job: usize) {
         let now = self.elapsed();
-        let draw = self.rng.random_bits();
+        let rollout_hash = self.rng.random_bits();
         let j = &self.jobs[job];
-        let ask = Ask {
+        let info = RequestInfo {
             customer: j.customer,
             service: self.setup.flows[j.flow].service,
             idempotent: true,
             session: match j.session {
                 None => Session::None,
-                Some((_, 0)) => Session::Opens,
+                Some((_, 0)) => Session::Open,
                 Some((_, step)) => Session::Pinned {
                     version: VersionKey::from_index(0),
                     step,
@@ -311,21 +311,21 @@
             input_tokens: j.work.input,
             output_tokens: j.work.output,
             prefix: j.work.prefix,
-            draw,
+            rollout_hash,
             stream: true,
             class: j.flow as u8,
         };
         let node = j.node;
-        match self.routers[node].offer(now, &ask) {
-            Offer::Run(d) => {
+        match self.routers[node].offer(now, &info) {
+            AdmissionDecision::Run(d) => {
                 self.jobs[job].ticket = Some(d.ticket);
                 self.send(job, d.attempt, d.endpoint.index());
             }
-            Offer::Wait(ticket) => {
+            AdmissionDecision::Wait(ticket) => {
                 self.jobs[job].ticket = Some(ticket);
                 self.schedule_wake(node);
             }
-            Offer::Refuse(refusal) => self.refuse(job, refusal),
+            AdmissionDecision::Refuse(refusal) => self.refuse(job, refusal),
         }
     }
 
@@ -337,14 +337,14 @@
         }
     }
 
-    /// Sends or refuses the waiting requests whose turn has come.
-    fn process_turns(&mut self, node: usize) {
+    /// Sends or refuses the queued requests on which the router has decided.
+    fn process_queue(&mut self, node: usize) {
         let now = self.elapsed();
-        while let Some((ticket, turn)) = self.routers[node].next_turn(now) {
+        while let Some((ticket, decision)) = self.routers[node].poll_queue(now) {
             let job = self.job_of(node, ticket);
-            match turn {
-                Turn::Run(d) => self.send(job, d.attempt, d.endpoint.index()),
-                Turn::Refuse(refusal) => self.refuse(job, refusal),
+            match decision {
+                QueueDecision::Run(d) => self.send(job, d.attempt, d.endpoint.index()),
+                QueueDecision::Refuse(refusal) => self.refuse(job, refusal),
             }
         }
     }
@@ -408,14 +408,14 @@
         };
         let now = self.elapsed();
         match self.routers[node].finish(now, ticket, &outcome) {
-            Next::Run(d) => self.send(job, d.attempt, d.endpoint.index()),
-            Next::Done => {
+            AttemptDecision::Run(d) => self.send(job, d.attempt, d.endpoint.index()),
+            AttemptDecision::Done => {
                 self.jobs[job].ticket = None;
                 self.advance_session(job, None);
             }
-            Next::Refuse(refusal) => self.refuse(job, refusal),
+            AttemptDecision::Refuse(refusal) => self.refuse(job, refusal),
         }
-        self.process_turns(node);
+        self.process_queue(node);
     }
 
     fn refuse(&mut self, job: usize, refusal: Refusal) {
@@ -459,7 +459,7 @@
         let now = self.elapsed();
         for node in 0..self.routers.len() {
             self.routers[node].observe_load(now, EndpointKey::from_index(endpoint), report);
-            self.process_turns(node);
+            self.process_queue(node);
         }
     }
 }
--- a/crates/oatdale-policy/src/cascade.rs
+++ b/crates/oatdale-policy/src/cascade.rs
@@ -16,7 +16,7 @@
 use crate::average::Mean;
 use crate::choice::{Plan, Plans, Versions};
 use crate::estimate::AcceptanceEstimate;
-use crate::request::{Ask, Session, VersionReason};
+use crate::request::{RequestInfo, Session, VersionReason};
 use oatdale_config::{Config, Key, ServiceKey, ServiceKind, VersionKey};
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -148,18 +148,18 @@
     pub(crate) fn plans(
         &mut self,
         cfg: &Config,
-        ask: &Ask,
+        info: &RequestInfo,
         versions: &[VersionKey],
         rng: &mut Pcg64Mcg,
     ) -> (Plans, f64) {
-        let forecasts = self.forecasts(cfg, ask, versions);
+        let forecasts = self.forecasts(cfg, info, versions);
         self.mean_max_cost.add(max_of(&forecasts, |v| v.cost));
         self.mean_max_seconds
             .add(max_of(&forecasts, |v| v.first_byte));
-        let weights = self.weights(cfg, ask.service, &forecasts);
+        let weights = self.weights(cfg, info.service, &forecasts);
         let front = pareto_front(&forecasts);
-        let is_standalone = ask.idempotent && ask.session == Session::None;
-        let buffering = match ask.stream && weights.latency > LATENCY_FIRST {
+        let is_standalone = info.idempotent && info.session == Session::None;
+        let buffering = match info.stream && weights.latency > LATENCY_FIRST {
             true => Buffering::Never,
             false => Buffering::Allowed,
         };
@@ -170,23 +170,30 @@
             is_standalone && buffering == Buffering::Allowed,
         );
         let exploration = match is_standalone {
-            true => self.explore(ask, &forecasts, (&steps, forecast), weights, buffering, rng),
+            true => self.explore(
+                info,
+                &forecasts,
+                (&steps, forecast),
+                weights,
+                buffering,
+                rng,
+            ),
             false => None,
         };
-        let why = self.choice_reason(&steps, &front, weights);
+        let reason = self.choice_reason(&steps, &front, weights);
         plans.extend(exploration);
-        plans.push(Plan { steps, why });
+        plans.push(Plan { steps, reason });
         plans.extend(fallback_plans(&plans, &front, weights));
         (plans, forecast.quality)
     }
 
     /// Returns the expected quality of one version for a request that can use no other.
-    pub(crate) fn quality(&self, cfg: &Config, ask: &Ask, version: VersionKey) -> f64 {
-        self.forecasts(cfg, ask, &[version])[0].direct_acceptance
+    pub(crate) fn quality(&self, cfg: &Config, info: &RequestInfo, version: VersionKey) -> f64 {
+        self.forecasts(cfg, info, &[version])[0].direct_acceptance
     }
 
     /// Adjusts the price of quality after a request got a plan of this expected quality.
-    pub(crate) fn planned(&mut self, target: f64, quality: f64) {
+    pub(crate) fn adjust_price(&mut self, target: f64, quality: f64) {
         let catch_up = 0.01 * self.shortfall * self.late_rating_share() / CATCH_UP_ANSWERS;
         let aim =
             target + TARGET_MARGIN_SHARE + catch_up.clamp(AIM_OFFSET_RANGE.0, AIM_OFFSET_RANGE.1);
@@ -199,7 +206,7 @@
     /// The estimates alone are biased in favour of the chosen sequences: a sequence is chosen
     /// because its estimate is high, partly by chance. The answers that were actually accepted
     /// correct this.
-    pub(crate) fn delivered(
+    pub(crate) fn record_delivery(
         &mut self,
         target: f64,
         class: u8,
@@ -219,7 +226,7 @@
     }
 
     /// Records a rating of a version's answer.
-    pub(crate) fn rated(
+    pub(crate) fn record_rating(
         &mut self,
         class: u8,
         version: VersionKey,
@@ -235,7 +242,7 @@
 
     /// Records a rating that arrived after the answer was sent to the caller; it also represents
     /// the answers that are not rated.
-    pub(crate) fn rated_late(
+    pub(crate) fn record_late_rating(
         &mut self,
         class: u8,
         version: VersionKey,
@@ -245,7 +252,7 @@
         let estimated = self.estimated_acceptance(class, version, is_escalation);
         self.late_rated += 1.0;
         self.shortfall -= (rating - estimated) / self.late_rating_share();
-        self.rated(class, version, is_escalation, rating);
+        self.record_rating(class, version, is_escalation, rating);
     }
 
     /// Returns the share of unbuffered answers that are rated later.
@@ -254,7 +261,7 @@
     }
 
     /// Records the size and times of a complete answer, in tokens and seconds.
-    pub(crate) fn answered(
+    pub(crate) fn record_answer(
         &mut self,
         class: u8,
         version: VersionKey,
@@ -309,11 +316,11 @@
     fn forecasts(
         &self,
         cfg: &Config,
-        ask: &Ask,
+        info: &RequestInfo,
         versions: &[VersionKey],
     ) -> SmallVec<[VersionForecast; 64]> {
         let last_rank = versions.len().saturating_sub(1).max(1) as f64;
-        let class = self.classes.get(&ask.class);
+        let class = self.classes.get(&info.class);
         let default_stats = VersionStats::default();
         versions
             .iter()
@@ -325,15 +332,15 @@
                     + (PRIOR_ACCEPTANCE.1 - PRIOR_ACCEPTANCE.0) * rank as f64 / last_rank;
                 let direct_acceptance = stats.direct_acceptance.get(prior);
                 let price = cfg.versions[version].price;
-                let output = stats.output.get_or(f64::from(ask.output_tokens));
-                let cost = price.input * f64::from(ask.input_tokens) + price.output * output;
+                let output = stats.output.get_or(f64::from(info.output_tokens));
+                let cost = price.input * f64::from(info.input_tokens) + price.output * output;
                 let total = stats.total.get_or(0.0);
                 VersionForecast {
                     version,
                     direct_acceptance,
                     escalated_acceptance: stats.escalated_acceptance.get(direct_acceptance),
                     cost: cost / 1e6,
-                    first_byte: match ask.stream {
+                    first_byte: match info.stream {
                         true => stats.first_byte.get_or(0.0),
                         false => total,
                     },
@@ -371,7 +378,7 @@
     /// costs more than it teaches.
     fn explore(
         &self,
-        ask: &Ask,
+        info: &RequestInfo,
         forecasts: &[VersionForecast],
         preferred: (&Versions, SequenceForecast),
         weights: Weights,
@@ -385,7 +392,7 @@
         let random = rng.next_u64();
         let candidate = forecasts[(random % forecasts.len() as u64) as usize];
         let is_second_step = preferred.0.len() > 1 && random >> 63 == 1;
-        let stats = self.stats(ask.class, candidate.version);
+        let stats = self.stats(info.class, candidate.version);
         let ratings = match is_second_step {
             true => stats.escalated_acceptance.ratings(),
             false => stats.direct_acceptance.ratings(),
@@ -420,7 +427,7 @@
         let optimistic_utility = utility(&all).max(utility_without_last);
         (optimistic_utility > weights.utility(preferred.1)).then(|| Plan {
             steps: steps.iter().map(|v| v.version).collect(),
-            why: VersionReason::Explore,
+            reason: VersionReason::Explore,
         })
     }
 
--- a/crates/oatdale-policy/src/choice.rs
+++ b/crates/oatdale-policy/src/choice.rs
@@ -1,7 +1,7 @@
 //! Selection of the versions that may serve a request, and the order in which they are tried.
 
 use crate::endpoints::mix;
-use crate::request::{Ask, RefusalReason, Session, VersionReason};
+use crate::request::{RefusalReason, RequestInfo, Session, VersionReason};
 use crate::version_rule::{Work, admits};
 use oatdale_config::{Config, CustomerKey, Key, ServiceKey, ServiceKind, VersionKey, VersionState};
 use smallvec::SmallVec;
@@ -18,7 +18,7 @@
     /// The steps; empty for plain services.
     pub(crate) steps: Versions,
     /// Reason for the version of the first step.
-    pub(crate) why: VersionReason,
+    pub(crate) reason: VersionReason,
 }
 
 impl Plan {
@@ -26,15 +26,15 @@
     pub(crate) fn plain() -> Self {
         Plan {
             steps: Versions::new(),
-            why: VersionReason::Plain,
+            reason: VersionReason::Plain,
         }
     }
 
     /// Creates a plan of one version.
-    pub(crate) fn single(version: VersionKey, why: VersionReason) -> Self {
+    pub(crate) fn single(version: VersionKey, reason: VersionReason) -> Self {
         Plan {
             steps: SmallVec::from_slice(&[version]),
-            why,
+            reason,
         }
     }
 }
@@ -48,12 +48,12 @@
     Pinned(VersionKey),
     /// A canary whose share includes the request, if no serving version admits new work.
     Canary(VersionKey),
-    /// The versions that [`Catalogue::serving`] returns; at least one.
+    /// The versions that [`VersionCatalogue::serving`] returns; at least one.
     Serving,
 }
 
 /// Versions of each service, cheapest first, and which of them are stopped.
-pub(crate) struct Catalogue {
+pub(crate) struct VersionCatalogue {
     by_price: Vec<Versions>,
     /// Whether a stop is recorded beside the configuration, by version.
     recorded_stops: Vec<bool>,
@@ -61,9 +61,9 @@
     local_stops: Vec<bool>,
 }
 
-impl Catalogue {
+impl VersionCatalogue {
     pub(crate) fn new(cfg: &Config) -> Self {
-        Catalogue {
+        VersionCatalogue {
             by_price: cfg.services.keys().map(|s| by_price(cfg, s)).collect(),
             recorded_stops: vec![false; cfg.versions.len()],
             local_stops: vec![false; cfg.versions.len()],
@@ -92,45 +92,49 @@
     }
 
     /// Stops a version by this router's own decision.
-    pub(crate) fn decide(&mut self, version: VersionKey) {
+    pub(crate) fn stop_locally(&mut self, version: VersionKey) {
         self.local_stops[version.index()] = true;
     }
 
-    /// Takes over a version's stops from an earlier configuration; the router's own decision ends
+    /// Migrates a version's stops from an earlier configuration; the router's own decision ends
     /// if the version's configuration has changed.
-    pub(crate) fn take_over(
+    pub(crate) fn migrate_stops(
         &mut self,
         version: VersionKey,
-        old: (&Catalogue, VersionKey),
-        has_changed: bool,
+        old: (&VersionCatalogue, VersionKey),
+        is_changed: bool,
     ) {
         let (catalogue, key) = old;
         self.recorded_stops[version.index()] = catalogue.recorded_stops[key.index()];
-        self.local_stops[version.index()] = catalogue.local_stops[key.index()] && !has_changed;
+        self.local_stops[version.index()] = catalogue.local_stops[key.index()] && !is_changed;
     }
 
     /// Whether a version may serve this request now, by its state, its stop and the customer's
     /// permissions.
     ///
-    /// Every path that sends a request checks this or [`Catalogue::serving`]: first choice,
+    /// Every path that sends a request checks this or [`VersionCatalogue::serving`]: first choice,
     /// cascade, retry, dequeueing and session.
-    pub(crate) fn permits(&self, cfg: &Config, ask: &Ask, version: VersionKey) -> bool {
+    pub(crate) fn permits(&self, cfg: &Config, info: &RequestInfo, version: VersionKey) -> bool {
         let Some(item) = cfg.versions.get(version) else {
             return false;
         };
-        let work = match ask.session {
+        let work = match info.session {
             Session::Pinned { .. } => Work::Pinned,
-            Session::None | Session::Opens => Work::New,
+            Session::None | Session::Open => Work::New,
         };
         admits(item.state, self.is_stopped(version), work)
-            && cfg.allows(ask.customer, version)
-            && self.versions_of(ask.service).contains(&version)
+            && cfg.allows(info.customer, version)
+            && self.versions_of(info.service).contains(&version)
     }
 
     /// Returns the versions in state `serving` that may serve this new request, cheapest first.
-    pub(crate) fn serving(&self, cfg: &Config, ask: &Ask) -> impl Iterator<Item = VersionKey> {
-        let customer = ask.customer;
-        self.versions_of(ask.service)
+    pub(crate) fn serving(
+        &self,
+        cfg: &Config,
+        info: &RequestInfo,
+    ) -> impl Iterator<Item = VersionKey> {
+        let customer = info.customer;
+        self.versions_of(info.service)
             .iter()
             .copied()
             .filter(|&v| cfg.versions[v].state == VersionState::Serving)
@@ -144,12 +148,12 @@
     pub(crate) fn canary(
         &self,
         cfg: &Config,
-        ask: &Ask,
+        info: &RequestInfo,
         instead_of: Option<VersionKey>,
     ) -> Option<VersionKey> {
         let model = instead_of.map(|v| cfg.versions[v].model);
         let mut allocated: SmallVec<[(oatdale_config::ModelKey, f64); 4]> = SmallVec::new();
-        for &version in self.versions_of(ask.service) {
+        for &version in self.versions_of(info.service) {
             let item = &cfg.versions[version];
             let VersionState::Canary { share } = item.state else {
                 continue;
@@ -161,9 +165,9 @@
             let start = used.map_or(0.0, |(_, end)| *end);
             allocated.retain(|(m, _)| *m != item.model);
             allocated.push((item.model, start + share));
-            let position = position(ask.draw, item.model.index());
+            let position = position(info.rollout_hash, item.model.index());
             let is_in_share = position >= start && position < start + share;
-            if is_in_share && self.permits(cfg, ask, version) {
+            if is_in_share && self.permits(cfg, info, version) {
                 return Some(version);
             }
         }
@@ -207,17 +211,21 @@
     /// # Errors
     ///
     /// Returns the reason if none may.
-    pub(crate) fn candidates(&self, cfg: &Config, ask: &Ask) -> Result<Candidates, RefusalReason> {
-        if let ServiceKind::Plain = cfg.services[ask.service].kind {
+    pub(crate) fn candidates(
+        &self,
+        cfg: &Config,
+        info: &RequestInfo,
+    ) -> Result<Candidates, RefusalReason> {
+        if let ServiceKind::Plain = cfg.services[info.service].kind {
             return Ok(Candidates::Plain);
         }
-        if let Session::Pinned { version, .. } = ask.session {
-            return self.pinned(cfg, ask, version);
+        if let Session::Pinned { version, .. } = info.session {
+            return self.pinned(cfg, info, version);
         }
-        match self.serving(cfg, ask).next() {
+        match self.serving(cfg, info).next() {
             Some(_) => Ok(Candidates::Serving),
             None => self
-                .canary(cfg, ask, None)
+                .canary(cfg, info, None)
                 .map(Candidates::Canary)
                 .ok_or(RefusalReason::NoVersion),
         }
@@ -226,20 +234,20 @@
     fn pinned(
         &self,
         cfg: &Config,
-        ask: &Ask,
+        info: &RequestInfo,
         version: VersionKey,
     ) -> Result<Candidates, RefusalReason> {
         match cfg.versions.get(version).map(|v| v.state) {
             Some(VersionState::Withdrawn) => Err(RefusalReason::SessionVersionWithdrawn),
-            Some(_) if self.permits(cfg, ask, version) => Ok(Candidates::Pinned(version)),
+            Some(_) if self.permits(cfg, info, version) => Ok(Candidates::Pinned(version)),
             Some(_) | None => Err(RefusalReason::NoVersion),
         }
     }
 }
 
 /// Returns the position of a request in its model's canary shares, from 0 to 1.
-fn position(draw: u64, model: usize) -> f64 {
-    let hash = mix(draw ^ mix(model as u64));
+fn position(rollout_hash: u64, model: usize) -> f64 {
+    let hash = mix(rollout_hash ^ mix(model as u64));
     (hash >> 11) as f64 / (1_u64 << 53) as f64
 }
 
--- a/crates/oatdale-policy/src/endpoint.rs
+++ b/crates/oatdale-policy/src/endpoint.rs
@@ -26,7 +26,7 @@
     /// Whether the endpoint is leaving and accepts no new requests.
     pub(crate) leaving: bool,
     /// Versions that it reports as loaded; `None` stands for those of the configuration.
-    pub(crate) holds: Option<Vec<VersionKey>>,
+    pub(crate) loaded_versions: Option<Vec<VersionKey>>,
     /// In-flight requests of this node.
     pub(crate) running: u32,
     /// In-flight requests of other nodes, derived from the last report.
@@ -55,7 +55,7 @@
 
     /// Whether the endpoint can take one more request now.
     pub(crate) fn has_room(&self, now: Duration, concurrency: u32) -> bool {
-        self.is_live(now) && self.load() + 1.0 <= f64::from(concurrency)
+        self.is_available(now) && self.load() + 1.0 <= f64::from(concurrency)
     }
 
     /// Whether a request that must leave room for other services can go there.
@@ -74,7 +74,7 @@
     }
 
     /// Whether the endpoint is available at all; after a back-off, a single request probes it.
-    pub(crate) fn is_live(&self, now: Duration) -> bool {
+    pub(crate) fn is_available(&self, now: Duration) -> bool {
         !self.leaving
             && match self.consecutive_failures {
                 consecutive_failures if consecutive_failures <= MAX_TOLERATED_FAILURES => true,
@@ -106,19 +106,19 @@
     }
 
     /// Records that this node sent it a request.
-    pub(crate) fn sent(&mut self, now: Duration) {
+    pub(crate) fn record_sent(&mut self, now: Duration) {
         self.running += 1;
         self.record_running(now);
     }
 
     /// Records that a request of this node ended.
-    pub(crate) fn over(&mut self, now: Duration) {
+    pub(crate) fn record_end(&mut self, now: Duration) {
         self.running = self.running.saturating_sub(1);
         self.record_running(now);
     }
 
     /// Records an answer and its time to the first byte, relative to the usual one.
-    pub(crate) fn answered(&mut self, relative: Option<f64>) {
+    pub(crate) fn record_answer(&mut self, relative: Option<f64>) {
         self.consecutive_failures = 0;
         self.failure_share *= 1.0 - SAMPLE_WEIGHT;
         if let Some(relative) = relative {
@@ -128,7 +128,7 @@
     }
 
     /// Records a failure.
-    pub(crate) fn failed(&mut self, now: Duration) {
+    pub(crate) fn record_failure(&mut self, now: Duration) {
         self.consecutive_failures += 1;
         self.failure_share += SAMPLE_WEIGHT * (1.0 - self.failure_share);
         let doublings = self
@@ -142,7 +142,7 @@
     ///
     /// If the report counted this node's own requests twice, or those that have ended since, each
     /// node would leave the endpoint and return to it in step with the reports.
-    pub(crate) fn report(&mut self, now: Duration, report: LoadReport, dither: f64) {
+    pub(crate) fn record_report(&mut self, now: Duration, report: LoadReport, dither: f64) {
         let reported_at = now.saturating_sub(report.age);
         let own = self.running_at(reported_at);
         let total = f64::from(report.running + report.waiting);
--- a/crates/oatdale-policy/src/endpoints.rs
+++ b/crates/oatdale-policy/src/endpoints.rs
@@ -29,23 +29,23 @@
 
 /// Constraints on the selection of an endpoint.
 #[derive(Clone, Copy)]
-pub(crate) struct Wish<'a> {
+pub(crate) struct EndpointQuery<'a> {
     pub(crate) pool: PoolKey,
     pub(crate) version: Option<VersionKey>,
     /// Hash of the prompt's prefix, if a prefix cache may help.
     pub(crate) prefix: Option<u64>,
     /// Endpoints that have failed this request.
-    pub(crate) tried: &'a [EndpointKey],
+    pub(crate) failed_endpoints: &'a [EndpointKey],
     /// This node's share of the pool's load, if the request must leave room for other services at
     /// each endpoint.
-    pub(crate) leave_room: Option<f64>,
+    pub(crate) surge_share: Option<f64>,
 }
 
 /// A chosen endpoint.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Pick {
+pub(crate) struct EndpointChoice {
     pub(crate) endpoint: EndpointKey,
-    pub(crate) why: EndpointReason,
+    pub(crate) reason: EndpointReason,
     pub(crate) considered: u16,
 }
 
@@ -95,21 +95,21 @@
     ///
     /// Only the subsets of versions that it gained or lost are recomputed: thousands of engines
     /// report their versions when a node starts, most of them as configured.
-    pub(crate) fn set_holds(
+    pub(crate) fn set_loaded_versions(
         &mut self,
         cfg: &Config,
         e: EndpointKey,
-        holds: Option<Vec<VersionKey>>,
+        reported_versions: Option<Vec<VersionKey>>,
     ) {
-        let loaded_versions = |endpoints: &Self| -> Vec<VersionKey> {
+        let effective_versions = |endpoints: &Self| -> Vec<VersionKey> {
             cfg.versions
                 .keys()
                 .filter(|&v| endpoints.has_loaded(cfg, e, v))
                 .collect()
         };
-        let before = loaded_versions(self);
-        self.states[e.index()].holds = holds;
-        let after = loaded_versions(self);
+        let before = effective_versions(self);
+        self.states[e.index()].loaded_versions = reported_versions;
+        let after = effective_versions(self);
         let changed = cfg
             .versions
             .keys()
@@ -133,35 +133,35 @@
 
     /// Returns the endpoints that this node uses for a pool and version; `None` stands for all
     /// versions.
-    pub(crate) fn used(&self, pool: PoolKey, version: Option<VersionKey>) -> &[EndpointKey] {
+    pub(crate) fn subset(&self, pool: PoolKey, version: Option<VersionKey>) -> &[EndpointKey] {
         self.subsets
             .get(self.subset_index(pool, version))
             .map_or(&[], Vec::as_slice)
     }
 
     /// Whether any endpoint of the pool that has loaded the version is available.
-    pub(crate) fn any_live(
+    pub(crate) fn any_available(
         &self,
         now: Duration,
         pool: PoolKey,
         version: Option<VersionKey>,
     ) -> bool {
-        self.used(pool, version)
+        self.subset(pool, version)
             .iter()
-            .any(|e| self.states[e.index()].is_live(now))
+            .any(|e| self.states[e.index()].is_available(now))
     }
 
     /// Returns this node's share of all requests at the pool's endpoints, with one more of its own.
     pub(crate) fn share(&self, pool: PoolKey, running: u32) -> f64 {
-        let used = self.used(pool, None).iter();
-        let others_load: f64 = used.map(|e| self.states[e.index()].others_load()).sum();
+        let subset = self.subset(pool, None).iter();
+        let others_load: f64 = subset.map(|e| self.states[e.index()].others_load()).sum();
         let own = f64::from(running) + 1.0;
         own / (own + others_load)
     }
 
     /// Returns the earliest end of a back-off after failures.
-    pub(crate) fn next_pause_end(&self, now: Duration, pool: PoolKey) -> Option<Duration> {
-        self.used(pool, None)
+    pub(crate) fn next_backoff_end(&self, now: Duration, pool: PoolKey) -> Option<Duration> {
+        self.subset(pool, None)
             .iter()
             .filter_map(|e| self.states[e.index()].backoff_end(now))
             .min()
@@ -176,14 +176,17 @@
         &self,
         now: Duration,
         cfg: &Config,
-        query: Wish<'_>,
+        query: EndpointQuery<'_>,
         rng: &mut Pcg64Mcg,
-    ) -> Option<Pick> {
+    ) -> Option<EndpointChoice> {
         let (usable, considered) = self.usable(now, cfg, query);
         let in_own_domain = filtered(&usable, |e| Some(cfg.endpoints[e].domain) == self.domain);
-        let failed_domain = query.tried.last().map(|e| cfg.endpoints[*e].domain);
+        let failed_domain = query
+            .failed_endpoints
+            .last()
+            .map(|e| cfg.endpoints[*e].domain);
         let other_domains = filtered(&usable, |e| Some(cfg.endpoints[e].domain) != failed_domain);
-        let (candidates, why): (&[EndpointKey], _) = match () {
+        let (candidates, reason): (&[EndpointKey], _) = match () {
             () if usable.is_empty() => return None,
             () if considered == 1 => (&usable, EndpointReason::Only),
             () if failed_domain.is_some() && !other_domains.is_empty() => {
@@ -197,11 +200,11 @@
         let affinity_endpoint = query
             .prefix
             .and_then(|p| self.affinity_endpoint(cfg, &usable, p, chosen));
-        let (endpoint, why) =
-            affinity_endpoint.map_or((chosen, why), |e| (e, EndpointReason::Prefix));
-        Some(Pick {
+        let (endpoint, reason) =
+            affinity_endpoint.map_or((chosen, reason), |e| (e, EndpointReason::Prefix));
+        Some(EndpointChoice {
             endpoint,
-            why,
+            reason,
             considered,
         })
     }
@@ -209,21 +212,21 @@
     /// Returns endpoints to select from, and how many have room. Nearly full ones are left out
     /// while there are others; otherwise all but the least loaded are, since another node may have
     /// taken their last slots by now.
-    fn usable(&self, now: Duration, cfg: &Config, query: Wish<'_>) -> (EndpointKeys, u16) {
-        let used = self.used(query.pool, query.version);
+    fn usable(&self, now: Duration, cfg: &Config, query: EndpointQuery<'_>) -> (EndpointKeys, u16) {
+        let subset = self.subset(query.pool, query.version);
         let mut usable = EndpointKeys::new();
         let mut uncrowded = EndpointKeys::new();
-        for &e in used {
+        for &e in subset {
             let state = &self.states[e.index()];
             let capacity = cfg.endpoints[e].concurrency;
-            let has_room = match query.leave_room {
+            let has_room = match query.surge_share {
                 Some(share) => {
                     let reserve = capacity.div_ceil(SURGE_RESERVE_DIVISOR).min(capacity - 1);
                     state.has_room_for_surge(now, capacity - reserve, share)
                 }
                 None => state.has_room(now, capacity),
             };
-            if !has_room || query.tried.contains(&e) {
+            if !has_room || query.failed_endpoints.contains(&e) {
                 continue;
             }
             usable.push(e);
@@ -250,18 +253,18 @@
         cfg: &Config,
         pool: PoolKey,
         version: Option<VersionKey>,
-        tried: &[EndpointKey],
-    ) -> Option<Pick> {
-        let live = self
-            .used(pool, version)
-            .iter()
-            .copied()
-            .filter(|e| !tried.contains(e) && self.states[e.index()].is_live(now));
-        let considered = live.clone().count() as u16;
-        let endpoint = live.min_by(|&a, &b| self.score(cfg, a).total_cmp(&self.score(cfg, b)))?;
-        Some(Pick {
+        failed_endpoints: &[EndpointKey],
+    ) -> Option<EndpointChoice> {
+        let available =
+            self.subset(pool, version).iter().copied().filter(|e| {
+                !failed_endpoints.contains(e) && self.states[e.index()].is_available(now)
+            });
+        let considered = available.clone().count() as u16;
+        let endpoint =
+            available.min_by(|&a, &b| self.score(cfg, a).total_cmp(&self.score(cfg, b)))?;
+        Some(EndpointChoice {
             endpoint,
-            why: EndpointReason::Spill,
+            reason: EndpointReason::Spill,
             considered,
         })
     }
@@ -307,7 +310,7 @@
     }
 
     fn has_loaded(&self, cfg: &Config, e: EndpointKey, version: VersionKey) -> bool {
-        match &self.states[e.index()].holds {
+        match &self.states[e.index()].loaded_versions {
             Some(versions) => versions.contains(&version),
             None => cfg.endpoints[e].versions.contains(&version),
         }
--- a/crates/oatdale-policy/src/rekey.rs
+++ b/crates/oatdale-policy/src/key_map.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 
 /// Keys in a new configuration by those in the old one; `None` for removed items.
-pub(crate) struct Rekey {
+pub(crate) struct KeyMap {
     customers: Vec<Option<CustomerKey>>,
     services: Vec<Option<ServiceKey>>,
     versions: Vec<Option<VersionKey>>,
@@ -15,9 +15,9 @@
     pools: Vec<Option<PoolKey>>,
 }
 
-impl Rekey {
+impl KeyMap {
     pub(crate) fn new(old: &Config, new: &Config) -> Self {
-        Rekey {
+        KeyMap {
             customers: match_names(
                 old.customers.iter().map(|(_, c)| c.name.clone()),
                 new.customers.iter().map(|(k, c)| (c.name.clone(), k)),
--- a/crates/oatdale-policy/src/lib.rs
+++ b/crates/oatdale-policy/src/lib.rs
@@ -9,16 +9,19 @@
 //!
 //! ```
 //! use oatdale_config::Digest;
-//! use oatdale_policy::{Ask, AttemptResult, Next, Offer, Outcome, Place, Router, Session};
+//! use oatdale_policy::{
+//!     AdmissionDecision, AttemptDecision, AttemptResult, NodeIdentity, Outcome, RequestInfo, Router,
+//!     Session,
+//! };
 //! use std::sync::Arc;
 //! use std::time::Duration;
 //!
 //! # let text = include_str!("../../../examples/skyward.yaml");
 //! let cfg = Arc::new(oatdale_config::from_str(text)?);
-//! let mut router = Router::new(cfg.clone(), Place { domain: None, seed: 1 });
+//! let mut router = Router::new(cfg.clone(), NodeIdentity { domain: None, seed: 1 });
 //!
 //! let now = Duration::from_secs(1);
-//! let ask = Ask {
+//! let request_info = RequestInfo {
 //!     customer: cfg.customer_of(Digest::of("dev-mail-desk")).expect("a known key"),
 //!     service: cfg.service("tag-mail").expect("a known service"),
 //!     idempotent: true,
@@ -27,14 +30,14 @@
 //!     input_tokens: 200,
 //!     output_tokens: 20,
 //!     prefix: 17,
-//!     draw: 42,
+//!     rollout_hash: 42,
 //!     stream: false,
 //!     class: 0,
 //! };
-//! let Offer::Run(dispatch) = router.offer(now, &ask) else {
+//! let AdmissionDecision::Run(dispatch) = router.offer(now, &request_info) else {
 //!     panic!("an idle site runs requests at once");
 //! };
-//! assert!(cfg.allows(ask.customer, dispatch.version.expect("a model service")));
+//! assert!(cfg.allows(request_info.customer, dispatch.version.expect("a model service")));
 //!
 //! // The endpoint answers, and the rating service accepts the answer.
 //! let outcome = Outcome {
@@ -43,7 +46,7 @@
 //!     first_byte: Some(Duration::from_millis(80)),
 //!     total: Duration::from_millis(400),
 //! };
-//! assert_eq!(router.finish(now + outcome.total, dispatch.ticket, &outcome), Next::Done);
+//! assert_eq!(router.finish(now + outcome.total, dispatch.ticket, &outcome), AttemptDecision::Done);
 //! # Ok::<(), oatdale_config::Error>(())
 //! ```
 
@@ -56,23 +59,23 @@
 mod endpoints;
 mod estimate;
 mod evidence;
+mod key_map;
 mod limit;
 mod queue;
-mod rekey;
 pub mod relay;
 mod request;
+mod request_slab;
 mod router;
 mod state;
-mod tickets;
 mod trial;
 mod tuning;
 mod version_rule;
 
 pub use crate::evidence::VersionCounters;
 pub use crate::request::{
-    Ask, AttemptResult, Dispatch, EndpointReason, LoadReport, Next, Offer, Outcome, Place,
-    PoolGauges, Refusal, RefusalReason, ServiceGauges, Session, Snapshot, Ticket, Turn,
-    VersionReason,
+    AdmissionDecision, AttemptDecision, AttemptResult, Dispatch, EndpointReason, LoadReport,
+    NodeIdentity, Outcome, PoolGauges, QueueDecision, Refusal, RefusalReason, RequestInfo,
+    ServiceGauges, Session, Snapshot, Ticket, VersionReason,
 };
 pub use crate::router::Router;
 pub use crate::trial::{Fault, StopDecision};
--- a/crates/oatdale-policy/src/limit.rs
+++ b/crates/oatdale-policy/src/limit.rs
@@ -18,15 +18,15 @@
 /// would fill the whole pool by itself and requests would queue at the endpoints, where no fair
 /// queue orders them.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Limit {
+pub(crate) struct ConcurrencyLimit {
     limit: f64,
     ceiling: f64,
     last_decrease: Option<Duration>,
 }
 
-impl Limit {
+impl ConcurrencyLimit {
     pub(crate) fn new(ceiling: f64) -> Self {
-        Limit {
+        ConcurrencyLimit {
             limit: ceiling,
             ceiling,
             last_decrease: None,
@@ -49,7 +49,7 @@
     }
 
     /// Records an answer; `near_limit` says whether most of the limit was in use.
-    pub(crate) fn observe(&mut self, now: Duration, congested: bool, near_limit: bool) {
+    pub(crate) fn record_answer(&mut self, now: Duration, congested: bool, near_limit: bool) {
         let decreased_recently = self
             .last_decrease
             .is_some_and(|at| now < at + MIN_DECREASE_INTERVAL);
--- a/crates/oatdale-policy/src/queue.rs
+++ b/crates/oatdale-policy/src/queue.rs
@@ -5,7 +5,7 @@
 
 /// A queued request.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct QueuedRequest {
     /// The request.
     pub(crate) ticket: Ticket,
     /// Requests of a flow run by descending priority; in order of arrival if equal.
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, Default)]
 struct Flow {
     virtual_time: f64,
-    waiting: VecDeque<Waiting>,
+    waiting: VecDeque<QueuedRequest>,
 }
 
 impl FairQueue {
@@ -39,7 +39,7 @@
     }
 
     /// Returns how many queued requests of a flow would run before a new one of this priority.
-    pub(crate) fn ahead_in(&self, flow: usize, priority: u32) -> usize {
+    pub(crate) fn count_ahead(&self, flow: usize, priority: u32) -> usize {
         let Some(flow) = self.flows.get(flow) else {
             return 0;
         };
@@ -47,7 +47,7 @@
     }
 
     /// Adds a request to a flow.
-    pub(crate) fn push(&mut self, flow: usize, item: Waiting) {
+    pub(crate) fn push(&mut self, flow: usize, item: QueuedRequest) {
         if self.flows.len() <= flow {
             self.flows.resize_with(flow + 1, Flow::default);
         }
@@ -79,12 +79,12 @@
     }
 
     /// Returns the next request of a flow.
-    pub(crate) fn head(&self, flow: usize) -> Option<Waiting> {
+    pub(crate) fn head(&self, flow: usize) -> Option<QueuedRequest> {
         self.flows.get(flow)?.waiting.front().copied()
     }
 
     /// Removes the next request of a flow and charges the flow for it.
-    pub(crate) fn pop(&mut self, flow: usize, weight: f64) -> Option<Waiting> {
+    pub(crate) fn pop(&mut self, flow: usize, weight: f64) -> Option<QueuedRequest> {
         let entry = self.flows.get_mut(flow)?;
         let item = entry.waiting.pop_front()?;
         self.virtual_now = self.virtual_now.max(entry.virtual_time);
--- a/crates/oatdale-policy/src/request.rs
+++ b/crates/oatdale-policy/src/request.rs
@@ -5,7 +5,7 @@
 
 /// Description of a request for routing.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub struct Ask {
+pub struct RequestInfo {
     /// The customer that sends it.
     pub customer: CustomerKey,
     /// The service that is called.
@@ -24,7 +24,7 @@
     /// cache.
     pub prefix: u64,
     /// Uniform hash of the session or request, which determines its position in a canary's share.
-    pub draw: u64,
+    pub rollout_hash: u64,
     /// Whether the answer is streamed to the caller while it is generated.
     pub stream: bool,
     /// Class of the request, such as a bucket of the prompt's length; ratings are learned per
@@ -38,7 +38,7 @@
     /// The request belongs to no session.
     None,
     /// The request opens a session, which keeps the version that is chosen now.
-    Opens,
+    Open,
     /// The request continues a session, which is pinned to this version; `step` counts from 1.
     Pinned {
         /// The session's version.
@@ -67,11 +67,11 @@
     /// The version to request; `None` for plain services.
     pub version: Option<VersionKey>,
     /// Whether the answer must be buffered and rated, since a better version may follow.
-    pub judge: bool,
+    pub needs_rating: bool,
     /// Reason for the version.
-    pub why_version: VersionReason,
+    pub version_reason: VersionReason,
     /// Reason for the endpoint.
-    pub why_endpoint: EndpointReason,
+    pub endpoint_reason: EndpointReason,
     /// Number of endpoints that had room.
     pub considered: u16,
 }
@@ -114,10 +114,10 @@
 
 /// Decision on a new request.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Offer {
+pub enum AdmissionDecision {
     /// Send it now.
     Run(Dispatch),
-    /// Keep it until `Router::next_turn` returns it.
+    /// Keep it until `Router::poll_queue` returns it.
     Wait(Ticket),
     /// Return the refusal to the caller now.
     Refuse(Refusal),
@@ -125,7 +125,7 @@
 
 /// Decision at the end of an attempt.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Next {
+pub enum AttemptDecision {
     /// The request has ended; its answer is being or was sent to the caller.
     Done,
     /// Send another attempt now.
@@ -217,7 +217,7 @@
 
 /// Decision on a queued request.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Turn {
+pub enum QueueDecision {
     /// Send it now.
     Run(Dispatch),
     /// Return the refusal to the caller now.
@@ -226,7 +226,7 @@
 
 /// Location and random seed of a node.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Place {
+pub struct NodeIdentity {
     /// The node's own failure domain, if the configuration names it.
     pub domain: Option<DomainKey>,
     /// Seed of all random choices and of the subsets of endpoints; each node has its own.
--- a/crates/oatdale-policy/src/tickets.rs
+++ b/crates/oatdale-policy/src/request_slab.rs
@@ -6,7 +6,7 @@
 ///
 /// A slot is reused once its request has ended. The generation in the ticket tells the two requests
 /// apart; without it, a late `finish` would end an unrelated request.
-pub(crate) struct Tickets<T> {
+pub(crate) struct RequestSlab<T> {
     slots: Vec<Slot<T>>,
     free: Vec<u32>,
 }
@@ -16,9 +16,9 @@
     item: Option<T>,
 }
 
-impl<T> Tickets<T> {
+impl<T> RequestSlab<T> {
     pub(crate) fn new() -> Self {
-        Tickets {
+        RequestSlab {
             slots: Vec::new(),
             free: Vec::new(),
         }
--- a/crates/oatdale-policy/src/router.rs
+++ b/crates/oatdale-policy/src/router.rs
@@ -7,15 +7,15 @@
 mod turn;
 
 use self::finish::RatingTime;
-use crate::choice::{Catalogue, Plan};
+use crate::choice::{Plan, VersionCatalogue};
 use crate::endpoints::Endpoints;
 use crate::evidence::{Evidence, VersionCounters};
 use crate::request::{
-    Ask, LoadReport, Place, PoolGauges, Refusal, RefusalReason, ServiceGauges, Session, Snapshot,
-    Ticket, VersionReason,
+    LoadReport, NodeIdentity, PoolGauges, Refusal, RefusalReason, RequestInfo, ServiceGauges,
+    Session, Snapshot, Ticket, VersionReason,
 };
+use crate::request_slab::RequestSlab;
 use crate::state::{CustomerState, PoolState, Request, ServiceState};
-use crate::tickets::Tickets;
 use crate::trial::{StopDecision, Trials};
 use crate::tuning::Tuning;
 use oatdale_config::{Config, CustomerKey, DomainKey, EndpointKey, Key, ServiceKey, VersionKey};
@@ -34,13 +34,13 @@
 /// and return values are those of the configuration in force at the call.
 ///
 /// After every [`Router::finish`], [`Router::cancel`], [`Router::observe_load`] and
-/// [`Router::reconfigure`], and at [`Router::next_wake`], the node calls [`Router::next_turn`]
+/// [`Router::reconfigure`], and at [`Router::next_wake`], the node calls [`Router::poll_queue`]
 /// until it returns `None`.
 pub struct Router {
     cfg: Arc<Config>,
     now: Duration,
     rng: Pcg64Mcg,
-    requests: Tickets<Request>,
+    requests: RequestSlab<Request>,
     arrival_count: u64,
     /// Waiting requests, ordered by the time at which they are refused.
     expirations: BTreeSet<(Duration, Ticket)>,
@@ -48,7 +48,7 @@
     pools: Vec<PoolState>,
     customers: Vec<CustomerState>,
     endpoints: Endpoints,
-    catalogue: Catalogue,
+    catalogue: VersionCatalogue,
     evidence: Evidence,
     trials: Trials,
     tuning: Tuning,
@@ -56,17 +56,17 @@
 
 impl Router {
     /// Creates a router without any recorded requests or learned state.
-    pub fn new(cfg: Arc<Config>, place: Place) -> Self {
-        Router::with_tuning(cfg, place, Tuning::default())
+    pub fn new(cfg: Arc<Config>, identity: NodeIdentity) -> Self {
+        Router::with_tuning(cfg, identity, Tuning::default())
     }
 
     /// Creates a router that decides by other rules than the default, for measurements.
-    pub fn with_tuning(cfg: Arc<Config>, place: Place, tuning: Tuning) -> Self {
+    pub fn with_tuning(cfg: Arc<Config>, identity: NodeIdentity, tuning: Tuning) -> Self {
         let now = Duration::ZERO;
         let mut router = Router {
             now,
-            rng: Pcg64Mcg::seed_from_u64(place.seed),
-            requests: Tickets::new(),
+            rng: Pcg64Mcg::seed_from_u64(identity.seed),
+            requests: RequestSlab::new(),
             arrival_count: 0,
             expirations: BTreeSet::new(),
             services: cfg.services.keys().map(|_| ServiceState::new()).collect(),
@@ -76,8 +76,8 @@
                 .iter()
                 .map(|(_, c)| CustomerState::new(now, c.limits.requests_per_second))
                 .collect(),
-            endpoints: Endpoints::new(&cfg, place.domain, place.seed),
-            catalogue: Catalogue::new(&cfg),
+            endpoints: Endpoints::new(&cfg, identity.domain, identity.seed),
+            catalogue: VersionCatalogue::new(&cfg),
             evidence: Evidence::new(cfg.versions.keys()),
             trials: Trials::new(&cfg),
             tuning,
@@ -98,19 +98,19 @@
         now: Duration,
         customer: CustomerKey,
         service: ServiceKey,
-        draw: u64,
+        rollout_hash: u64,
     ) -> Result<(VersionKey, VersionReason), Refusal> {
         self.now = self.now.max(now);
-        let ask = Ask {
+        let info = RequestInfo {
             customer,
             service,
             idempotent: true,
-            session: Session::Opens,
+            session: Session::Open,
             deadline: Duration::MAX,
             input_tokens: 0,
             output_tokens: 0,
             prefix: 0,
-            draw,
+            rollout_hash,
             stream: false,
             class: 0,
         };
@@ -118,15 +118,15 @@
             reason,
             retry_after: None,
         };
-        self.check_access(&ask).map_err(refusal)?;
-        let (plans, _) = self.plans(&ask).map_err(refusal)?;
+        self.check_access(&info).map_err(refusal)?;
+        let (plans, _) = self.plans(&info).map_err(refusal)?;
         let pool = self.cfg.services[service].pool;
-        let first_choice = |plan: &Plan| Some((*plan.steps.first()?, plan.why));
+        let first_choice = |plan: &Plan| Some((*plan.steps.first()?, plan.reason));
         let mut choices = plans.iter().filter_map(first_choice);
-        let live_choice = choices
+        let available_choice = choices
             .clone()
-            .find(|(version, _)| self.endpoints.any_live(now, pool, Some(*version)));
-        let chosen = live_choice.or_else(|| choices.next());
+            .find(|(version, _)| self.endpoints.any_available(now, pool, Some(*version)));
+        let chosen = available_choice.or_else(|| choices.next());
         chosen.ok_or(refusal(RefusalReason::NoVersion))
     }
 
@@ -135,7 +135,7 @@
         self.now = self.now.max(now);
         if let Some(state) = self.endpoints.states.get_mut(endpoint.index()) {
             let dither = (self.rng.next_u64() >> 11) as f64 / (1_u64 << 53) as f64;
-            state.report(now, report, dither);
+            state.record_report(now, report, dither);
         }
     }
 
@@ -169,7 +169,7 @@
     }
 
     /// Marks an endpoint as leaving, so that it gets no new requests, or as available again.
-    pub fn endpoint_leaving(&mut self, now: Duration, endpoint: EndpointKey, leaving: bool) {
+    pub fn set_endpoint_leaving(&mut self, now: Duration, endpoint: EndpointKey, leaving: bool) {
         self.now = self.now.max(now);
         if let Some(state) = self.endpoints.states.get_mut(endpoint.index()) {
             state.leaving = leaving;
@@ -179,15 +179,20 @@
 
     /// Records the versions that an engine reports as loaded; `None` assumes those of the
     /// configuration.
-    pub fn endpoint_holds(&mut self, endpoint: EndpointKey, versions: Option<Vec<VersionKey>>) {
+    pub fn set_loaded_versions(
+        &mut self,
+        endpoint: EndpointKey,
+        versions: Option<Vec<VersionKey>>,
+    ) {
         let endpoint_state = self.endpoints.states.get(endpoint.index());
-        if endpoint_state.is_some_and(|state| state.holds != versions) {
-            self.endpoints.set_holds(&self.cfg, endpoint, versions);
+        if endpoint_state.is_some_and(|state| state.loaded_versions != versions) {
+            self.endpoints
+                .set_loaded_versions(&self.cfg, endpoint, versions);
         }
     }
 
     /// Sets this node's share, from 0 to 1, of a customer's limits.
-    pub fn set_share(&mut self, customer: CustomerKey, share: f64) {
+    pub fn set_customer_share(&mut self, customer: CustomerKey, share: f64) {
         if let Some(state) = self.customers.get_mut(customer.index()) {
             state.share = share.clamp(0.0, 1.0);
         }
@@ -240,9 +245,9 @@
     pub fn take_stops(&mut self, now: Duration) -> Vec<StopDecision> {
         self.now = self.now.max(now);
         let (trials, catalogue) = (&mut self.trials, &self.catalogue);
-        let stops = trials.judge(&self.cfg, catalogue, &self.evidence);
+        let stops = trials.test_versions(&self.cfg, catalogue, &self.evidence);
         for stop in &stops {
-            self.catalogue.decide(stop.version);
+            self.catalogue.stop_locally(stop.version);
         }
         stops
     }
--- a/crates/oatdale-policy/src/router/finish.rs
+++ b/crates/oatdale-policy/src/router/finish.rs
@@ -2,9 +2,10 @@
 
 use super::Router;
 use crate::choice::{Plan, Versions};
-use crate::endpoints::Pick;
+use crate::endpoints::EndpointChoice;
 use crate::request::{
-    Ask, AttemptResult, Next, Outcome, Refusal, RefusalReason, Session, Ticket, VersionReason,
+    AttemptDecision, AttemptResult, Outcome, Refusal, RefusalReason, RequestInfo, Session, Ticket,
+    VersionReason,
 };
 use crate::state::{Attempt, Stage};
 use crate::trial::references;
@@ -37,31 +38,31 @@
 impl Router {
     /// Records the end of an attempt and returns what follows.
     ///
-    /// Returns [`Next::Done`] for the ticket of a request that is already complete.
-    pub fn finish(&mut self, now: Duration, ticket: Ticket, outcome: &Outcome) -> Next {
+    /// Returns [`AttemptDecision::Done`] for the ticket of a request that is already complete.
+    pub fn finish(&mut self, now: Duration, ticket: Ticket, outcome: &Outcome) -> AttemptDecision {
         self.now = self.now.max(now);
         let Some(request) = self.requests.get(ticket) else {
-            return Next::Done;
+            return AttemptDecision::Done;
         };
         let Stage::Running(attempt) = request.stage else {
-            return Next::Done;
+            return AttemptDecision::Done;
         };
-        let (ask, is_orphaned) = (request.ask, request.void);
+        let (info, is_orphaned) = (request.info, request.is_orphaned);
         if is_orphaned {
             self.release_endpoint(attempt);
             self.remove_request(ticket);
             return finish_orphaned(outcome);
         }
-        self.record_end(&ask, attempt);
-        self.record_outcome(&ask, attempt, outcome);
-        let next = self.decide(ticket, &ask, attempt, outcome);
-        if next == Next::Done {
-            self.record_delivery(&ask, attempt, outcome);
+        self.record_end(&info, attempt);
+        self.record_outcome(&info, attempt, outcome);
+        let decision = self.decide(ticket, &info, attempt, outcome);
+        if decision == AttemptDecision::Done {
+            self.record_delivery(&info, attempt, outcome);
         }
-        if !matches!(next, Next::Run(_)) {
+        if !matches!(decision, AttemptDecision::Run(_)) {
             self.remove_request(ticket);
         }
-        next
+        decision
     }
 
     /// Removes a waiting or running request whose caller has disconnected.
@@ -70,20 +71,20 @@
         let Some(request) = self.requests.get(ticket) else {
             return;
         };
-        let (ask, stage, is_orphaned) = (request.ask, request.stage, request.void);
+        let (info, stage, is_orphaned) = (request.info, request.stage, request.is_orphaned);
         match stage {
             Stage::Waiting { .. } => self.remove_from_queue(ticket),
-            Stage::Running(attempt) if !is_orphaned => self.record_end(&ask, attempt),
+            Stage::Running(attempt) if !is_orphaned => self.record_end(&info, attempt),
             Stage::Running(attempt) => self.release_endpoint(attempt),
         }
         self.remove_request(ticket);
     }
 
-    fn record_end(&mut self, ask: &Ask, attempt: Attempt) {
-        let pool = self.cfg.services[ask.service].pool;
+    fn record_end(&mut self, info: &RequestInfo, attempt: Attempt) {
+        let pool = self.cfg.services[info.service].pool;
         let pool = &mut self.pools[pool.index()];
         pool.running = pool.running.saturating_sub(1);
-        let service = &mut self.services[ask.service.index()];
+        let service = &mut self.services[info.service.index()];
         service.running = service.running.saturating_sub(1);
         self.release_endpoint(attempt);
     }
@@ -92,19 +93,19 @@
     /// been removed from the configuration.
     fn release_endpoint(&mut self, attempt: Attempt) {
         if let Some(endpoint) = attempt.endpoint {
-            self.endpoints.states[endpoint.index()].over(self.now);
+            self.endpoints.states[endpoint.index()].record_end(self.now);
         }
     }
 
-    fn record_outcome(&mut self, ask: &Ask, attempt: Attempt, outcome: &Outcome) {
-        if self.is_inconclusive_timeout(ask, outcome) {
+    fn record_outcome(&mut self, info: &RequestInfo, attempt: Attempt, outcome: &Outcome) {
+        if self.is_inconclusive_timeout(info, outcome) {
             return;
         }
-        let first_byte_ratio = self.relative_first_byte(ask, attempt, outcome);
-        let is_slow = self.is_slow_for_model(ask, attempt, outcome);
-        self.record_durations(ask, outcome);
-        self.record_endpoint(ask, attempt, outcome, first_byte_ratio);
-        self.record_version(ask, attempt, outcome, is_slow);
+        let first_byte_ratio = self.relative_first_byte(info, attempt, outcome);
+        let is_slow = self.is_slow_for_model(info, attempt, outcome);
+        self.record_durations(info, outcome);
+        self.record_endpoint(info, attempt, outcome, first_byte_ratio);
+        self.record_version(info, attempt, outcome, is_slow);
     }
 
     /// Whether an attempt timed out too early to be evidence against its endpoint or version.
@@ -113,21 +114,26 @@
     /// would stop sound versions and pause endpoints for all customers. A timeout counts after
     /// several times the usual duration or half of the service's deadline: a version that hangs
     /// must be detected even if all its callers have shorter timeouts than the service.
-    fn is_inconclusive_timeout(&self, ask: &Ask, outcome: &Outcome) -> bool {
+    fn is_inconclusive_timeout(&self, info: &RequestInfo, outcome: &Outcome) -> bool {
         let waited_s = outcome.total.as_secs_f64();
-        let deadline_s = self.cfg.services[ask.service].deadline.as_secs_f64();
-        let expected_s = self.services[ask.service.index()].expected_total(ask.class);
+        let deadline_s = self.cfg.services[info.service].deadline.as_secs_f64();
+        let expected_s = self.services[info.service.index()].expected_duration(info.class);
         let is_long = expected_s > 0.0 && waited_s >= CONCLUSIVE_TIMEOUT_RATIO * expected_s;
         outcome.result == AttemptResult::TimedOut && !is_long && waited_s < deadline_s / 2.0
     }
 
     /// Returns the time to the first byte, divided by the usual one of the request's class and
     /// version. The absolute time would count long prompts against their endpoint.
-    fn relative_first_byte(&self, ask: &Ask, attempt: Attempt, outcome: &Outcome) -> Option<f64> {
+    fn relative_first_byte(
+        &self,
+        info: &RequestInfo,
+        attempt: Attempt,
+        outcome: &Outcome,
+    ) -> Option<f64> {
         let first_byte = outcome.first_byte?.as_secs_f64();
-        let service = &self.services[ask.service.index()];
+        let service = &self.services[info.service.index()];
         let usual = match attempt.version {
-            Some(version) => service.learner.usual_first_byte(ask.class, version)?,
+            Some(version) => service.learner.usual_first_byte(info.class, version)?,
             None => service.first_byte.get_or(first_byte),
         };
         Some(first_byte / usual.max(1e-6))
@@ -135,23 +141,23 @@
 
     /// Whether the first byte was late compared with the model's other serving versions. Compared
     /// with its own usual time, a version that is always slow would never count as slow.
-    fn is_slow_for_model(&self, ask: &Ask, attempt: Attempt, outcome: &Outcome) -> bool {
+    fn is_slow_for_model(&self, info: &RequestInfo, attempt: Attempt, outcome: &Outcome) -> bool {
         let (Some(first_byte), Some(version)) = (outcome.first_byte, attempt.version) else {
             return false;
         };
-        let learner = &self.services[ask.service.index()].learner;
+        let learner = &self.services[info.service.index()].learner;
         let usual = references(version, &self.cfg)
-            .find_map(|other| learner.usual_first_byte(ask.class, other))
-            .or_else(|| learner.usual_first_byte(ask.class, version));
+            .find_map(|other| learner.usual_first_byte(info.class, other))
+            .or_else(|| learner.usual_first_byte(info.class, version));
         usual.is_some_and(|usual| first_byte.as_secs_f64() > SLOW_FIRST_BYTE_RATIO * usual)
     }
 
-    fn record_durations(&mut self, ask: &Ask, outcome: &Outcome) {
+    fn record_durations(&mut self, info: &RequestInfo, outcome: &Outcome) {
         let AttemptResult::Complete { .. } = outcome.result else {
             return;
         };
-        let service = &mut self.services[ask.service.index()];
-        service.took(ask.class, outcome.total.as_secs_f64());
+        let service = &mut self.services[info.service.index()];
+        service.record_duration(info.class, outcome.total.as_secs_f64());
         if let Some(first_byte) = outcome.first_byte {
             service.first_byte.add(first_byte.as_secs_f64());
         }
@@ -159,7 +165,7 @@
 
     fn record_endpoint(
         &mut self,
-        ask: &Ask,
+        info: &RequestInfo,
         attempt: Attempt,
         outcome: &Outcome,
         first_byte_ratio: Option<f64>,
@@ -170,22 +176,28 @@
         let queued = state.queued;
         let mut congested = queued;
         match outcome.result {
-            AttemptResult::Complete { .. } => state.answered(first_byte_ratio),
-            AttemptResult::NotSent | AttemptResult::Broken => state.failed(now),
+            AttemptResult::Complete { .. } => state.record_answer(first_byte_ratio),
+            AttemptResult::NotSent | AttemptResult::Broken => state.record_failure(now),
             AttemptResult::TimedOut => {
-                state.failed(now);
+                state.record_failure(now);
                 congested = true;
             }
             AttemptResult::NotStarted { .. } => congested = true,
             AttemptResult::Cancelled => return,
         }
-        let pool = self.cfg.services[ask.service].pool;
+        let pool = self.cfg.services[info.service].pool;
         let pool = &mut self.pools[pool.index()];
         let is_limit_in_use = f64::from(pool.running) + 1.0 >= 0.8 * pool.limit.get();
-        pool.limit.observe(now, congested, is_limit_in_use);
+        pool.limit.record_answer(now, congested, is_limit_in_use);
     }
 
-    fn record_version(&mut self, ask: &Ask, attempt: Attempt, outcome: &Outcome, is_slow: bool) {
+    fn record_version(
+        &mut self,
+        info: &RequestInfo,
+        attempt: Attempt,
+        outcome: &Outcome,
+        is_slow: bool,
+    ) {
         let Some(version) = attempt.version else {
             return;
         };
@@ -194,20 +206,20 @@
                 rating,
                 output_tokens,
             } => {
-                let learner = &mut self.services[ask.service.index()].learner;
+                let learner = &mut self.services[info.service.index()].learner;
                 let first_byte = outcome.first_byte.map(|t| t.as_secs_f64());
                 let total = outcome.total.as_secs_f64();
-                learner.answered(ask.class, version, output_tokens, first_byte, total);
+                learner.record_answer(info.class, version, output_tokens, first_byte, total);
                 self.evidence.record(version, |c| {
                     c.requests += 1;
                     c.slow += u64::from(is_slow);
                 });
                 if let Some(rating) = rating {
                     self.record_rating(
-                        ask.service,
-                        ask.class,
+                        info.service,
+                        info.class,
                         version,
-                        attempt.after,
+                        attempt.is_escalation,
                         rating,
                         RatingTime::OnTime,
                     );
@@ -225,8 +237,8 @@
         }
     }
 
-    fn record_delivery(&mut self, ask: &Ask, attempt: Attempt, outcome: &Outcome) {
-        let kind = &self.cfg.services[ask.service].kind;
+    fn record_delivery(&mut self, info: &RequestInfo, attempt: Attempt, outcome: &Outcome) {
+        let kind = &self.cfg.services[info.service].kind;
         let (
             ServiceKind::Model { quality, .. },
             AttemptResult::Complete { rating, .. },
@@ -236,11 +248,11 @@
             return;
         };
         let rating = rating.map(|r| f64::from(u8::from(r >= MIN_RATING)));
-        self.services[ask.service.index()].learner.delivered(
+        self.services[info.service.index()].learner.record_delivery(
             *quality,
-            ask.class,
+            info.class,
             version,
-            attempt.after,
+            attempt.is_escalation,
             rating,
         );
     }
@@ -264,8 +276,12 @@
         let accepted = rating >= MIN_RATING;
         let value = f64::from(u8::from(accepted));
         match rating_time {
-            RatingTime::OnTime => state.learner.rated(class, version, escalated, value),
-            RatingTime::Late => state.learner.rated_late(class, version, escalated, value),
+            RatingTime::OnTime => state
+                .learner
+                .record_rating(class, version, escalated, value),
+            RatingTime::Late => state
+                .learner
+                .record_late_rating(class, version, escalated, value),
         }
         // Escalated requests are harder; their ratings would count against the version that gets
         // them.
@@ -278,21 +294,29 @@
     }
 
     /// Decides whether the request is complete, escalated, retried or refused.
-    fn decide(&mut self, ticket: Ticket, ask: &Ask, attempt: Attempt, outcome: &Outcome) -> Next {
-        let may_retry = ask.idempotent && !outcome.forwarded;
+    fn decide(
+        &mut self,
+        ticket: Ticket,
+        info: &RequestInfo,
+        attempt: Attempt,
+        outcome: &Outcome,
+    ) -> AttemptDecision {
+        let may_retry = info.idempotent && !outcome.forwarded;
         match outcome.result {
-            AttemptResult::Cancelled => Next::Done,
+            AttemptResult::Cancelled => AttemptDecision::Done,
             AttemptResult::Complete {
                 rating: Some(rating),
                 ..
-            } if attempt.judge && may_retry && rating < MIN_RATING => self.escalate(ticket, ask),
-            AttemptResult::Complete { .. } => Next::Done,
-            AttemptResult::NotSent => self.retry(ticket, ask, attempt, None),
+            } if attempt.needs_rating && may_retry && rating < MIN_RATING => {
+                self.escalate(ticket, info)
+            }
+            AttemptResult::Complete { .. } => AttemptDecision::Done,
+            AttemptResult::NotSent => self.retry(ticket, info, attempt, None),
             AttemptResult::NotStarted { retry_after } => {
-                self.retry(ticket, ask, attempt, retry_after)
+                self.retry(ticket, info, attempt, retry_after)
             }
             AttemptResult::Broken | AttemptResult::TimedOut if may_retry => {
-                self.retry(ticket, ask, attempt, None)
+                self.retry(ticket, info, attempt, None)
             }
             AttemptResult::Broken | AttemptResult::TimedOut => refuse_failed(None),
         }
@@ -300,25 +324,30 @@
 
     /// Runs the plan's next step that may still serve the request; without one, the last answer
     /// stands.
-    fn escalate(&mut self, ticket: Ticket, ask: &Ask) -> Next {
+    fn escalate(&mut self, ticket: Ticket, info: &RequestInfo) -> AttemptDecision {
         let Some(request) = self.requests.get(ticket) else {
-            return Next::Done;
+            return AttemptDecision::Done;
         };
-        if request.attempts >= MAX_ATTEMPTS || !self.can_meet_deadline(ask.deadline, ask.service) {
-            return Next::Done;
+        if request.attempts >= MAX_ATTEMPTS || !self.can_meet_deadline(info.deadline, info.service)
+        {
+            return AttemptDecision::Done;
         }
-        let (plan, current_step, tried) =
-            (request.plan.clone(), request.step, request.tried.clone());
+        let (plan, current_step, failed_endpoints) = (
+            request.plan.clone(),
+            request.step,
+            request.failed_endpoints.clone(),
+        );
         for step in current_step + 1..plan.steps.len() {
             let version = plan.steps[step];
-            if !self.catalogue.permits(&self.cfg, ask, version) {
+            if !self.catalogue.permits(&self.cfg, info, version) {
                 continue;
             }
-            if let Some(pick) = self.pick_or_least_loaded(ask, Some(version), &tried) {
-                return Next::Run(self.dispatch(ticket, plan, step, pick));
+            if let Some(choice) = self.pick_or_least_loaded(info, Some(version), &failed_endpoints)
+            {
+                return AttemptDecision::Run(self.dispatch(ticket, plan, step, choice));
             }
         }
-        Next::Done
+        AttemptDecision::Done
     }
 
     /// Retries at an endpoint not yet tried, preferably with the same version; refuses if the
@@ -326,63 +355,67 @@
     fn retry(
         &mut self,
         ticket: Ticket,
-        ask: &Ask,
+        info: &RequestInfo,
         attempt: Attempt,
         retry_after: Option<Duration>,
-    ) -> Next {
+    ) -> AttemptDecision {
         let Some(request) = self.requests.get_mut(ticket) else {
-            return Next::Done;
+            return AttemptDecision::Done;
         };
-        request.tried.extend(attempt.endpoint);
-        let (plan, step, tried) = (request.plan.clone(), request.step, request.tried.clone());
+        request.failed_endpoints.extend(attempt.endpoint);
+        let (plan, step, failed_endpoints) = (
+            request.plan.clone(),
+            request.step,
+            request.failed_endpoints.clone(),
+        );
         let attempts = request.attempts;
-        if attempts >= MAX_ATTEMPTS || !self.can_meet_deadline(ask.deadline, ask.service) {
+        if attempts >= MAX_ATTEMPTS || !self.can_meet_deadline(info.deadline, info.service) {
             return refuse_failed(retry_after);
         }
         let permitted = attempt
             .version
-            .is_none_or(|v| self.catalogue.permits(&self.cfg, ask, v));
+            .is_none_or(|v| self.catalogue.permits(&self.cfg, info, v));
         let same_version = match permitted {
-            true => self.pick_or_least_loaded(ask, attempt.version, &tried),
+            true => self.pick_or_least_loaded(info, attempt.version, &failed_endpoints),
             false => None,
         };
         let found = same_version
-            .map(|pick| (plan, step, pick))
-            .or_else(|| self.pick_other_version(ask, attempt.version, &tried));
-        let Some((plan, step, pick)) = found else {
+            .map(|choice| (plan, step, choice))
+            .or_else(|| self.pick_other_version(info, attempt.version, &failed_endpoints));
+        let Some((plan, step, choice)) = found else {
             return refuse_failed(retry_after);
         };
-        let budget = &mut self.services[ask.service.index()].budget;
+        let budget = &mut self.services[info.service.index()].budget;
         if self.tuning.retries == Retries::Budget && !budget.withdraw() {
             return refuse_failed(retry_after);
         }
-        Next::Run(self.dispatch(ticket, plan, step, pick))
+        AttemptDecision::Run(self.dispatch(ticket, plan, step, choice))
     }
 
     /// Picks another version for a request outside any session, if no endpoint can serve the failed
     /// version.
     fn pick_other_version(
         &mut self,
-        ask: &Ask,
+        info: &RequestInfo,
         failed_version: Option<VersionKey>,
-        tried: &[EndpointKey],
-    ) -> Option<(Plan, usize, Pick)> {
-        if ask.session != Session::None || failed_version.is_none() {
+        failed_endpoints: &[EndpointKey],
+    ) -> Option<(Plan, usize, EndpointChoice)> {
+        if info.session != Session::None || failed_version.is_none() {
             return None;
         }
-        let serving: Versions = self.catalogue.serving(&self.cfg, ask).collect();
+        let serving: Versions = self.catalogue.serving(&self.cfg, info).collect();
         serving
             .into_iter()
             .filter(|&v| Some(v) != failed_version)
             .find_map(|v| {
-                let pick = self.pick_or_least_loaded(ask, Some(v), tried)?;
-                Some((Plan::single(v, VersionReason::Cheapest), 0, pick))
+                let choice = self.pick_or_least_loaded(info, Some(v), failed_endpoints)?;
+                Some((Plan::single(v, VersionReason::Cheapest), 0, choice))
             })
     }
 }
 
-fn refuse_failed(retry_after: Option<Duration>) -> Next {
-    Next::Refuse(Refusal {
+fn refuse_failed(retry_after: Option<Duration>) -> AttemptDecision {
+    AttemptDecision::Refuse(Refusal {
         reason: RefusalReason::Failed,
         retry_after: Some(retry_after.unwrap_or(Duration::from_secs(1))),
     })
@@ -390,10 +423,10 @@
 
 /// Returns the result of a request whose customer, service or pinned version was removed from the
 /// configuration while it ran.
-fn finish_orphaned(outcome: &Outcome) -> Next {
+fn finish_orphaned(outcome: &Outcome) -> AttemptDecision {
     match outcome.result {
-        AttemptResult::Complete { .. } | AttemptResult::Cancelled => Next::Done,
-        _ => Next::Refuse(Refusal {
+        AttemptResult::Complete { .. } | AttemptResult::Cancelled => AttemptDecision::Done,
+        _ => AttemptDecision::Refuse(Refusal {
             reason: RefusalReason::Failed,
             retry_after: None,
         }),
--- a/crates/oatdale-policy/src/router/offer.rs
+++ b/crates/oatdale-policy/src/router/offer.rs
@@ -2,8 +2,8 @@
 
 use super::Router;
 use crate::choice::{Candidates, Plan};
-use crate::queue::Waiting;
-use crate::request::{Ask, Offer, Refusal, RefusalReason, Session, Ticket};
+use crate::queue::QueuedRequest;
+use crate::request::{AdmissionDecision, Refusal, RefusalReason, RequestInfo, Session, Ticket};
 use crate::state::{Request, Stage};
 use crate::tuning::Order;
 use oatdale_config::Key;
@@ -25,39 +25,39 @@
 
 impl Router {
     /// Decides whether a new request runs, waits or is refused.
-    pub fn offer(&mut self, now: Duration, ask: &Ask) -> Offer {
+    pub fn offer(&mut self, now: Duration, info: &RequestInfo) -> AdmissionDecision {
         self.now = self.now.max(now);
-        match self.admit(ask) {
-            Ok(()) => self.start_or_enqueue(ask),
-            Err(refusal) => Offer::Refuse(refusal),
+        match self.admit(info) {
+            Ok(()) => self.start_or_enqueue(info),
+            Err(refusal) => AdmissionDecision::Refuse(refusal),
         }
     }
 
     /// Checks that the keys are known and that the customer may call the service.
-    pub(super) fn check_access(&self, ask: &Ask) -> Result<(), RefusalReason> {
-        let known = self.cfg.customers.get(ask.customer).is_some()
-            && self.cfg.services.get(ask.service).is_some();
-        match known && self.cfg.may_call(ask.customer, ask.service) {
+    pub(super) fn check_access(&self, info: &RequestInfo) -> Result<(), RefusalReason> {
+        let known = self.cfg.customers.get(info.customer).is_some()
+            && self.cfg.services.get(info.service).is_some();
+        match known && self.cfg.may_call(info.customer, info.service) {
             true => Ok(()),
             false => Err(RefusalReason::NoVersion),
         }
     }
 
-    fn admit(&mut self, ask: &Ask) -> Result<(), Refusal> {
-        self.check_access(ask).map_err(refusal_without_retry)?;
-        self.check_customer_limits(ask)?;
-        if ask.deadline <= self.now {
+    fn admit(&mut self, info: &RequestInfo) -> Result<(), Refusal> {
+        self.check_access(info).map_err(refusal_without_retry)?;
+        self.check_customer_limits(info)?;
+        if info.deadline <= self.now {
             return Err(refusal_without_retry(RefusalReason::Deadline));
         }
-        let candidates = self.candidates(ask).map_err(refusal_without_retry)?;
-        self.check_reachable(ask, &candidates)?;
-        self.check_dependencies(ask)
+        let candidates = self.candidates(info).map_err(refusal_without_retry)?;
+        self.check_reachable(info, &candidates)?;
+        self.check_dependencies(info)
     }
 
-    fn check_customer_limits(&mut self, ask: &Ask) -> Result<(), Refusal> {
+    fn check_customer_limits(&mut self, info: &RequestInfo) -> Result<(), Refusal> {
         let now = self.now;
-        let limits = self.cfg.customers[ask.customer].limits;
-        let state = &mut self.customers[ask.customer.index()];
+        let limits = self.cfg.customers[info.customer].limits;
+        let state = &mut self.customers[info.customer.index()];
         state.demand.add(now);
         let wait = state
             .bucket
@@ -68,7 +68,7 @@
                 reason: RefusalReason::CustomerRate,
                 retry_after: Some(wait),
             }),
-            () if f64::from(state.under_way) >= max_concurrent => Err(Refusal {
+            () if f64::from(state.in_flight) >= max_concurrent => Err(Refusal {
                 reason: RefusalReason::CustomerConcurrency,
                 retry_after: Some(CONCURRENCY_RETRY_AFTER),
             }),
@@ -76,16 +76,18 @@
         }
     }
 
-    fn check_reachable(&self, ask: &Ask, candidates: &Candidates) -> Result<(), Refusal> {
-        let pool = self.cfg.services[ask.service].pool;
-        let is_live = |version| self.endpoints.any_live(self.now, pool, version);
+    fn check_reachable(&self, info: &RequestInfo, candidates: &Candidates) -> Result<(), Refusal> {
+        let pool = self.cfg.services[info.service].pool;
+        let is_available = |version| self.endpoints.any_available(self.now, pool, version);
         let reachable = match candidates {
-            Candidates::Plain => is_live(None),
-            Candidates::Pinned(version) | Candidates::Canary(version) => is_live(Some(*version)),
+            Candidates::Plain => is_available(None),
+            Candidates::Pinned(version) | Candidates::Canary(version) => {
+                is_available(Some(*version))
+            }
             Candidates::Serving => self
                 .catalogue
-                .serving(&self.cfg, ask)
-                .any(|v| is_live(Some(v))),
+                .serving(&self.cfg, info)
+                .any(|v| is_available(Some(v))),
         };
         match reachable {
             true => Ok(()),
@@ -98,14 +100,14 @@
 
     /// Refuses a request while a service that it depends on has no room: its answer is of no use
     /// without that service, so it would take room here and fail there.
-    fn check_dependencies(&mut self, ask: &Ask) -> Result<(), Refusal> {
+    fn check_dependencies(&mut self, info: &RequestInfo) -> Result<(), Refusal> {
         let cfg = self.cfg.clone();
-        for &dependency in &cfg.services[ask.service].depends_on {
+        for &dependency in &cfg.services[info.service].depends_on {
             let service = &cfg.services[dependency];
-            let is_live = self.endpoints.any_live(self.now, service.pool, None);
+            let is_available = self.endpoints.any_available(self.now, service.pool, None);
             let wait = self.expected_wait(dependency, None);
             let max_wait_s = service.deadline.as_secs_f64() * MAX_QUEUE_TIME_FRACTION;
-            if !is_live || wait > max_wait_s {
+            if !is_available || wait > max_wait_s {
                 return Err(Refusal {
                     reason: RefusalReason::Dependency,
                     retry_after: Some(self.jittered_retry_after(wait)),
@@ -115,50 +117,50 @@
         Ok(())
     }
 
-    fn start_or_enqueue(&mut self, ask: &Ask) -> Offer {
-        let ticket = self.insert_request(ask);
-        let service = ask.service.index();
+    fn start_or_enqueue(&mut self, info: &RequestInfo) -> AdmissionDecision {
+        let ticket = self.insert_request(info);
+        let service = info.service.index();
         let is_queue_empty = self.services[service].queue.len() == 0;
-        if is_queue_empty && self.has_room(ask.service) {
+        if is_queue_empty && self.has_room(info.service) {
             match self.start(ticket) {
-                Ok(Some(dispatch)) => return Offer::Run(dispatch),
+                Ok(Some(dispatch)) => return AdmissionDecision::Run(dispatch),
                 Ok(None) => {}
                 Err(refusal) => {
                     self.remove_request(ticket);
-                    return Offer::Refuse(refusal);
+                    return AdmissionDecision::Refuse(refusal);
                 }
             }
         }
-        let wait = self.expected_wait(ask.service, Some(ask));
-        let remaining_s = ask.deadline.saturating_sub(self.now).as_secs_f64();
-        let expected_s = self.services[service].expected_total(ask.class);
+        let wait = self.expected_wait(info.service, Some(info));
+        let remaining_s = info.deadline.saturating_sub(self.now).as_secs_f64();
+        let expected_s = self.services[service].expected_duration(info.class);
         if wait > (remaining_s - expected_s) * MAX_QUEUE_TIME_FRACTION {
             self.remove_request(ticket);
-            return Offer::Refuse(Refusal {
+            return AdmissionDecision::Refuse(Refusal {
                 reason: RefusalReason::Overload,
                 retry_after: Some(self.jittered_retry_after(wait)),
             });
         }
         self.enqueue(ticket);
-        Offer::Wait(ticket)
+        AdmissionDecision::Wait(ticket)
     }
 
-    fn insert_request(&mut self, ask: &Ask) -> Ticket {
+    fn insert_request(&mut self, info: &RequestInfo) -> Ticket {
         self.arrival_count += 1;
-        let customer = &mut self.customers[ask.customer.index()];
+        let customer = &mut self.customers[info.customer.index()];
         customer.bucket.take();
-        customer.under_way += 1;
+        customer.in_flight += 1;
         self.requests.insert(Request {
-            ask: *ask,
+            info: *info,
             order: self.arrival_count,
             attempts: 0,
-            tried: SmallVec::new(),
+            failed_endpoints: SmallVec::new(),
             plan: Plan::plain(),
             step: 0,
             stage: Stage::Waiting {
-                give_up: Duration::MAX,
+                expires_at: Duration::MAX,
             },
-            void: false,
+            is_orphaned: false,
         })
     }
 
@@ -167,33 +169,33 @@
         let Some(request) = self.requests.get_mut(ticket) else {
             return;
         };
-        let ask = request.ask;
-        let priority = priority(self.tuning.order, &ask);
-        let service = &mut self.services[ask.service.index()];
-        let expected_run = Duration::from_secs_f64(service.expected_total(ask.class));
-        let give_up = ask.deadline.saturating_sub(expected_run).max(self.now);
-        request.stage = Stage::Waiting { give_up };
-        self.expirations.insert((give_up, ticket));
+        let info = request.info;
+        let priority = priority(self.tuning.order, &info);
+        let service = &mut self.services[info.service.index()];
+        let expected_run = Duration::from_secs_f64(service.expected_duration(info.class));
+        let expires_at = info.deadline.saturating_sub(expected_run).max(self.now);
+        request.stage = Stage::Waiting { expires_at };
+        self.expirations.insert((expires_at, ticket));
         if service.queue.len() == 0 {
-            let pool = &self.pools[self.cfg.services[ask.service].pool.index()];
+            let pool = &self.pools[self.cfg.services[info.service].pool.index()];
             service.virtual_time = service.virtual_time.max(pool.virtual_time);
         }
-        let item = Waiting {
+        let item = QueuedRequest {
             ticket,
             priority,
-            cost: cost(&ask),
+            cost: cost(&info),
         };
-        service.queue.push(ask.customer.index(), item);
+        service.queue.push(info.customer.index(), item);
     }
 
     /// Returns the expected time in the queue, in seconds, of one more request.
     ///
-    /// With `ask`, only the customer's own requests count, scaled by its share of the service.
+    /// With `info`, only the customer's own requests count, scaled by its share of the service.
     /// Otherwise a customer with few requests would be refused because of another one's long queue.
     pub(super) fn expected_wait(
         &self,
         service: oatdale_config::ServiceKey,
-        ask: Option<&Ask>,
+        info: Option<&RequestInfo>,
     ) -> f64 {
         let state = &self.services[service.index()];
         let queued = state.queue.len();
@@ -207,27 +209,27 @@
         let running = f64::from(self.pools[pool.index()].running);
         let even_share = running / self.active_services(pool).max(1) as f64;
         let slots = even_share.max(f64::from(state.running)).max(1.0);
-        let slots_per_s = slots / state.total.get_or(0.05).max(1e-4);
-        let ahead_count = match ask {
-            Some(ask) => self.requests_ahead(service, ask),
+        let slots_per_s = slots / state.duration.get_or(0.05).max(1e-4);
+        let ahead_count = match info {
+            Some(info) => self.requests_ahead(service, info),
             None => queued as f64,
         };
         (ahead_count + 1.0) / slots_per_s
     }
 
     /// Estimates how many requests are served before one more of this customer.
-    fn requests_ahead(&self, service: oatdale_config::ServiceKey, ask: &Ask) -> f64 {
+    fn requests_ahead(&self, service: oatdale_config::ServiceKey, info: &RequestInfo) -> f64 {
         let queue = &self.services[service.index()].queue;
-        let own_ahead = queue.ahead_in(ask.customer.index(), priority(self.tuning.order, ask));
+        let own_ahead = queue.count_ahead(info.customer.index(), priority(self.tuning.order, info));
         let weight = |flow: usize| {
             let key = oatdale_config::CustomerKey::from_index(flow);
             self.cfg.customers[key].weight
         };
-        let own_weight = weight(ask.customer.index());
+        let own_weight = weight(info.customer.index());
         let other_weights: f64 = queue
             .order()
             .iter()
-            .filter(|&&flow| flow != ask.customer.index())
+            .filter(|&&flow| flow != info.customer.index())
             .map(|&flow| weight(flow))
             .sum();
         (own_ahead as f64 + 1.0) * (own_weight + other_weights) / own_weight.max(1e-3)
@@ -250,13 +252,13 @@
 
 /// Returns the expected cost of a request in arbitrary units; an input token costs a tenth of an
 /// output token.
-fn cost(ask: &Ask) -> f64 {
-    1.0 + (f64::from(ask.output_tokens) + 0.1 * f64::from(ask.input_tokens)) / 64.0
+fn cost(info: &RequestInfo) -> f64 {
+    1.0 + (f64::from(info.output_tokens) + 0.1 * f64::from(info.input_tokens)) / 64.0
 }
 
 /// Returns the priority of a request among those of its customer; the highest runs first.
-fn priority(order: Order, ask: &Ask) -> u32 {
-    match (order, ask.session) {
+fn priority(order: Order, info: &RequestInfo) -> u32 {
+    match (order, info.session) {
         (Order::Progress, Session::Pinned { step, .. }) => step,
         (Order::Progress | Order::Arrival, _) => 0,
     }
--- a/crates/oatdale-policy/src/router/start.rs
+++ b/crates/oatdale-policy/src/router/start.rs
@@ -2,8 +2,8 @@
 
 use super::Router;
 use crate::choice::{Candidates, Plan, Plans};
-use crate::endpoints::{Pick, Wish};
-use crate::request::{Ask, Dispatch, Refusal, RefusalReason, Ticket, VersionReason};
+use crate::endpoints::{EndpointChoice, EndpointQuery};
+use crate::request::{Dispatch, Refusal, RefusalReason, RequestInfo, Ticket, VersionReason};
 use crate::state::{Attempt, Stage};
 use oatdale_config::{EndpointKey, Key, PoolKey, ServiceKey, ServiceKind, VersionKey};
 use smallvec::SmallVec;
@@ -71,19 +71,19 @@
         let Some(request) = self.requests.get(ticket) else {
             return Ok(None);
         };
-        let ask = request.ask;
-        let tried = request.tried.clone();
-        let (plans, quality) = self.plans(&ask).map_err(|reason| Refusal {
+        let info = request.info;
+        let failed_endpoints = request.failed_endpoints.clone();
+        let (plans, quality) = self.plans(&info).map_err(|reason| Refusal {
             reason,
             retry_after: None,
         })?;
         for plan in plans {
             let version = plan.steps.first().copied();
-            if let Some(pick) = self.pick(&ask, version, &tried) {
-                self.record_planned_quality(&ask, quality);
-                return Ok(Some(self.dispatch(ticket, plan, 0, pick)));
+            if let Some(choice) = self.pick(&info, version, &failed_endpoints) {
+                self.record_planned_quality(&info, quality);
+                return Ok(Some(self.dispatch(ticket, plan, 0, choice)));
             }
-            if self.should_wait_for(&ask, &plan) {
+            if self.should_wait_for(&info, &plan) {
                 break;
             }
         }
@@ -92,22 +92,24 @@
 
     /// Whether to wait for a plan whose endpoints are full: a more expensive version with room is
     /// used only where latency counts more than cost.
-    fn should_wait_for(&self, ask: &Ask, plan: &Plan) -> bool {
-        let service = &self.cfg.services[ask.service];
+    fn should_wait_for(&self, info: &RequestInfo, plan: &Plan) -> bool {
+        let service = &self.cfg.services[info.service];
         let latency_first = match service.kind {
             ServiceKind::Model { latency_weight, .. } => latency_weight >= MIN_LATENCY_FIRST_WEIGHT,
             ServiceKind::Plain => false,
         };
         let version = plan.steps.first().copied();
-        let is_exploitation = plan.why != VersionReason::Explore;
+        let is_exploitation = plan.reason != VersionReason::Explore;
         is_exploitation
             && !latency_first
-            && self.endpoints.any_live(self.now, service.pool, version)
+            && self
+                .endpoints
+                .any_available(self.now, service.pool, version)
     }
 
     /// Adjusts the service's price of quality to the expected quality of this request's answer.
-    fn record_planned_quality(&mut self, ask: &Ask, quality: Option<f64>) {
-        let kind = &self.cfg.services[ask.service].kind;
+    fn record_planned_quality(&mut self, info: &RequestInfo, quality: Option<f64>) {
+        let kind = &self.cfg.services[info.service].kind;
         if let (
             ServiceKind::Model {
                 quality: target, ..
@@ -115,95 +117,104 @@
             Some(quality),
         ) = (kind, quality)
         {
-            self.services[ask.service.index()]
+            self.services[info.service.index()]
                 .learner
-                .planned(*target, quality);
+                .adjust_price(*target, quality);
         }
     }
 
     /// Returns the canary that replaces a plan's first version, if the request falls into its share
     /// and an engine has loaded it. A rollout often starts before the engines have loaded the
     /// version, and the requests of the canary's share would wait in vain.
-    fn reachable_canary(&self, ask: &Ask, first_version: VersionKey) -> Option<VersionKey> {
-        let canary = self.catalogue.canary(&self.cfg, ask, Some(first_version))?;
-        let pool = self.cfg.services[ask.service].pool;
-        let is_live = self.endpoints.any_live(self.now, pool, Some(canary));
-        is_live.then_some(canary)
+    fn reachable_canary(
+        &self,
+        info: &RequestInfo,
+        first_version: VersionKey,
+    ) -> Option<VersionKey> {
+        let canary = self
+            .catalogue
+            .canary(&self.cfg, info, Some(first_version))?;
+        let pool = self.cfg.services[info.service].pool;
+        let is_available = self.endpoints.any_available(self.now, pool, Some(canary));
+        is_available.then_some(canary)
     }
 
     /// Returns the candidates that may serve a request now.
-    pub(super) fn candidates(&self, ask: &Ask) -> Result<Candidates, RefusalReason> {
-        self.catalogue.candidates(&self.cfg, ask)
+    pub(super) fn candidates(&self, info: &RequestInfo) -> Result<Candidates, RefusalReason> {
+        self.catalogue.candidates(&self.cfg, info)
     }
 
     /// Returns the plans that may serve a request, never empty and the preferred one first, and the
     /// expected quality of the preferred plan.
-    pub(super) fn plans(&mut self, ask: &Ask) -> Result<(Plans, Option<f64>), RefusalReason> {
-        let candidates = self.candidates(ask)?;
-        let pool = self.cfg.services[ask.service].pool;
-        let learner = &mut self.services[ask.service.index()].learner;
-        let (version, why) = match candidates {
+    pub(super) fn plans(
+        &mut self,
+        info: &RequestInfo,
+    ) -> Result<(Plans, Option<f64>), RefusalReason> {
+        let candidates = self.candidates(info)?;
+        let pool = self.cfg.services[info.service].pool;
+        let learner = &mut self.services[info.service.index()].learner;
+        let (version, reason) = match candidates {
             Candidates::Plain => return Ok((Plans::from_iter([Plan::plain()]), None)),
             Candidates::Pinned(version) => (version, VersionReason::Pinned),
             Candidates::Canary(version) => (version, VersionReason::Canary),
             Candidates::Serving => {
-                let versions = live_or_all(self.catalogue.serving(&self.cfg, ask), |v| {
-                    self.endpoints.any_live(self.now, pool, Some(v))
+                let versions = available_or_all(self.catalogue.serving(&self.cfg, info), |v| {
+                    self.endpoints.any_available(self.now, pool, Some(v))
                 });
-                let (mut plans, quality) = learner.plans(&self.cfg, ask, &versions, &mut self.rng);
-                let Some(canary) = self.reachable_canary(ask, plans[0].steps[0]) else {
+                let (mut plans, quality) = learner.plans(&self.cfg, info, &versions, &mut self.rng);
+                let Some(canary) = self.reachable_canary(info, plans[0].steps[0]) else {
                     return Ok((plans, Some(quality)));
                 };
                 let mut plan = plans[0].clone();
                 plan.steps[0] = canary;
-                plan.why = VersionReason::Canary;
+                plan.reason = VersionReason::Canary;
                 plans.insert(0, plan);
-                let learner = &self.services[ask.service.index()].learner;
-                let quality = learner.quality(&self.cfg, ask, canary);
+                let learner = &self.services[info.service.index()].learner;
+                let quality = learner.quality(&self.cfg, info, canary);
                 return Ok((plans, Some(quality)));
             }
         };
-        let quality = learner.quality(&self.cfg, ask, version);
+        let quality = learner.quality(&self.cfg, info, version);
         Ok((
-            Plans::from_iter([Plan::single(version, why)]),
+            Plans::from_iter([Plan::single(version, reason)]),
             Some(quality),
         ))
     }
 
-    /// Picks an endpoint with room, or else the least loaded live one. A request that has already
+    /// Picks an endpoint with room, or else the least loaded available one. A request that has already
     /// been sent is not queued again, since the work done for it would be lost.
     pub(super) fn pick_or_least_loaded(
         &mut self,
-        ask: &Ask,
+        info: &RequestInfo,
         version: Option<VersionKey>,
-        tried: &[EndpointKey],
-    ) -> Option<Pick> {
-        let pool = self.cfg.services[ask.service].pool;
-        self.pick(ask, version, tried).or_else(|| {
+        failed_endpoints: &[EndpointKey],
+    ) -> Option<EndpointChoice> {
+        let pool = self.cfg.services[info.service].pool;
+        self.pick(info, version, failed_endpoints).or_else(|| {
             self.endpoints
-                .least_loaded(self.now, &self.cfg, pool, version, tried)
+                .least_loaded(self.now, &self.cfg, pool, version, failed_endpoints)
         })
     }
 
     /// Picks an endpoint with room, if there is one.
     pub(super) fn pick(
         &mut self,
-        ask: &Ask,
+        info: &RequestInfo,
         version: Option<VersionKey>,
-        tried: &[EndpointKey],
-    ) -> Option<Pick> {
-        let pool = self.cfg.services[ask.service].pool;
-        let criteria = Wish {
+        failed_endpoints: &[EndpointKey],
+    ) -> Option<EndpointChoice> {
+        let pool = self.cfg.services[info.service].pool;
+        let query = EndpointQuery {
             pool,
             version,
-            prefix: (ask.input_tokens > 0).then_some(ask.prefix),
-            tried,
-            leave_room: self
-                .is_surging(ask.service)
+            prefix: (info.input_tokens > 0).then_some(info.prefix),
+            failed_endpoints,
+            surge_share: self
+                .is_surging(info.service)
                 .then(|| self.endpoints.share(pool, self.pools[pool.index()].running)),
         };
         self.endpoints
-            .pick(self.now, &self.cfg, criteria, &mut self.rng)
+            .pick(self.now, &self.cfg, query, &mut self.rng)
     }
 
     /// Records the start of an attempt and returns its dispatch.
@@ -212,49 +223,49 @@
         ticket: Ticket,
         plan: Plan,
         step: usize,
-        pick: Pick,
+        choice: EndpointChoice,
     ) -> Dispatch {
         let request = self
             .requests
             .get_mut(ticket)
             .expect("the ticket belongs to a known request");
         let version = plan.steps.get(step).copied();
-        let judge = plan.steps.len() > step + 1;
-        let why_version = match step {
-            0 => plan.why,
+        let needs_rating = plan.steps.len() > step + 1;
+        let version_reason = match step {
+            0 => plan.reason,
             _ => VersionReason::Escalated,
         };
-        if let Stage::Waiting { give_up } = request.stage {
-            self.expirations.remove(&(give_up, ticket));
+        if let Stage::Waiting { expires_at } = request.stage {
+            self.expirations.remove(&(expires_at, ticket));
         }
         request.attempts += 1;
         request.plan = plan;
         request.step = step;
         request.stage = Stage::Running(Attempt {
-            endpoint: Some(pick.endpoint),
+            endpoint: Some(choice.endpoint),
             version,
-            judge,
-            after: step > 0,
+            needs_rating,
+            is_escalation: step > 0,
         });
         let attempt = request.attempts;
-        let service = request.ask.service;
-        self.record_start(service, pick.endpoint, attempt == 1);
+        let service = request.info.service;
+        self.record_start(service, choice.endpoint, attempt == 1);
         Dispatch {
             ticket,
             attempt,
-            endpoint: pick.endpoint,
+            endpoint: choice.endpoint,
             version,
-            judge,
-            why_version,
-            why_endpoint: pick.why,
-            considered: pick.considered,
+            needs_rating,
+            version_reason,
+            endpoint_reason: choice.reason,
+            considered: choice.considered,
         }
     }
 
     fn record_start(&mut self, service: ServiceKey, endpoint: EndpointKey, is_first_attempt: bool) {
         let pool = self.cfg.services[service].pool;
         self.pools[pool.index()].running += 1;
-        self.endpoints.states[endpoint.index()].sent(self.now);
+        self.endpoints.states[endpoint.index()].record_sent(self.now);
         let state = &mut self.services[service.index()];
         state.running += 1;
         if is_first_attempt {
@@ -267,14 +278,14 @@
         let Some(request) = self.requests.remove(ticket) else {
             return;
         };
-        if let Stage::Waiting { give_up } = request.stage {
-            self.expirations.remove(&(give_up, ticket));
+        if let Stage::Waiting { expires_at } = request.stage {
+            self.expirations.remove(&(expires_at, ticket));
         }
-        if request.void {
+        if request.is_orphaned {
             return;
         }
-        let customer = &mut self.customers[request.ask.customer.index()];
-        customer.under_way = customer.under_way.saturating_sub(1);
+        let customer = &mut self.customers[request.info.customer.index()];
+        customer.in_flight = customer.in_flight.saturating_sub(1);
     }
 
     /// Whether the time until the deadline exceeds the service's average time to the first byte.
@@ -285,14 +296,15 @@
 }
 
 /// Returns the versions that some endpoint can serve now, or all versions if there is none.
-fn live_or_all(
+fn available_or_all(
     versions: impl Iterator<Item = VersionKey>,
-    is_live: impl Fn(VersionKey) -> bool,
+    is_available: impl Fn(VersionKey) -> bool,
 ) -> SmallVec<[VersionKey; 64]> {
     let all: SmallVec<[VersionKey; 64]> = versions.collect();
-    let live: SmallVec<[VersionKey; 64]> = all.iter().copied().filter(|&v| is_live(v)).collect();
-    match live.is_empty() {
+    let available: SmallVec<[VersionKey; 64]> =
+        all.iter().copied().filter(|&v| is_available(v)).collect();
+    match available.is_empty() {
         true => all,
-        false => live,
+        false => available,
     }
 }
--- a/crates/oatdale-policy/src/router/turn.rs
+++ b/crates/oatdale-policy/src/router/turn.rs
@@ -1,7 +1,7 @@
 //! Waiting requests: start of the next one, and refusal of those whose deadline can't be met.
 
 use super::{RECHECK_INTERVAL, Router};
-use crate::request::{Refusal, RefusalReason, Ticket, Turn};
+use crate::request::{QueueDecision, Refusal, RefusalReason, Ticket};
 use oatdale_config::{Key, PoolKey, ServiceKey};
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 impl Router {
     /// Returns a waiting request that is to run or be refused now, if there is one.
-    pub fn next_turn(&mut self, now: Duration) -> Option<(Ticket, Turn)> {
+    pub fn poll_queue(&mut self, now: Duration) -> Option<(Ticket, QueueDecision)> {
         self.now = self.now.max(now);
         if self.expirations.is_empty() {
             return None;
@@ -22,26 +22,26 @@
         pools.into_iter().find_map(|pool| self.next_in_pool(pool))
     }
 
-    /// Returns the time by which to call [`Router::next_turn`] again; `None` if no request waits.
+    /// Returns the time by which to call [`Router::poll_queue`] again; `None` if no request waits.
     pub fn next_wake(&self) -> Option<Duration> {
         let &(expiration, _) = self.expirations.first()?;
-        let pause_end = self
+        let backoff_end = self
             .cfg
             .pools
             .keys()
-            .filter_map(|pool| self.endpoints.next_pause_end(self.now, pool))
+            .filter_map(|pool| self.endpoints.next_backoff_end(self.now, pool))
             .min();
         let recheck = self.now + RECHECK_INTERVAL;
-        Some(expiration.min(recheck).min(pause_end.unwrap_or(recheck)))
+        Some(expiration.min(recheck).min(backoff_end.unwrap_or(recheck)))
     }
 
     /// Refuses the waiting request that expires first, if it has expired.
-    fn expire_first(&mut self) -> Option<(Ticket, Turn)> {
+    fn expire_first(&mut self) -> Option<(Ticket, QueueDecision)> {
         let &(expires_at, ticket) = self.expirations.first()?;
         if expires_at > self.now {
             return None;
         }
-        let is_orphaned = self.requests.get(ticket).is_some_and(|r| r.void);
+        let is_orphaned = self.requests.get(ticket).is_some_and(|r| r.is_orphaned);
         let reason = match is_orphaned {
             true => RefusalReason::NoVersion,
             false => RefusalReason::Deadline,
@@ -56,16 +56,16 @@
             reason,
             retry_after,
         };
-        Some((ticket, Turn::Refuse(refusal)))
+        Some((ticket, QueueDecision::Refuse(refusal)))
     }
 
     fn retry_after_of(&mut self, ticket: Ticket) -> Duration {
-        let service = self.requests.get(ticket).map(|r| r.ask.service);
+        let service = self.requests.get(ticket).map(|r| r.info.service);
         let wait = service.map_or(1.0, |s| self.expected_wait(s, None));
         self.jittered_retry_after(wait)
     }
 
-    fn next_in_pool(&mut self, pool: PoolKey) -> Option<(Ticket, Turn)> {
+    fn next_in_pool(&mut self, pool: PoolKey) -> Option<(Ticket, QueueDecision)> {
         let mut waiting_services: Vec<ServiceKey> = self
             .cfg
             .services
@@ -82,7 +82,11 @@
             .find_map(|s| self.next_in_service(pool, s))
     }
 
-    fn next_in_service(&mut self, pool: PoolKey, service: ServiceKey) -> Option<(Ticket, Turn)> {
+    fn next_in_service(
+        &mut self,
+        pool: PoolKey,
+        service: ServiceKey,
+    ) -> Option<(Ticket, QueueDecision)> {
         if !self.has_room(service) {
             return None;
         }
@@ -91,16 +95,16 @@
             let Some(item) = self.services[service.index()].queue.head(flow) else {
                 continue;
             };
-            let turn = match self.start(item.ticket) {
+            let decision = match self.start(item.ticket) {
                 Ok(None) => continue,
-                Ok(Some(dispatch)) => Turn::Run(dispatch),
-                Err(refusal) => Turn::Refuse(refusal),
+                Ok(Some(dispatch)) => QueueDecision::Run(dispatch),
+                Err(refusal) => QueueDecision::Refuse(refusal),
             };
             self.dequeue(pool, service, flow, item.cost);
-            if let Turn::Refuse(_) = turn {
+            if let QueueDecision::Refuse(_) = decision {
                 self.remove_request(item.ticket);
             }
-            return Some((item.ticket, turn));
+            return Some((item.ticket, decision));
         }
         None
     }
@@ -121,8 +125,8 @@
         let Some(request) = self.requests.get(ticket) else {
             return;
         };
-        if !request.void {
-            let (service, flow) = (request.ask.service, request.ask.customer.index());
+        if !request.is_orphaned {
+            let (service, flow) = (request.info.service, request.info.customer.index());
             self.services[service.index()].queue.remove(flow, ticket);
         }
     }
--- a/crates/oatdale-policy/src/state.rs
+++ b/crates/oatdale-policy/src/state.rs
@@ -5,9 +5,9 @@
 use crate::budget::RetryBudget;
 use crate::cascade::Learner;
 use crate::choice::Plan;
-use crate::limit::Limit;
+use crate::limit::ConcurrencyLimit;
 use crate::queue::FairQueue;
-use crate::request::Ask;
+use crate::request::RequestInfo;
 use oatdale_config::{EndpointKey, VersionKey};
 use smallvec::SmallVec;
 use std::collections::BTreeMap;
@@ -19,18 +19,18 @@
 /// A queued or running request.
 #[derive(Debug)]
 pub(crate) struct Request {
-    pub(crate) ask: Ask,
+    pub(crate) info: RequestInfo,
     /// Sequence number in order of arrival.
     pub(crate) order: u64,
     pub(crate) attempts: u16,
     /// Endpoints that failed the request.
-    pub(crate) tried: SmallVec<[EndpointKey; 4]>,
+    pub(crate) failed_endpoints: SmallVec<[EndpointKey; 4]>,
     pub(crate) plan: Plan,
     /// Index of the plan's current step.
     pub(crate) step: usize,
     pub(crate) stage: Stage,
     /// Whether its customer, service or pinned version was removed from the configuration.
-    pub(crate) void: bool,
+    pub(crate) is_orphaned: bool,
 }
 
 /// Stage of a request.
@@ -39,7 +39,7 @@
     /// In its service's queue.
     Waiting {
         /// When its deadline can no longer be met.
-        give_up: Duration,
+        expires_at: Duration,
     },
     /// At an endpoint.
     Running(Attempt),
@@ -52,9 +52,9 @@
     pub(crate) endpoint: Option<EndpointKey>,
     pub(crate) version: Option<VersionKey>,
     /// Whether the answer is buffered and rated, since a better version may follow.
-    pub(crate) judge: bool,
+    pub(crate) needs_rating: bool,
     /// Whether it follows a rejected answer.
-    pub(crate) after: bool,
+    pub(crate) is_escalation: bool,
 }
 
 /// Queue, latencies and retry budget of a service.
@@ -63,9 +63,9 @@
     pub(crate) queue: FairQueue,
     pub(crate) running: u32,
     /// Duration of an attempt, in seconds.
-    pub(crate) total: Mean,
+    pub(crate) duration: Mean,
     /// Duration of an attempt by class of requests, in seconds.
-    pub(crate) total_by_class: BTreeMap<u8, Mean>,
+    pub(crate) duration_by_class: BTreeMap<u8, Mean>,
     /// Time to the first byte, in seconds.
     pub(crate) first_byte: Mean,
     pub(crate) budget: RetryBudget,
@@ -79,8 +79,8 @@
         ServiceState {
             queue: FairQueue::default(),
             running: 0,
-            total: Mean::new(100.0),
-            total_by_class: BTreeMap::new(),
+            duration: Mean::new(100.0),
+            duration_by_class: BTreeMap::new(),
             first_byte: Mean::new(100.0),
             budget: RetryBudget::default(),
             learner: Learner::new(),
@@ -89,18 +89,18 @@
     }
 
     /// Returns the expected duration of an attempt of a class, in seconds.
-    pub(crate) fn expected_total(&self, class: u8) -> f64 {
-        let service_mean = self.total.get_or(0.0);
-        self.total_by_class
+    pub(crate) fn expected_duration(&self, class: u8) -> f64 {
+        let service_mean = self.duration.get_or(0.0);
+        self.duration_by_class
             .get(&class)
             .map_or(service_mean, |t| t.get_or(service_mean))
     }
 
     /// Records the duration of an attempt.
-    pub(crate) fn took(&mut self, class: u8, seconds: f64) {
-        self.total.add(seconds);
+    pub(crate) fn record_duration(&mut self, class: u8, seconds: f64) {
+        self.duration.add(seconds);
         let new_mean = || Mean::new(100.0);
-        self.total_by_class
+        self.duration_by_class
             .entry(class)
             .or_insert_with(new_mean)
             .add(seconds);
@@ -109,7 +109,7 @@
 
 /// Limit and use of a pool.
 pub(crate) struct PoolState {
-    pub(crate) limit: Limit,
+    pub(crate) limit: ConcurrencyLimit,
     pub(crate) running: u32,
     pub(crate) virtual_time: f64,
 }
@@ -117,7 +117,7 @@
 /// Rate, concurrency and demand of a customer.
 pub(crate) struct CustomerState {
     pub(crate) bucket: TokenBucket,
-    pub(crate) under_way: u32,
+    pub(crate) in_flight: u32,
     /// This node's share of the customer's limits, from 0 to 1.
     pub(crate) share: f64,
     pub(crate) demand: Rate,
@@ -127,7 +127,7 @@
     pub(crate) fn new(now: Duration, rate: f64) -> Self {
         CustomerState {
             bucket: TokenBucket::new(now, rate),
-            under_way: 0,
+            in_flight: 0,
             share: 1.0,
             demand: Rate::new(now, DEMAND_TIME_CONSTANT),
         }
--- a/crates/oatdale-policy/src/trial.rs
+++ b/crates/oatdale-policy/src/trial.rs
@@ -6,9 +6,9 @@
 //! often it is evaluated (Ville's inequality). It needs only sums, so every node that has the same
 //! counts reaches the same decision.
 
-use crate::choice::Catalogue;
+use crate::choice::VersionCatalogue;
 use crate::evidence::{Evidence, VersionCounters};
-use crate::rekey::Rekey;
+use crate::key_map::KeyMap;
 use oatdale_config::{Config, Key, VersionKey, VersionState};
 
 /// Natural logarithm of the evidence above which a version is stopped: one false stop in 1,000
@@ -121,22 +121,23 @@
     /// A trial restarts, with the version's counts so far as its history, unless the version's
     /// state and the versions that it is compared with are the same as before: counts that were
     /// compared with other versions say nothing now.
-    pub(crate) fn take_over(
+    pub(crate) fn migrate(
         &mut self,
         old: Trials,
         cfg: &Config,
         old_cfg: &Config,
-        rekey: &Rekey,
+        key_map: &KeyMap,
         evidence: &Evidence,
     ) {
         for version in cfg.versions.keys() {
             self.restart(version, cfg, evidence);
         }
         for trial in old.trials {
-            let Some(version) = rekey.version(trial.own.version) else {
+            let Some(version) = key_map.version(trial.own.version) else {
                 continue;
             };
-            let is_unchanged = has_same_references(trial.own.version, version, old_cfg, cfg, rekey);
+            let is_unchanged =
+                has_same_references(trial.own.version, version, old_cfg, cfg, key_map);
             if is_unchanged {
                 let with_version = |c| VersionCounters { version, ..c };
                 self.trials[version.index()] = Trial {
@@ -148,10 +149,10 @@
     }
 
     /// Tests every version that admits new work and restarts complete trials.
-    pub(crate) fn judge(
+    pub(crate) fn test_versions(
         &mut self,
         cfg: &Config,
-        catalogue: &Catalogue,
+        catalogue: &VersionCatalogue,
         evidence: &Evidence,
     ) -> Vec<StopDecision> {
         let mut stops: Vec<StopDecision> = Vec::new();
@@ -234,9 +235,11 @@
     new: VersionKey,
     old_cfg: &Config,
     cfg: &Config,
-    rekey: &Rekey,
+    key_map: &KeyMap,
 ) -> bool {
-    let mut before: Vec<_> = references(old, old_cfg).map(|v| rekey.version(v)).collect();
+    let mut before: Vec<_> = references(old, old_cfg)
+        .map(|v| key_map.version(v))
+        .collect();
     let mut after: Vec<_> = references(new, cfg).map(Some).collect();
     before.sort_unstable();
     after.sort_unstable();
--- a/crates/oatdale-policy/tests/router/admission.rs
+++ b/crates/oatdale-policy/tests/router/admission.rs
@@ -1,12 +1,13 @@
 //! Tests of limits, queues, retries and refusals.
 
 use crate::fixture::{
-    Shape, ask, complete, customer, desk, endpoint, node_place, outcome, planner, refusal_reason,
-    run, secs, version, wait,
+    Shape, ask, complete, customer, desk, endpoint, node_identity, outcome, planner,
+    refusal_reason, run, secs, version, wait,
 };
 use oatdale_config::Limits;
 use oatdale_policy::{
-    Ask, AttemptResult, Next, Offer, Outcome, RefusalReason, Router, Session, Ticket, Turn,
+    AdmissionDecision, AttemptDecision, AttemptResult, Outcome, QueueDecision, RefusalReason,
+    RequestInfo, Router, Session, Ticket,
 };
 
 fn router_with_limits(requests_per_second: f64, concurrent: u32) -> Router {
@@ -28,7 +29,7 @@
         let dispatch = run(router.offer(secs(0.0), &ask(secs(0.0), 1)));
         router.finish(secs(0.0), dispatch.ticket, &complete(None));
     }
-    let Offer::Refuse(refusal) = router.offer(secs(0.0), &ask(secs(0.0), 1)) else {
+    let AdmissionDecision::Refuse(refusal) = router.offer(secs(0.0), &ask(secs(0.0), 1)) else {
         panic!("a request above the rate was not refused");
     };
     assert_eq!(refusal.reason, RefusalReason::CustomerRate);
@@ -41,7 +42,7 @@
 #[test]
 fn customer_above_its_share_of_concurrent_requests_is_refused() {
     let mut router = router_with_limits(1000.0, 8);
-    router.set_share(customer(0), 0.25);
+    router.set_customer_share(customer(0), 0.25);
     let first = run(router.offer(secs(0.0), &ask(secs(0.0), 1)));
     run(router.offer(secs(0.0), &ask(secs(0.0), 2)));
     let reason = refusal_reason(router.offer(secs(0.0), &ask(secs(0.0), 3)));
@@ -55,22 +56,22 @@
     let mut router = Shape::default().router();
     let mut running = Vec::new();
     let mut waiting = Vec::new();
-    for draw in 0..20 {
-        match router.offer(secs(0.0), &ask(secs(0.0), draw)) {
-            Offer::Run(dispatch) => running.push(dispatch.ticket),
+    for rollout_hash in 0..20 {
+        match router.offer(secs(0.0), &ask(secs(0.0), rollout_hash)) {
+            AdmissionDecision::Run(dispatch) => running.push(dispatch.ticket),
             other => waiting.push(wait(other)),
         }
     }
     assert_eq!((running.len(), waiting.len()), (12, 8));
-    let mut turns = Vec::new();
+    let mut polled = Vec::new();
     for ticket in running {
         router.finish(secs(0.2), ticket, &complete(None));
-        while let Some((ticket, turn)) = router.next_turn(secs(0.2)) {
-            assert!(matches!(turn, Turn::Run(_)), "{turn:?}");
-            turns.push(ticket);
+        while let Some((ticket, decision)) = router.poll_queue(secs(0.2)) {
+            assert!(matches!(decision, QueueDecision::Run(_)), "{decision:?}");
+            polled.push(ticket);
         }
     }
-    assert_eq!(turns, waiting);
+    assert_eq!(polled, waiting);
     assert_eq!(router.next_wake(), None);
 }
 
@@ -80,7 +81,7 @@
 fn waiting_request_is_refused_when_its_deadline_cannot_be_met() {
     let mut router = Shape::default().router();
     let ticket = loop {
-        if let Offer::Wait(ticket) = router.offer(secs(0.0), &ask(secs(0.0), 1)) {
+        if let AdmissionDecision::Wait(ticket) = router.offer(secs(0.0), &ask(secs(0.0), 1)) {
             break ticket;
         }
     };
@@ -88,7 +89,7 @@
     while let Some(wake) = router.next_wake() {
         assert!(wake > now && wake <= secs(10.0));
         now = wake;
-        if let Some((refused, Turn::Refuse(refusal))) = router.next_turn(now) {
+        if let Some((refused, QueueDecision::Refuse(refusal))) = router.poll_queue(now) {
             assert_eq!((refused, refusal.reason), (ticket, RefusalReason::Deadline));
             return;
         }
@@ -100,23 +101,25 @@
 fn small_customer_does_not_wait_for_the_queue_of_a_large_one() {
     let mut router = Shape::default().router();
     let mut running: Vec<Ticket> = Vec::new();
-    for draw in 0..60 {
-        if let Offer::Run(dispatch) = router.offer(secs(0.0), &ask(secs(0.0), draw)) {
+    for rollout_hash in 0..60 {
+        if let AdmissionDecision::Run(dispatch) =
+            router.offer(secs(0.0), &ask(secs(0.0), rollout_hash))
+        {
             running.push(dispatch.ticket);
         }
     }
-    let small_request = Ask {
+    let small_request = RequestInfo {
         customer: customer(1),
         ..ask(secs(0.0), 1)
     };
     let small_ticket = wait(router.offer(secs(0.0), &small_request));
-    let mut turn_count = 0;
+    let mut decision_count = 0;
     for ticket in running {
         router.finish(secs(0.2), ticket, &complete(None));
-        while let Some((ticket, _)) = router.next_turn(secs(0.2)) {
-            turn_count += 1;
+        while let Some((ticket, _)) = router.poll_queue(secs(0.2)) {
+            decision_count += 1;
             if ticket == small_ticket {
-                assert!(turn_count <= 2, "turn {turn_count}");
+                assert!(decision_count <= 2, "turn {decision_count}");
                 return;
             }
         }
@@ -130,28 +133,31 @@
 fn non_idempotent_request_that_may_have_run_is_not_retried() {
     for result in [AttemptResult::Broken, AttemptResult::TimedOut] {
         let mut router = Shape::default().router();
-        let confirm = Ask {
+        let confirm = RequestInfo {
             idempotent: false,
             ..ask(secs(0.0), 1)
         };
         let dispatch = run(router.offer(secs(0.0), &confirm));
-        assert!(!dispatch.judge);
-        let next = router.finish(secs(0.1), dispatch.ticket, &outcome(result));
-        assert!(matches!(next, Next::Refuse(_)), "{next:?}");
+        assert!(!dispatch.needs_rating);
+        let decision = router.finish(secs(0.1), dispatch.ticket, &outcome(result));
+        assert!(
+            matches!(decision, AttemptDecision::Refuse(_)),
+            "{decision:?}"
+        );
     }
 }
 
 #[test]
 fn unsent_request_is_retried_at_another_endpoint() {
     let mut router = Shape::default().router();
-    let confirm = Ask {
+    let confirm = RequestInfo {
         idempotent: false,
         ..ask(secs(0.0), 1)
     };
     let first = run(router.offer(secs(0.0), &confirm));
-    let next = router.finish(secs(0.1), first.ticket, &outcome(AttemptResult::NotSent));
-    let Next::Run(second) = next else {
-        panic!("expected a retry, got {next:?}");
+    let decision = router.finish(secs(0.1), first.ticket, &outcome(AttemptResult::NotSent));
+    let AttemptDecision::Run(second) = decision else {
+        panic!("expected a retry, got {decision:?}");
     };
     assert_ne!(second.endpoint, first.endpoint);
     assert_eq!((second.ticket, second.attempt), (first.ticket, 2));
@@ -167,16 +173,19 @@
         forwarded: true,
         ..outcome(AttemptResult::Broken)
     };
-    let next = router.finish(secs(0.1), dispatch.ticket, &broken);
-    assert!(matches!(next, Next::Refuse(_)), "{next:?}");
+    let decision = router.finish(secs(0.1), dispatch.ticket, &broken);
+    assert!(
+        matches!(decision, AttemptDecision::Refuse(_)),
+        "{decision:?}"
+    );
 }
 
 #[test]
 fn leaving_endpoint_gets_no_new_requests() {
     let mut router = Shape::default().router();
-    router.endpoint_leaving(secs(0.0), endpoint(0), true);
-    for draw in 0..8 {
-        let dispatch = run(router.offer(secs(0.0), &ask(secs(0.0), draw)));
+    router.set_endpoint_leaving(secs(0.0), endpoint(0), true);
+    for rollout_hash in 0..8 {
+        let dispatch = run(router.offer(secs(0.0), &ask(secs(0.0), rollout_hash)));
         assert_ne!(dispatch.endpoint, endpoint(0));
     }
 }
@@ -190,10 +199,10 @@
     router.cancel(secs(0.2), old.ticket);
     assert_eq!(
         router.finish(secs(0.2), old.ticket, &complete(None)),
-        Next::Done
+        AttemptDecision::Done
     );
-    let next = router.finish(secs(0.3), new.ticket, &outcome(AttemptResult::Broken));
-    assert!(matches!(next, Next::Run(_)), "{next:?}");
+    let decision = router.finish(secs(0.3), new.ticket, &outcome(AttemptResult::Broken));
+    assert!(matches!(decision, AttemptDecision::Run(_)), "{decision:?}");
 }
 
 /// Callers open sessions faster than the service can serve them. In order of arrival, few sessions
@@ -203,10 +212,10 @@
 fn session_with_more_completed_requests_runs_first() {
     let mut router = Shape::default().router();
     let mut running = Vec::new();
-    while let Offer::Run(dispatch) = router.offer(secs(0.0), &ask(secs(0.0), 1)) {
+    while let AdmissionDecision::Run(dispatch) = router.offer(secs(0.0), &ask(secs(0.0), 1)) {
         running.push(dispatch.ticket);
     }
-    let request_at_step = |step| Ask {
+    let request_at_step = |step| RequestInfo {
         session: Session::Pinned {
             version: version(0),
             step,
@@ -215,15 +224,15 @@
     };
     let step_1 = wait(router.offer(secs(0.0), &request_at_step(1)));
     let step_3 = wait(router.offer(secs(0.0), &request_at_step(3)));
-    let mut turns = Vec::new();
+    let mut polled = Vec::new();
     for ticket in running {
         router.finish(secs(0.2), ticket, &complete(None));
-        while let Some((ticket, _)) = router.next_turn(secs(0.2)) {
-            turns.push(ticket);
+        while let Some((ticket, _)) = router.poll_queue(secs(0.2)) {
+            polled.push(ticket);
         }
     }
-    let position = |ticket| turns.iter().position(|&t| t == ticket);
-    assert!(position(step_3) < position(step_1), "{turns:?}");
+    let position = |ticket| polled.iter().position(|&t| t == ticket);
+    assert!(position(step_3) < position(step_1), "{polled:?}");
 }
 
 /// All hosts of a service that another one depends on are leaving. Requests to the other service
@@ -240,10 +249,10 @@
         services.push(service);
     }
     cfg.services = services;
-    let mut router = Router::new(cfg.into(), node_place());
+    let mut router = Router::new(cfg.into(), node_identity());
     run(router.offer(secs(0.0), &ask(secs(0.0), 1)));
     for host in 3..6 {
-        router.endpoint_leaving(secs(0.0), endpoint(host), true);
+        router.set_endpoint_leaving(secs(0.0), endpoint(host), true);
     }
     let reason = refusal_reason(router.offer(secs(0.0), &ask(secs(0.0), 1)));
     assert_eq!(reason, RefusalReason::Dependency);
@@ -261,7 +270,7 @@
             failed += 1;
             let not_sent = outcome(AttemptResult::NotSent);
             match router.finish(secs(now), dispatch.ticket, &not_sent) {
-                Next::Run(next) => dispatch = next,
+                AttemptDecision::Run(next) => dispatch = next,
                 other => panic!("expected a retry, got {other:?}"),
             }
         }
@@ -281,11 +290,11 @@
 #[test]
 fn retry_goes_to_another_failure_domain() {
     let cfg = Shape::default().config();
-    for draw in 0..20 {
+    for rollout_hash in 0..20 {
         let mut router = Shape::default().router();
-        let first = run(router.offer(secs(0.0), &ask(secs(0.0), draw)));
+        let first = run(router.offer(secs(0.0), &ask(secs(0.0), rollout_hash)));
         let broken = outcome(AttemptResult::Broken);
-        let Next::Run(second) = router.finish(secs(0.1), first.ticket, &broken) else {
+        let AttemptDecision::Run(second) = router.finish(secs(0.1), first.ticket, &broken) else {
             panic!("an idempotent request was not retried");
         };
         let domain_of = |e| cfg.endpoints[e].domain;
--- a/crates/oatdale-policy/tests/router/fixture.rs
+++ b/crates/oatdale-policy/tests/router/fixture.rs
@@ -6,7 +6,8 @@
     VersionKey, VersionState,
 };
 use oatdale_policy::{
-    Ask, AttemptResult, Dispatch, Offer, Outcome, Place, RefusalReason, Router, Session, Ticket,
+    AdmissionDecision, AttemptResult, Dispatch, NodeIdentity, Outcome, RefusalReason, RequestInfo,
+    Router, Session, Ticket,
 };
 use std::sync::Arc;
 use std::time::Duration;
@@ -82,7 +83,7 @@
     }
 
     pub(crate) fn router(&self) -> Router {
-        Router::new(self.config(), node_place())
+        Router::new(self.config(), node_identity())
     }
 
     fn models(&self) -> Arena<ModelKey, Model> {
@@ -171,16 +172,16 @@
 }
 
 /// The node that all tests use.
-pub(crate) fn node_place() -> Place {
-    Place {
+pub(crate) fn node_identity() -> NodeIdentity {
+    NodeIdentity {
         domain: Some(oatdale_config::DomainKey::from_index(0)),
         seed: 7,
     }
 }
 
 /// A request of customer 0 to the model service, outside any session, with a deadline in 10 s.
-pub(crate) fn ask(now: Duration, draw: u64) -> Ask {
-    Ask {
+pub(crate) fn ask(now: Duration, rollout_hash: u64) -> RequestInfo {
+    RequestInfo {
         customer: customer(0),
         service: planner(),
         idempotent: true,
@@ -188,8 +189,8 @@
         deadline: now + Duration::from_secs(10),
         input_tokens: 100,
         output_tokens: 100,
-        prefix: draw,
-        draw,
+        prefix: rollout_hash,
+        rollout_hash,
         stream: false,
         class: 0,
     }
@@ -212,25 +213,25 @@
 }
 
 #[track_caller]
-pub(crate) fn run(offer: Offer) -> Dispatch {
-    match offer {
-        Offer::Run(dispatch) => dispatch,
+pub(crate) fn run(decision: AdmissionDecision) -> Dispatch {
+    match decision {
+        AdmissionDecision::Run(dispatch) => dispatch,
         other => panic!("expected the request to run, got {other:?}"),
     }
 }
 
 #[track_caller]
-pub(crate) fn wait(offer: Offer) -> Ticket {
-    match offer {
-        Offer::Wait(ticket) => ticket,
+pub(crate) fn wait(decision: AdmissionDecision) -> Ticket {
+    match decision {
+        AdmissionDecision::Wait(ticket) => ticket,
         other => panic!("expected the request to wait, got {other:?}"),
     }
 }
 
 #[track_caller]
-pub(crate) fn refusal_reason(offer: Offer) -> RefusalReason {
-    match offer {
-        Offer::Refuse(refusal) => refusal.reason,
+pub(crate) fn refusal_reason(decision: AdmissionDecision) -> RefusalReason {
+    match decision {
+        AdmissionDecision::Refuse(refusal) => refusal.reason,
         other => panic!("expected a refusal, got {other:?}"),
     }
 }
--- a/crates/oatdale-policy/tests/router/learning.rs
+++ b/crates/oatdale-policy/tests/router/learning.rs
@@ -5,8 +5,8 @@
 };
 use oatdale_config::VersionState;
 use oatdale_policy::{
-    Ask, AttemptResult, Fault, Next, Offer, Outcome, RefusalReason, Router, Session, Turn,
-    VersionCounters, VersionReason,
+    AdmissionDecision, AttemptDecision, AttemptResult, Fault, Outcome, QueueDecision,
+    RefusalReason, RequestInfo, Router, Session, VersionCounters, VersionReason,
 };
 
 const CANARY: VersionState = VersionState::Canary { share: 0.5 };
@@ -43,16 +43,16 @@
     .router();
     for i in 0..500_u32 {
         let now = secs(f64::from(i));
-        let streamed = Ask {
+        let streamed = RequestInfo {
             stream: true,
             ..ask(now, i.into())
         };
         let dispatch = run(router.offer(now, &streamed));
-        assert!(!dispatch.judge, "request {i}");
+        assert!(!dispatch.needs_rating, "request {i}");
         let good = dispatch.version == Some(version(2));
         assert_eq!(
             router.finish(now, dispatch.ticket, &complete(None)),
-            Next::Done
+            AttemptDecision::Done
         );
         let rating = f64::from(u8::from(good));
         let version = dispatch
@@ -77,14 +77,14 @@
         loop {
             let rating = f64::from(u8::from(is_good(&dispatch)));
             match router.finish(now, dispatch.ticket, &complete(Some(rating))) {
-                Next::Run(next) => {
-                    assert!(dispatch.judge);
-                    assert_eq!(next.why_version, VersionReason::Escalated);
+                AttemptDecision::Run(next) => {
+                    assert!(dispatch.needs_rating);
+                    assert_eq!(next.version_reason, VersionReason::Escalated);
                     escalated += 1;
                     dispatch = next;
                 }
-                Next::Done => break,
-                Next::Refuse(refusal) => panic!("{refusal:?}"),
+                AttemptDecision::Done => break,
+                AttemptDecision::Refuse(refusal) => panic!("{refusal:?}"),
             }
         }
     }
@@ -101,14 +101,14 @@
     .router();
     for i in 0..200_u32 {
         let now = secs(f64::from(i));
-        let request = Ask {
+        let request = RequestInfo {
             idempotent: false,
             ..ask(now, i.into())
         };
         let dispatch = run(router.offer(now, &request));
-        assert!(!dispatch.judge);
-        let next = router.finish(now, dispatch.ticket, &complete(Some(0.0)));
-        assert_eq!(next, Next::Done);
+        assert!(!dispatch.needs_rating);
+        let decision = router.finish(now, dispatch.ticket, &complete(Some(0.0)));
+        assert_eq!(decision, AttemptDecision::Done);
     }
 }
 
@@ -143,13 +143,13 @@
     let mut now = secs(0.0);
     for i in 0..60_u64 {
         now += secs(0.1);
-        let short_deadline = Ask {
+        let short_deadline = RequestInfo {
             deadline: now + secs(0.02),
             ..ask(now, i * 7919)
         };
-        let offer = router.offer(now, &short_deadline);
-        let Offer::Run(dispatch) = offer else {
-            panic!("request {i} got {offer:?}");
+        let admission = router.offer(now, &short_deadline);
+        let AdmissionDecision::Run(dispatch) = admission else {
+            panic!("request {i} got {admission:?}");
         };
         now += secs(0.02);
         let timed_out = Outcome {
@@ -157,8 +157,11 @@
             first_byte: None,
             ..outcome(AttemptResult::TimedOut)
         };
-        let next = router.finish(now, dispatch.ticket, &timed_out);
-        assert!(matches!(next, Next::Refuse(_)), "{next:?}");
+        let decision = router.finish(now, dispatch.ticket, &timed_out);
+        assert!(
+            matches!(decision, AttemptDecision::Refuse(_)),
+            "{decision:?}"
+        );
     }
     let stops = router.take_stops(now);
     assert!(stops.is_empty(), "{stops:?}");
@@ -173,11 +176,11 @@
     let mut now = secs(0.0);
     for i in 0..200_u64 {
         now += secs(6.0);
-        let request = Ask {
+        let request = RequestInfo {
             deadline: now + secs(5.0),
             ..ask(now, i * 7919)
         };
-        let Offer::Run(dispatch) = router.offer(now, &request) else {
+        let AdmissionDecision::Run(dispatch) = router.offer(now, &request) else {
             continue;
         };
         let is_canary = dispatch.version == Some(version(1));
@@ -245,18 +248,18 @@
     let mut running = Vec::new();
     let waiting = loop {
         match router.offer(secs(0.0), &ask(secs(0.0), 1)) {
-            Offer::Run(dispatch) => running.push(dispatch.ticket),
+            AdmissionDecision::Run(dispatch) => running.push(dispatch.ticket),
             other => break wait(other),
         }
     };
     router.reconfigure(secs(0.1), Shape::default().config());
-    assert_eq!(router.next_turn(secs(0.1)), None);
-    let next = router.finish(secs(0.2), running[0], &complete(None));
-    assert_eq!(next, Next::Done);
-    let turn = router.next_turn(secs(0.2));
+    assert_eq!(router.poll_queue(secs(0.1)), None);
+    let decision = router.finish(secs(0.2), running[0], &complete(None));
+    assert_eq!(decision, AttemptDecision::Done);
+    let queue_decision = router.poll_queue(secs(0.2));
     assert!(
-        matches!(turn, Some((t, Turn::Run(_))) if t == waiting),
-        "{turn:?}"
+        matches!(queue_decision, Some((t, QueueDecision::Run(_))) if t == waiting),
+        "{queue_decision:?}"
     );
 }
 
@@ -266,7 +269,7 @@
 fn queued_requests_of_a_removed_service_are_refused() {
     let mut router = Shape::default().router();
     let waiting = loop {
-        if let Offer::Wait(ticket) = router.offer(secs(0.0), &ask(secs(0.0), 1)) {
+        if let AdmissionDecision::Wait(ticket) = router.offer(secs(0.0), &ask(secs(0.0), 1)) {
             break ticket;
         }
     };
@@ -277,15 +280,15 @@
     services.push(kept);
     cfg.services = services;
     router.reconfigure(secs(0.1), cfg.into());
-    let turn = router.next_turn(secs(0.1));
-    let Some((ticket, Turn::Refuse(refusal))) = turn else {
-        panic!("{turn:?}");
+    let decision = router.poll_queue(secs(0.1));
+    let Some((ticket, QueueDecision::Refuse(refusal))) = decision else {
+        panic!("{decision:?}");
     };
     assert_eq!(
         (ticket, refusal.reason),
         (waiting, RefusalReason::NoVersion)
     );
-    assert_eq!(router.next_turn(secs(0.1)), None);
+    assert_eq!(router.poll_queue(secs(0.1)), None);
 }
 
 /// Requests arrive while none completes. Those that cannot be served in time are refused at once
@@ -300,11 +303,11 @@
     };
     router.finish(secs(2.0), warm_up.ticket, &slow);
     let mut waiting = 0;
-    for draw in 0..500 {
-        match router.offer(secs(2.0), &ask(secs(2.0), draw)) {
-            Offer::Run(_) => {}
-            Offer::Wait(_) => waiting += 1,
-            Offer::Refuse(refusal) => {
+    for rollout_hash in 0..500 {
+        match router.offer(secs(2.0), &ask(secs(2.0), rollout_hash)) {
+            AdmissionDecision::Run(_) => {}
+            AdmissionDecision::Wait(_) => waiting += 1,
+            AdmissionDecision::Refuse(refusal) => {
                 assert_eq!(refusal.reason, RefusalReason::Overload);
                 assert!(refusal.retry_after.is_some());
                 assert!((12..60).contains(&waiting), "{waiting} queued");
@@ -320,7 +323,7 @@
 #[test]
 fn retries_of_a_pinned_request_keep_its_version() {
     let mut router = Shape::default().router();
-    let request = Ask {
+    let request = RequestInfo {
         session: Session::Pinned {
             version: version(0),
             step: 2,
@@ -332,9 +335,9 @@
         assert_eq!(dispatch.version, Some(version(0)));
         let broken = outcome(AttemptResult::Broken);
         match router.finish(secs(0.1), dispatch.ticket, &broken) {
-            Next::Run(next) => dispatch = next,
-            Next::Refuse(_) => return,
-            Next::Done => panic!("a broken attempt was reported as done"),
+            AttemptDecision::Run(next) => dispatch = next,
+            AttemptDecision::Refuse(_) => return,
+            AttemptDecision::Done => panic!("a broken attempt was reported as done"),
         }
     }
 }
@@ -408,13 +411,13 @@
     }
     .router();
     for engine in 0..3 {
-        router.endpoint_holds(endpoint(engine), Some(vec![version(0)]));
+        router.set_loaded_versions(endpoint(engine), Some(vec![version(0)]));
     }
     for i in 0..100_u32 {
         let now = secs(f64::from(i));
         let dispatch = run(router.offer(now, &ask(now, i.into())));
         assert_eq!(
-            (dispatch.version, dispatch.judge),
+            (dispatch.version, dispatch.needs_rating),
             (Some(version(0)), false)
         );
         router.finish(now, dispatch.ticket, &complete(None));
@@ -427,7 +430,7 @@
 fn requests_of_a_removed_service_release_their_slots() {
     let mut router = Shape::default().router();
     let mut running = Vec::new();
-    while let Offer::Run(dispatch) = router.offer(secs(0.0), &ask(secs(0.0), 1)) {
+    while let AdmissionDecision::Run(dispatch) = router.offer(secs(0.0), &ask(secs(0.0), 1)) {
         running.push(dispatch.ticket);
     }
     let mut cfg = (*Shape::default().config()).clone();
@@ -445,7 +448,7 @@
     for ticket in running {
         router.finish(secs(0.2), ticket, &complete(None));
     }
-    for draw in 0..count as u64 {
-        run(router.offer(secs(0.3), &ask(secs(0.3), draw)));
+    for rollout_hash in 0..count as u64 {
+        run(router.offer(secs(0.3), &ask(secs(0.3), rollout_hash)));
     }
 }
--- a/crates/oatdale-policy/tests/router/states.rs
+++ b/crates/oatdale-policy/tests/router/states.rs
@@ -1,12 +1,13 @@
 //! Tests that version states and permissions apply to new, waiting, retried and pinned requests.
 
 use crate::fixture::{
-    Shape, ask, complete, customer, endpoint, node_place, outcome, planner, refusal_reason, run,
+    Shape, ask, complete, customer, endpoint, node_identity, outcome, planner, refusal_reason, run,
     secs, version, wait,
 };
 use oatdale_config::VersionState;
 use oatdale_policy::{
-    Ask, AttemptResult, Next, Offer, RefusalReason, Router, Session, Turn, VersionReason,
+    AdmissionDecision, AttemptDecision, AttemptResult, QueueDecision, RefusalReason, RequestInfo,
+    Router, Session, VersionReason,
 };
 
 const CANARY: VersionState = VersionState::Canary { share: 0.2 };
@@ -18,8 +19,8 @@
     }
 }
 
-fn pinned(now: f64, index: usize) -> Ask {
-    Ask {
+fn pinned(now: f64, index: usize) -> RequestInfo {
+    RequestInfo {
         session: Session::Pinned {
             version: version(index),
             step: 1,
@@ -46,7 +47,7 @@
     let mut router = with_states([VersionState::Serving, CANARY, VersionState::Serving]).router();
     for i in 0_u32..500 {
         let now = secs(f64::from(i));
-        let request = Ask {
+        let request = RequestInfo {
             customer: customer(1),
             ..ask(now, u64::from(i))
         };
@@ -68,7 +69,7 @@
     assert_eq!(refusal, RefusalReason::NoVersion);
     let dispatch = run(router.offer(secs(0.0), &pinned(0.0, 0)));
     assert_eq!(dispatch.version, Some(version(0)));
-    assert_eq!(dispatch.why_version, VersionReason::Pinned);
+    assert_eq!(dispatch.version_reason, VersionReason::Pinned);
 }
 
 /// An operator withdraws the version of an open session. The next request is refused with a reason
@@ -100,10 +101,10 @@
     let all_withdrawn = [VersionState::Withdrawn; 3];
     router.reconfigure(secs(0.5), with_states(all_withdrawn).config());
     router.finish(secs(0.5), running, &complete(None));
-    let (turn_ticket, turn) = router.next_turn(secs(0.5)).expect("a worker is free");
-    assert_eq!(turn_ticket, ticket);
-    let Turn::Refuse(refusal) = turn else {
-        panic!("ran on a withdrawn version: {turn:?}");
+    let (polled_ticket, decision) = router.poll_queue(secs(0.5)).expect("a worker is free");
+    assert_eq!(polled_ticket, ticket);
+    let QueueDecision::Refuse(refusal) = decision else {
+        panic!("ran on a withdrawn version: {decision:?}");
     };
     assert_eq!(refusal.reason, RefusalReason::NoVersion);
 }
@@ -120,13 +121,16 @@
         VersionState::Serving,
     ];
     router.reconfigure(secs(0.1), with_states(withdrawn).config());
-    let next = router.finish(secs(0.1), dispatch.ticket, &outcome(AttemptResult::NotSent));
-    assert!(matches!(next, Next::Refuse(_)), "{next:?}");
+    let decision = router.finish(secs(0.1), dispatch.ticket, &outcome(AttemptResult::NotSent));
+    assert!(
+        matches!(decision, AttemptDecision::Refuse(_)),
+        "{decision:?}"
+    );
 }
 
 #[test]
 fn stopped_version_serves_only_pinned_sessions() {
-    let mut router = Router::new(Shape::default().config(), node_place());
+    let mut router = Router::new(Shape::default().config(), node_identity());
     router.set_stopped(version(0), true);
     for i in 0_u32..50 {
         let now = secs(f64::from(i));
@@ -144,7 +148,7 @@
 /// end its stop.
 #[test]
 fn stop_persists_across_reconfiguration() {
-    let mut router = Router::new(Shape::default().config(), node_place());
+    let mut router = Router::new(Shape::default().config(), node_identity());
     router.set_stopped(version(0), true);
     router.reconfigure(secs(1.0), Shape::default().config());
     let dispatch = run(router.offer(secs(1.0), &ask(secs(1.0), 1)));
@@ -155,9 +159,9 @@
 /// running and of the waiting request.
 fn fill_workers(router: &mut Router) -> (oatdale_policy::Ticket, oatdale_policy::Ticket) {
     let mut running = None;
-    for draw in 0..64 {
-        match router.offer(secs(0.0), &ask(secs(0.0), draw)) {
-            Offer::Run(dispatch) => running = Some(dispatch.ticket),
+    for rollout_hash in 0..64 {
+        match router.offer(secs(0.0), &ask(secs(0.0), rollout_hash)) {
+            AdmissionDecision::Run(dispatch) => running = Some(dispatch.ticket),
             other => return (running.expect("a request ran"), wait(other)),
         }
     }
@@ -170,12 +174,12 @@
 fn canary_loaded_by_no_engine_gets_no_requests() {
     let mut router = with_states([VersionState::Serving, CANARY, VersionState::Withdrawn]).router();
     for engine in 0..3 {
-        router.endpoint_holds(endpoint(engine), Some(vec![version(0)]));
+        router.set_loaded_versions(endpoint(engine), Some(vec![version(0)]));
     }
-    for draw in 0..100 {
-        let opened = router.open_session(secs(0.0), customer(0), planner(), draw);
+    for rollout_hash in 0..100 {
+        let opened = router.open_session(secs(0.0), customer(0), planner(), rollout_hash);
         assert_eq!(opened.map(|(v, _)| v), Ok(version(0)));
-        let unpinned = run(router.offer(secs(0.0), &ask(secs(0.0), draw)));
+        let unpinned = run(router.offer(secs(0.0), &ask(secs(0.0), rollout_hash)));
         assert_eq!(unpinned.version, Some(version(0)));
         router.finish(secs(0.0), unpinned.ticket, &complete(None));
     }
