--- a/crates/oatdale-policy/tests/router/admission.rs
+++ b/crates/oatdale-policy/tests/router/admission.rs
@@ -1,8 +1,8 @@
 //! Tests of limits, queues, retries and refusals.
 
 use crate::fixture::{
-    Shape, ask, complete, customer, desk, endpoint, node_identity, outcome, planner,
-    refusal_reason, run, secs, version, wait,
+    TestConfig, complete, customer, endpoint, expect_run, expect_wait, model_service,
+    node_identity, outcome, plain_service, refusal_reason, request, secs, version,
 };
 use oatdale_config::Limits;
 use oatdale_policy::{
@@ -15,9 +15,9 @@
         requests_per_second,
         concurrent,
     };
-    Shape {
+    TestConfig {
         limits,
-        ..Shape::default()
+        ..TestConfig::default()
     }
     .router()
 }
@@ -26,40 +26,40 @@
 fn customer_above_its_rate_is_refused_with_retry_after() {
     let mut router = router_with_limits(1.0, 100);
     for _ in 0..2 {
-        let dispatch = run(router.offer(secs(0.0), &ask(secs(0.0), 1)));
+        let dispatch = expect_run(router.offer(secs(0.0), &request(secs(0.0), 1)));
         router.finish(secs(0.0), dispatch.ticket, &complete(None));
     }
-    let AdmissionDecision::Refuse(refusal) = router.offer(secs(0.0), &ask(secs(0.0), 1)) else {
+    let AdmissionDecision::Refuse(refusal) = router.offer(secs(0.0), &request(secs(0.0), 1)) else {
         panic!("a request above the rate was not refused");
     };
     assert_eq!(refusal.reason, RefusalReason::CustomerRate);
     let retry_at = refusal
         .retry_after
         .expect("a refusal for the rate has a retry-after delay");
-    run(router.offer(retry_at, &ask(retry_at, 1)));
+    expect_run(router.offer(retry_at, &request(retry_at, 1)));
 }
 
 #[test]
 fn customer_above_its_share_of_concurrent_requests_is_refused() {
     let mut router = router_with_limits(1000.0, 8);
     router.set_customer_share(customer(0), 0.25);
-    let first = run(router.offer(secs(0.0), &ask(secs(0.0), 1)));
-    run(router.offer(secs(0.0), &ask(secs(0.0), 2)));
-    let reason = refusal_reason(router.offer(secs(0.0), &ask(secs(0.0), 3)));
+    let first = expect_run(router.offer(secs(0.0), &request(secs(0.0), 1)));
+    expect_run(router.offer(secs(0.0), &request(secs(0.0), 2)));
+    let reason = refusal_reason(router.offer(secs(0.0), &request(secs(0.0), 3)));
     assert_eq!(reason, RefusalReason::CustomerConcurrency);
     router.finish(secs(0.1), first.ticket, &complete(None));
-    run(router.offer(secs(0.1), &ask(secs(0.1), 3)));
+    expect_run(router.offer(secs(0.1), &request(secs(0.1), 3)));
 }
 
 #[test]
 fn waiting_requests_run_in_order_as_endpoints_become_free() {
-    let mut router = Shape::default().router();
+    let mut router = TestConfig::default().router();
     let mut running = Vec::new();
     let mut waiting = Vec::new();
     for rollout_hash in 0..20 {
-        match router.offer(secs(0.0), &ask(secs(0.0), rollout_hash)) {
+        match router.offer(secs(0.0), &request(secs(0.0), rollout_hash)) {
             AdmissionDecision::Run(dispatch) => running.push(dispatch.ticket),
-            other => waiting.push(wait(other)),
+            other => waiting.push(expect_wait(other)),
         }
     }
     assert_eq!((running.len(), waiting.len()), (12, 8));
@@ -79,9 +79,9 @@
 /// waiting request once the deadline can't be met.
 #[test]
 fn waiting_request_is_refused_when_its_deadline_cannot_be_met() {
-    let mut router = Shape::default().router();
+    let mut router = TestConfig::default().router();
     let ticket = loop {
-        if let AdmissionDecision::Wait(ticket) = router.offer(secs(0.0), &ask(secs(0.0), 1)) {
+        if let AdmissionDecision::Wait(ticket) = router.offer(secs(0.0), &request(secs(0.0), 1)) {
             break ticket;
         }
     };
@@ -99,20 +99,20 @@
 
 #[test]
 fn small_customer_does_not_wait_for_the_queue_of_a_large_one() {
-    let mut router = Shape::default().router();
+    let mut router = TestConfig::default().router();
     let mut running: Vec<Ticket> = Vec::new();
     for rollout_hash in 0..60 {
         if let AdmissionDecision::Run(dispatch) =
-            router.offer(secs(0.0), &ask(secs(0.0), rollout_hash))
+            router.offer(secs(0.0), &request(secs(0.0), rollout_hash))
         {
             running.push(dispatch.ticket);
         }
     }
     let small_request = RequestInfo {
         customer: customer(1),
-        ..ask(secs(0.0), 1)
+        ..request(secs(0.0), 1)
     };
-    let small_ticket = wait(router.offer(secs(0.0), &small_request));
+    let small_ticket = expect_wait(router.offer(secs(0.0), &small_request));
     let mut decision_count = 0;
     for ticket in running {
         router.finish(secs(0.2), ticket, &complete(None));
@@ -132,12 +132,12 @@
 #[test]
 fn non_idempotent_request_that_may_have_run_is_not_retried() {
     for result in [AttemptResult::Broken, AttemptResult::TimedOut] {
-        let mut router = Shape::default().router();
+        let mut router = TestConfig::default().router();
         let confirm = RequestInfo {
             idempotent: false,
-            ..ask(secs(0.0), 1)
+            ..request(secs(0.0), 1)
         };
-        let dispatch = run(router.offer(secs(0.0), &confirm));
+        let dispatch = expect_run(router.offer(secs(0.0), &confirm));
         assert!(!dispatch.needs_rating);
         let decision = router.finish(secs(0.1), dispatch.ticket, &outcome(result));
         assert!(
@@ -149,12 +149,12 @@
 
 #[test]
 fn unsent_request_is_retried_at_another_endpoint() {
-    let mut router = Shape::default().router();
+    let mut router = TestConfig::default().router();
     let confirm = RequestInfo {
         idempotent: false,
-        ..ask(secs(0.0), 1)
+        ..request(secs(0.0), 1)
     };
-    let first = run(router.offer(secs(0.0), &confirm));
+    let first = expect_run(router.offer(secs(0.0), &confirm));
     let decision = router.finish(secs(0.1), first.ticket, &outcome(AttemptResult::NotSent));
     let AttemptDecision::Run(second) = decision else {
         panic!("expected a retry, got {decision:?}");
@@ -167,8 +167,8 @@
 /// beginning of a second answer after them.
 #[test]
 fn partially_forwarded_answer_is_not_retried() {
-    let mut router = Shape::default().router();
-    let dispatch = run(router.offer(secs(0.0), &ask(secs(0.0), 1)));
+    let mut router = TestConfig::default().router();
+    let dispatch = expect_run(router.offer(secs(0.0), &request(secs(0.0), 1)));
     let broken = Outcome {
         forwarded: true,
         ..outcome(AttemptResult::Broken)
@@ -182,20 +182,20 @@
 
 #[test]
 fn leaving_endpoint_gets_no_new_requests() {
-    let mut router = Shape::default().router();
+    let mut router = TestConfig::default().router();
     router.set_endpoint_leaving(secs(0.0), endpoint(0), true);
     for rollout_hash in 0..8 {
-        let dispatch = run(router.offer(secs(0.0), &ask(secs(0.0), rollout_hash)));
+        let dispatch = expect_run(router.offer(secs(0.0), &request(secs(0.0), rollout_hash)));
         assert_ne!(dispatch.endpoint, endpoint(0));
     }
 }
 
 #[test]
 fn stale_ticket_does_not_affect_other_requests() {
-    let mut router = Shape::default().router();
-    let old = run(router.offer(secs(0.0), &ask(secs(0.0), 1)));
+    let mut router = TestConfig::default().router();
+    let old = expect_run(router.offer(secs(0.0), &request(secs(0.0), 1)));
     router.finish(secs(0.1), old.ticket, &complete(None));
-    let new = run(router.offer(secs(0.2), &ask(secs(0.2), 2)));
+    let new = expect_run(router.offer(secs(0.2), &request(secs(0.2), 2)));
     router.cancel(secs(0.2), old.ticket);
     assert_eq!(
         router.finish(secs(0.2), old.ticket, &complete(None)),
@@ -210,9 +210,9 @@
 /// load. So the session with more completed requests runs first.
 #[test]
 fn session_with_more_completed_requests_runs_first() {
-    let mut router = Shape::default().router();
+    let mut router = TestConfig::default().router();
     let mut running = Vec::new();
-    while let AdmissionDecision::Run(dispatch) = router.offer(secs(0.0), &ask(secs(0.0), 1)) {
+    while let AdmissionDecision::Run(dispatch) = router.offer(secs(0.0), &request(secs(0.0), 1)) {
         running.push(dispatch.ticket);
     }
     let request_at_step = |step| RequestInfo {
@@ -220,10 +220,10 @@
             version: version(0),
             step,
         },
-        ..ask(secs(0.0), 2)
+        ..request(secs(0.0), 2)
     };
-    let step_1 = wait(router.offer(secs(0.0), &request_at_step(1)));
-    let step_3 = wait(router.offer(secs(0.0), &request_at_step(3)));
+    let step_1 = expect_wait(router.offer(secs(0.0), &request_at_step(1)));
+    let step_3 = expect_wait(router.offer(secs(0.0), &request_at_step(3)));
     let mut polled = Vec::new();
     for ticket in running {
         router.finish(secs(0.2), ticket, &complete(None));
@@ -239,22 +239,22 @@
 /// are refused at once, since callers would pay for an answer that they can't use.
 #[test]
 fn request_is_refused_while_a_dependency_has_no_endpoint() {
-    let mut cfg = (*Shape::default().config()).clone();
+    let mut cfg = (*TestConfig::default().config()).clone();
     let mut services = oatdale_config::Arena::default();
     for (key, service) in cfg.services.iter() {
         let mut service = service.clone();
-        if key == planner() {
-            service.depends_on = vec![desk()];
+        if key == model_service() {
+            service.depends_on = vec![plain_service()];
         }
         services.push(service);
     }
     cfg.services = services;
     let mut router = Router::new(cfg.into(), node_identity());
-    run(router.offer(secs(0.0), &ask(secs(0.0), 1)));
+    expect_run(router.offer(secs(0.0), &request(secs(0.0), 1)));
     for host in 3..6 {
         router.set_endpoint_leaving(secs(0.0), endpoint(host), true);
     }
-    let reason = refusal_reason(router.offer(secs(0.0), &ask(secs(0.0), 1)));
+    let reason = refusal_reason(router.offer(secs(0.0), &request(secs(0.0), 1)));
     assert_eq!(reason, RefusalReason::Dependency);
 }
 
@@ -262,9 +262,9 @@
 /// request tries it first, and retried later, so that it can recover.
 #[test]
 fn failing_endpoint_is_paused_and_retried_later() {
-    let mut router = Shape::default().router();
+    let mut router = TestConfig::default().router();
     let mut count_failures = |now: f64| {
-        let mut dispatch = run(router.offer(secs(now), &ask(secs(now), now.to_bits())));
+        let mut dispatch = expect_run(router.offer(secs(now), &request(secs(now), now.to_bits())));
         let mut failed = 0;
         while dispatch.endpoint == endpoint(0) {
             failed += 1;
@@ -289,10 +289,10 @@
 /// which the same cause does not affect.
 #[test]
 fn retry_goes_to_another_failure_domain() {
-    let cfg = Shape::default().config();
+    let cfg = TestConfig::default().config();
     for rollout_hash in 0..20 {
-        let mut router = Shape::default().router();
-        let first = run(router.offer(secs(0.0), &ask(secs(0.0), rollout_hash)));
+        let mut router = TestConfig::default().router();
+        let first = expect_run(router.offer(secs(0.0), &request(secs(0.0), rollout_hash)));
         let broken = outcome(AttemptResult::Broken);
         let AttemptDecision::Run(second) = router.finish(secs(0.1), first.ticket, &broken) else {
             panic!("an idempotent request was not retried");
--- a/crates/oatdale-policy/tests/router/fixture.rs
+++ b/crates/oatdale-policy/tests/router/fixture.rs
@@ -13,12 +13,12 @@
 use std::time::Duration;
 
 /// The model service.
-pub(crate) fn planner() -> ServiceKey {
+pub(crate) fn model_service() -> ServiceKey {
     ServiceKey::from_index(0)
 }
 
 /// The plain service.
-pub(crate) fn desk() -> ServiceKey {
+pub(crate) fn plain_service() -> ServiceKey {
     ServiceKey::from_index(1)
 }
 
@@ -41,7 +41,7 @@
 
 /// Parameters of the configuration that tests vary.
 #[derive(Clone, Debug)]
-pub(crate) struct Shape {
+pub(crate) struct TestConfig {
     pub(crate) states: [VersionState; 3],
     pub(crate) limits: Limits,
     pub(crate) concurrency: u32,
@@ -49,9 +49,9 @@
     pub(crate) latency_weight: f64,
 }
 
-impl Default for Shape {
+impl Default for TestConfig {
     fn default() -> Self {
-        Shape {
+        TestConfig {
             states: [VersionState::Serving; 3],
             limits: Limits {
                 requests_per_second: 1000.0,
@@ -64,7 +64,7 @@
     }
 }
 
-impl Shape {
+impl TestConfig {
     /// Returns a configuration of two customers, and three workers of the model service and three
     /// hosts of the plain service in three domains.
     pub(crate) fn config(&self) -> Arc<Config> {
@@ -148,7 +148,7 @@
         Customer {
             name: format!("c{i}"),
             keys: vec![Digest([i as u8; 32])],
-            services: vec![planner(), desk()],
+            services: vec![model_service(), plain_service()],
             versions: match i {
                 0 => (0..3).map(version).collect(),
                 _ => vec![version(0)],
@@ -180,10 +180,10 @@
 }
 
 /// A request of customer 0 to the model service, outside any session, with a deadline in 10 s.
-pub(crate) fn ask(now: Duration, rollout_hash: u64) -> RequestInfo {
+pub(crate) fn request(now: Duration, rollout_hash: u64) -> RequestInfo {
     RequestInfo {
         customer: customer(0),
-        service: planner(),
+        service: model_service(),
         idempotent: true,
         session: Session::None,
         deadline: now + Duration::from_secs(10),
@@ -213,7 +213,7 @@
 }
 
 #[track_caller]
-pub(crate) fn run(decision: AdmissionDecision) -> Dispatch {
+pub(crate) fn expect_run(decision: AdmissionDecision) -> Dispatch {
     match decision {
         AdmissionDecision::Run(dispatch) => dispatch,
         other => panic!("expected the request to run, got {other:?}"),
@@ -221,7 +221,7 @@
 }
 
 #[track_caller]
-pub(crate) fn wait(decision: AdmissionDecision) -> Ticket {
+pub(crate) fn expect_wait(decision: AdmissionDecision) -> Ticket {
     match decision {
         AdmissionDecision::Wait(ticket) => ticket,
         other => panic!("expected the request to wait, got {other:?}"),
--- a/crates/oatdale-policy/tests/router/learning.rs
+++ b/crates/oatdale-policy/tests/router/learning.rs
@@ -1,7 +1,8 @@
 //! Cascades, evidence against bad versions, and state that survives a new configuration.
 
 use crate::fixture::{
-    Shape, ask, complete, customer, desk, endpoint, outcome, planner, run, secs, version, wait,
+    TestConfig, complete, customer, endpoint, expect_run, expect_wait, model_service, outcome,
+    plain_service, request, secs, version,
 };
 use oatdale_config::VersionState;
 use oatdale_policy::{
@@ -11,15 +12,15 @@
 
 const CANARY: VersionState = VersionState::Canary { share: 0.5 };
 
-fn shape_with_canary() -> Shape {
-    Shape {
+fn config_with_canary() -> TestConfig {
+    TestConfig {
         states: [VersionState::Serving, CANARY, VersionState::Withdrawn],
-        ..Shape::default()
+        ..TestConfig::default()
     }
 }
 
 fn router_with_canary() -> Router {
-    shape_with_canary().router()
+    config_with_canary().router()
 }
 
 /// Counters of a node on which `errors` of 400 requests to a version failed.
@@ -35,19 +36,19 @@
 // only with the last one, after 1.5 s instead of 0.05 s.
 #[test]
 fn streamed_answer_is_not_buffered_if_latency_outweighs_cost() {
-    let mut router = Shape {
+    let mut router = TestConfig {
         quality: 0.95,
         latency_weight: 0.8,
-        ..Shape::default()
+        ..TestConfig::default()
     }
     .router();
     for i in 0..500_u32 {
         let now = secs(f64::from(i));
         let streamed = RequestInfo {
             stream: true,
-            ..ask(now, i.into())
+            ..request(now, i.into())
         };
-        let dispatch = run(router.offer(now, &streamed));
+        let dispatch = expect_run(router.offer(now, &streamed));
         assert!(!dispatch.needs_rating, "request {i}");
         let good = dispatch.version == Some(version(2));
         assert_eq!(
@@ -58,21 +59,21 @@
         let version = dispatch
             .version
             .expect("a dispatch to a model service has a version");
-        router.observe_rating(now, planner(), 0, version, rating);
+        router.observe_rating(now, model_service(), 0, version, rating);
     }
 }
 
 #[test]
 fn rejected_answer_is_escalated_to_a_better_version() {
-    let mut router = Shape {
+    let mut router = TestConfig {
         quality: 0.95,
-        ..Shape::default()
+        ..TestConfig::default()
     }
     .router();
     let mut escalated = 0;
     for i in 0..200_u32 {
         let now = secs(f64::from(i));
-        let mut dispatch = run(router.offer(now, &ask(now, i.into())));
+        let mut dispatch = expect_run(router.offer(now, &request(now, i.into())));
         let is_good = |d: &oatdale_policy::Dispatch| d.version == Some(version(2));
         loop {
             let rating = f64::from(u8::from(is_good(&dispatch)));
@@ -94,18 +95,18 @@
 /// A request that must not run twice gets its first answer, however that is rated.
 #[test]
 fn non_idempotent_request_is_never_escalated() {
-    let mut router = Shape {
+    let mut router = TestConfig {
         quality: 0.95,
-        ..Shape::default()
+        ..TestConfig::default()
     }
     .router();
     for i in 0..200_u32 {
         let now = secs(f64::from(i));
-        let request = RequestInfo {
+        let non_idempotent = RequestInfo {
             idempotent: false,
-            ..ask(now, i.into())
+            ..request(now, i.into())
         };
-        let dispatch = run(router.offer(now, &request));
+        let dispatch = expect_run(router.offer(now, &non_idempotent));
         assert!(!dispatch.needs_rating);
         let decision = router.finish(now, dispatch.ticket, &complete(Some(0.0)));
         assert_eq!(decision, AttemptDecision::Done);
@@ -128,7 +129,7 @@
         (version(1), Fault::Errors)
     );
     for i in 0..100 {
-        let opened = router.open_session(secs(1.0), customer(0), planner(), i);
+        let opened = router.open_session(secs(1.0), customer(0), model_service(), i);
         assert_eq!(opened.map(|(v, _)| v), Ok(version(0)));
     }
     assert!(router.take_stops(secs(2.0)).is_empty());
@@ -145,7 +146,7 @@
         now += secs(0.1);
         let short_deadline = RequestInfo {
             deadline: now + secs(0.02),
-            ..ask(now, i * 7919)
+            ..request(now, i * 7919)
         };
         let admission = router.offer(now, &short_deadline);
         let AdmissionDecision::Run(dispatch) = admission else {
@@ -165,7 +166,7 @@
     }
     let stops = router.take_stops(now);
     assert!(stops.is_empty(), "{stops:?}");
-    run(router.offer(now, &ask(now, 1)));
+    expect_run(router.offer(now, &request(now, 1)));
 }
 
 /// A canary hangs, and callers time out after 5 s where answers take 0.2 s. These timeouts are long
@@ -176,11 +177,11 @@
     let mut now = secs(0.0);
     for i in 0..200_u64 {
         now += secs(6.0);
-        let request = RequestInfo {
+        let short_deadline = RequestInfo {
             deadline: now + secs(5.0),
-            ..ask(now, i * 7919)
+            ..request(now, i * 7919)
         };
-        let AdmissionDecision::Run(dispatch) = router.offer(now, &request) else {
+        let AdmissionDecision::Run(dispatch) = router.offer(now, &short_deadline) else {
             continue;
         };
         let is_canary = dispatch.version == Some(version(1));
@@ -234,7 +235,7 @@
 /// any answer, so it is not stopped until an operator decides.
 #[test]
 fn last_version_of_a_customer_is_not_stopped() {
-    let mut router = Shape::default().router();
+    let mut router = TestConfig::default().router();
     router.merge_evidence(
         1,
         &[counters_with_errors(0, 200), counters_with_errors(1, 4)],
@@ -244,15 +245,15 @@
 
 #[test]
 fn in_flight_and_queued_requests_survive_reconfiguration() {
-    let mut router = Shape::default().router();
+    let mut router = TestConfig::default().router();
     let mut running = Vec::new();
     let waiting = loop {
-        match router.offer(secs(0.0), &ask(secs(0.0), 1)) {
+        match router.offer(secs(0.0), &request(secs(0.0), 1)) {
             AdmissionDecision::Run(dispatch) => running.push(dispatch.ticket),
-            other => break wait(other),
+            other => break expect_wait(other),
         }
     };
-    router.reconfigure(secs(0.1), Shape::default().config());
+    router.reconfigure(secs(0.1), TestConfig::default().config());
     assert_eq!(router.poll_queue(secs(0.1)), None);
     let decision = router.finish(secs(0.2), running[0], &complete(None));
     assert_eq!(decision, AttemptDecision::Done);
@@ -267,15 +268,15 @@
 /// for a turn that never comes.
 #[test]
 fn queued_requests_of_a_removed_service_are_refused() {
-    let mut router = Shape::default().router();
+    let mut router = TestConfig::default().router();
     let waiting = loop {
-        if let AdmissionDecision::Wait(ticket) = router.offer(secs(0.0), &ask(secs(0.0), 1)) {
+        if let AdmissionDecision::Wait(ticket) = router.offer(secs(0.0), &request(secs(0.0), 1)) {
             break ticket;
         }
     };
-    let mut cfg = (*Shape::default().config()).clone();
+    let mut cfg = (*TestConfig::default().config()).clone();
     let mut services = oatdale_config::Arena::default();
-    let mut kept = cfg.services[desk()].clone();
+    let mut kept = cfg.services[plain_service()].clone();
     kept.name = "other".to_owned();
     services.push(kept);
     cfg.services = services;
@@ -295,8 +296,8 @@
 /// with a retry delay, while the queue stays short enough to be served.
 #[test]
 fn requests_that_cannot_meet_their_deadline_are_refused_immediately() {
-    let mut router = Shape::default().router();
-    let warm_up = run(router.offer(secs(0.0), &ask(secs(0.0), 0)));
+    let mut router = TestConfig::default().router();
+    let warm_up = expect_run(router.offer(secs(0.0), &request(secs(0.0), 0)));
     let slow = oatdale_policy::Outcome {
         total: secs(2.0),
         ..complete(None)
@@ -304,7 +305,7 @@
     router.finish(secs(2.0), warm_up.ticket, &slow);
     let mut waiting = 0;
     for rollout_hash in 0..500 {
-        match router.offer(secs(2.0), &ask(secs(2.0), rollout_hash)) {
+        match router.offer(secs(2.0), &request(secs(2.0), rollout_hash)) {
             AdmissionDecision::Run(_) => {}
             AdmissionDecision::Wait(_) => waiting += 1,
             AdmissionDecision::Refuse(refusal) => {
@@ -322,15 +323,15 @@
 /// another version, even though that might save the request.
 #[test]
 fn retries_of_a_pinned_request_keep_its_version() {
-    let mut router = Shape::default().router();
-    let request = RequestInfo {
+    let mut router = TestConfig::default().router();
+    let pinned = RequestInfo {
         session: Session::Pinned {
             version: version(0),
             step: 2,
         },
-        ..ask(secs(0.0), 1)
+        ..request(secs(0.0), 1)
     };
-    let mut dispatch = run(router.offer(secs(0.0), &request));
+    let mut dispatch = expect_run(router.offer(secs(0.0), &pinned));
     loop {
         assert_eq!(dispatch.version, Some(version(0)));
         let broken = outcome(AttemptResult::Broken);
@@ -353,7 +354,7 @@
         &[counters_with_errors(0, 4), counters_with_errors(1, 130)],
     );
     assert_eq!(router.take_stops(secs(1.0)).len(), 1);
-    router.reconfigure(secs(2.0), shape_with_canary().config());
+    router.reconfigure(secs(2.0), config_with_canary().config());
     router.set_stopped(version(1), false);
     assert_eq!(count_sessions_on_canary(&mut router), 0);
 }
@@ -379,9 +380,9 @@
         &[counters_with_errors(0, 4), counters_with_errors(1, 130)],
     );
     assert_eq!(router.take_stops(secs(1.0)).len(), 1);
-    let mut shape = shape_with_canary();
-    shape.states[1] = VersionState::Canary { share: 0.6 };
-    router.reconfigure(secs(2.0), shape.config());
+    let mut changed = config_with_canary();
+    changed.states[1] = VersionState::Canary { share: 0.6 };
+    router.reconfigure(secs(2.0), changed.config());
     assert!(
         router.take_stops(secs(2.0)).is_empty(),
         "evidence from before the change counted"
@@ -391,7 +392,7 @@
 
 /// Opens 100 sessions and counts those on the canary.
 fn count_sessions_on_canary(router: &mut Router) -> usize {
-    let opened = |i| router.open_session(secs(3.0), customer(0), planner(), i);
+    let opened = |i| router.open_session(secs(3.0), customer(0), model_service(), i);
     let versions = (0..100).map(opened).filter_map(Result::ok);
     versions.filter(|(v, _)| *v == version(1)).count()
 }
@@ -400,14 +401,14 @@
 /// time without benefit, since no better version can follow.
 #[test]
 fn answer_is_not_buffered_if_no_engine_has_a_better_version() {
-    let mut router = Shape {
+    let mut router = TestConfig {
         states: [
             VersionState::Serving,
             VersionState::Withdrawn,
             VersionState::Serving,
         ],
         quality: 0.95,
-        ..Shape::default()
+        ..TestConfig::default()
     }
     .router();
     for engine in 0..3 {
@@ -415,7 +416,7 @@
     }
     for i in 0..100_u32 {
         let now = secs(f64::from(i));
-        let dispatch = run(router.offer(now, &ask(now, i.into())));
+        let dispatch = expect_run(router.offer(now, &request(now, i.into())));
         assert_eq!(
             (dispatch.version, dispatch.needs_rating),
             (Some(version(0)), false)
@@ -428,16 +429,16 @@
 /// endpoints were never released, the pool would stay full for the new service.
 #[test]
 fn requests_of_a_removed_service_release_their_slots() {
-    let mut router = Shape::default().router();
+    let mut router = TestConfig::default().router();
     let mut running = Vec::new();
-    while let AdmissionDecision::Run(dispatch) = router.offer(secs(0.0), &ask(secs(0.0), 1)) {
+    while let AdmissionDecision::Run(dispatch) = router.offer(secs(0.0), &request(secs(0.0), 1)) {
         running.push(dispatch.ticket);
     }
-    let mut cfg = (*Shape::default().config()).clone();
+    let mut cfg = (*TestConfig::default().config()).clone();
     let mut services = oatdale_config::Arena::default();
     for (key, service) in cfg.services.iter() {
         let mut service = service.clone();
-        if key == planner() {
+        if key == model_service() {
             service.name = "renamed".to_owned();
         }
         services.push(service);
@@ -449,6 +450,6 @@
         router.finish(secs(0.2), ticket, &complete(None));
     }
     for rollout_hash in 0..count as u64 {
-        run(router.offer(secs(0.3), &ask(secs(0.3), rollout_hash)));
+        expect_run(router.offer(secs(0.3), &request(secs(0.3), rollout_hash)));
     }
 }
--- a/crates/oatdale-policy/tests/router/states.rs
+++ b/crates/oatdale-policy/tests/router/states.rs
@@ -1,8 +1,8 @@
 //! Tests that version states and permissions apply to new, waiting, retried and pinned requests.
 
 use crate::fixture::{
-    Shape, ask, complete, customer, endpoint, node_identity, outcome, planner, refusal_reason, run,
-    secs, version, wait,
+    TestConfig, complete, customer, endpoint, expect_run, expect_wait, model_service,
+    node_identity, outcome, refusal_reason, request, secs, version,
 };
 use oatdale_config::VersionState;
 use oatdale_policy::{
@@ -12,10 +12,10 @@
 
 const CANARY: VersionState = VersionState::Canary { share: 0.2 };
 
-fn with_states(states: [VersionState; 3]) -> Shape {
-    Shape {
+fn with_states(states: [VersionState; 3]) -> TestConfig {
+    TestConfig {
         states,
-        ..Shape::default()
+        ..TestConfig::default()
     }
 }
 
@@ -25,7 +25,7 @@
             version: version(index),
             step: 1,
         },
-        ..ask(secs(now), 1)
+        ..request(secs(now), 1)
     }
 }
 
@@ -35,7 +35,7 @@
     let mut canaries = 0;
     for i in 0_u32..2000 {
         let now = secs(f64::from(i));
-        let dispatch = run(router.offer(now, &ask(now, u64::from(i) * 7919)));
+        let dispatch = expect_run(router.offer(now, &request(now, u64::from(i) * 7919)));
         canaries += usize::from(dispatch.version == Some(version(1)));
         router.finish(now, dispatch.ticket, &complete(None));
     }
@@ -47,11 +47,11 @@
     let mut router = with_states([VersionState::Serving, CANARY, VersionState::Serving]).router();
     for i in 0_u32..500 {
         let now = secs(f64::from(i));
-        let request = RequestInfo {
+        let restricted = RequestInfo {
             customer: customer(1),
-            ..ask(now, u64::from(i))
+            ..request(now, u64::from(i))
         };
-        let dispatch = run(router.offer(now, &request));
+        let dispatch = expect_run(router.offer(now, &restricted));
         assert_eq!(dispatch.version, Some(version(0)));
         router.finish(now, dispatch.ticket, &complete(Some(0.0)));
     }
@@ -65,9 +65,9 @@
         VersionState::Withdrawn,
     ];
     let mut router = with_states(draining).router();
-    let refusal = refusal_reason(router.offer(secs(0.0), &ask(secs(0.0), 1)));
+    let refusal = refusal_reason(router.offer(secs(0.0), &request(secs(0.0), 1)));
     assert_eq!(refusal, RefusalReason::NoVersion);
-    let dispatch = run(router.offer(secs(0.0), &pinned(0.0, 0)));
+    let dispatch = expect_run(router.offer(secs(0.0), &pinned(0.0, 0)));
     assert_eq!(dispatch.version, Some(version(0)));
     assert_eq!(dispatch.version_reason, VersionReason::Pinned);
 }
@@ -114,7 +114,7 @@
 #[test]
 fn retry_does_not_use_a_version_withdrawn_meanwhile() {
     let mut router = with_states([VersionState::Serving; 3]).router();
-    let dispatch = run(router.offer(secs(0.0), &pinned(0.0, 0)));
+    let dispatch = expect_run(router.offer(secs(0.0), &pinned(0.0, 0)));
     let withdrawn = [
         VersionState::Withdrawn,
         VersionState::Serving,
@@ -130,17 +130,17 @@
 
 #[test]
 fn stopped_version_serves_only_pinned_sessions() {
-    let mut router = Router::new(Shape::default().config(), node_identity());
+    let mut router = Router::new(TestConfig::default().config(), node_identity());
     router.set_stopped(version(0), true);
     for i in 0_u32..50 {
         let now = secs(f64::from(i));
-        let dispatch = run(router.offer(now, &ask(now, i.into())));
+        let dispatch = expect_run(router.offer(now, &request(now, i.into())));
         assert_ne!(dispatch.version, Some(version(0)));
         router.finish(now, dispatch.ticket, &complete(None));
-        let opened = router.open_session(now, customer(0), planner(), i.into());
+        let opened = router.open_session(now, customer(0), model_service(), i.into());
         assert_ne!(opened.map(|(v, _)| v), Ok(version(0)));
     }
-    let dispatch = run(router.offer(secs(60.0), &pinned(60.0, 0)));
+    let dispatch = expect_run(router.offer(secs(60.0), &pinned(60.0, 0)));
     assert_eq!(dispatch.version, Some(version(0)));
 }
 
@@ -148,10 +148,10 @@
 /// end its stop.
 #[test]
 fn stop_persists_across_reconfiguration() {
-    let mut router = Router::new(Shape::default().config(), node_identity());
+    let mut router = Router::new(TestConfig::default().config(), node_identity());
     router.set_stopped(version(0), true);
-    router.reconfigure(secs(1.0), Shape::default().config());
-    let dispatch = run(router.offer(secs(1.0), &ask(secs(1.0), 1)));
+    router.reconfigure(secs(1.0), TestConfig::default().config());
+    let dispatch = expect_run(router.offer(secs(1.0), &request(secs(1.0), 1)));
     assert_ne!(dispatch.version, Some(version(0)));
 }
 
@@ -160,9 +160,9 @@
 fn fill_workers(router: &mut Router) -> (oatdale_policy::Ticket, oatdale_policy::Ticket) {
     let mut running = None;
     for rollout_hash in 0..64 {
-        match router.offer(secs(0.0), &ask(secs(0.0), rollout_hash)) {
+        match router.offer(secs(0.0), &request(secs(0.0), rollout_hash)) {
             AdmissionDecision::Run(dispatch) => running = Some(dispatch.ticket),
-            other => return (running.expect("a request ran"), wait(other)),
+            other => return (running.expect("a request ran"), expect_wait(other)),
         }
     }
     panic!("the workers never became full");
@@ -177,9 +177,9 @@
         router.set_loaded_versions(endpoint(engine), Some(vec![version(0)]));
     }
     for rollout_hash in 0..100 {
-        let opened = router.open_session(secs(0.0), customer(0), planner(), rollout_hash);
+        let opened = router.open_session(secs(0.0), customer(0), model_service(), rollout_hash);
         assert_eq!(opened.map(|(v, _)| v), Ok(version(0)));
-        let unpinned = run(router.offer(secs(0.0), &ask(secs(0.0), rollout_hash)));
+        let unpinned = expect_run(router.offer(secs(0.0), &request(secs(0.0), rollout_hash)));
         assert_eq!(unpinned.version, Some(version(0)));
         router.finish(secs(0.0), unpinned.ticket, &complete(None));
     }
