--- a/crates/oatdale-policy/examples/measure/cascade.rs
+++ b/crates/oatdale-policy/examples/measure/cascade.rs
@@ -6,15 +6,15 @@
 //! version. A request that one version fails is therefore harder for the next one too. The optimum
 //! knows the true distributions.
 
-mod load;
+mod workload;
 
-use self::load::{
+use self::workload::{
     ExpectedOutcome, LENGTH_SIGMA, Request, Workload, expected_outcomes, is_accepted,
     random_request, response_seconds, shifted, skyward, tallyrow,
 };
 use crate::Seeds;
 use crate::report::Report;
-use crate::world::{ModelService, SimRng, Site, random_customer};
+use crate::site::{ModelService, SimRng, Site, random_customer};
 use oatdale_config::{Config, Key, ServiceKey, VersionKey};
 use oatdale_policy::{
     AdmissionDecision, AttemptDecision, AttemptResult, Dispatch, NodeIdentity, Outcome,
--- a/crates/oatdale-policy/examples/measure/cascade/load.rs
+++ b/crates/oatdale-policy/examples/measure/cascade/workload.rs
@@ -1,7 +1,7 @@
 //! Workloads of the cascade experiment: requests, acceptance of answers, and the true
 //! distributions.
 
-use crate::world::SimRng;
+use crate::site::SimRng;
 
 /// Standard deviation of the logarithm of the lengths of prompts and answers.
 pub(super) const LENGTH_SIGMA: f64 = 0.4;
--- a/crates/oatdale-policy/examples/measure/endpoints.rs
+++ b/crates/oatdale-policy/examples/measure/endpoints.rs
@@ -4,7 +4,7 @@
 use crate::Seeds;
 use crate::report::{Report, quantile};
 use crate::sim::{Flow, Job, Policy, Setup, Sim};
-use crate::world::{ModelService, Site};
+use crate::site::{ModelService, Site};
 use oatdale_config::{Key, ServiceKey};
 use oatdale_policy::Tuning;
 
--- a/crates/oatdale-policy/examples/measure/engine.rs
+++ b/crates/oatdale-policy/examples/measure/engine.rs
@@ -1,6 +1,6 @@
 //! Simulated endpoint with slots, batching, a prefix cache, slowdown and failures.
 
-use crate::world::SimRng;
+use crate::site::SimRng;
 use oatdale_policy::AttemptResult;
 use std::collections::VecDeque;
 
--- a/crates/oatdale-policy/examples/measure/exposure.rs
+++ b/crates/oatdale-policy/examples/measure/exposure.rs
@@ -7,7 +7,7 @@
 
 use crate::Seeds;
 use crate::report::Report;
-use crate::world::{ModelService, SimRng, Site};
+use crate::site::{ModelService, SimRng, Site};
 use oatdale_config::{Config, CustomerKey, Key, ModelKey, ServiceKey, VersionKey, VersionState};
 use oatdale_policy::{
     AdmissionDecision, AttemptResult, Dispatch, NodeIdentity, Outcome, RequestInfo, Router, Session,
--- a/crates/oatdale-policy/examples/measure/main.rs
+++ b/crates/oatdale-policy/examples/measure/main.rs
@@ -15,7 +15,7 @@
 mod report;
 mod retries;
 mod sim;
-mod world;
+mod site;
 
 use report::Report;
 use std::path::PathBuf;
--- a/crates/oatdale-policy/examples/measure/overload.rs
+++ b/crates/oatdale-policy/examples/measure/overload.rs
@@ -8,7 +8,7 @@
 use crate::engine::full_batch_seconds;
 use crate::report::{Report, quantile};
 use crate::sim::{Flow, Job, Policy, Setup, Sim};
-use crate::world::{ModelService, Site};
+use crate::site::{ModelService, Site};
 use oatdale_config::{CustomerKey, Key, ServiceKey};
 use oatdale_policy::Tuning;
 
--- a/crates/oatdale-policy/examples/measure/progress.rs
+++ b/crates/oatdale-policy/examples/measure/progress.rs
@@ -8,7 +8,7 @@
 use crate::Seeds;
 use crate::report::Report;
 use crate::sim::{Flow, Policy, Setup, Sim};
-use crate::world::{ModelService, Site};
+use crate::site::{ModelService, Site};
 use oatdale_config::{Key, ServiceKey};
 use oatdale_policy::{Order, Tuning};
 
--- a/crates/oatdale-policy/examples/measure/sim.rs
+++ b/crates/oatdale-policy/examples/measure/sim.rs
@@ -1,12 +1,12 @@
 //! Discrete-event simulation of callers, nodes and endpoints.
 
-mod due;
+mod event;
 mod model;
 
-use self::due::ScheduledEvent;
+use self::event::ScheduledEvent;
 pub(crate) use self::model::{Flow, Job, Policy, Setup};
 use crate::engine::{Engine, Started, Work};
-use crate::world::{SimRng, random_customer};
+use crate::site::{SimRng, random_customer};
 use oatdale_config::{Config, CustomerKey, DomainKey, EndpointKey, Key, VersionKey};
 use oatdale_policy::{
     AdmissionDecision, AttemptDecision, AttemptResult, LoadReport, NodeIdentity, Outcome,
--- a/crates/oatdale-policy/examples/measure/sim/model.rs
+++ b/crates/oatdale-policy/examples/measure/sim/model.rs
@@ -1,7 +1,7 @@
 //! Parameters of a simulation and the results of its requests.
 
 use crate::engine::Work;
-use crate::world::Site;
+use crate::site::Site;
 use oatdale_config::{CustomerKey, ServiceKey};
 use oatdale_policy::{Ticket, Tuning};
 
