--- a/crates/oatdale-node/src/route.rs
+++ b/crates/oatdale-node/src/route.rs
@@ -157,7 +157,7 @@
             () = sleep_until(wake) => {}
         }
         state.catch_up(&mut links.live);
-        state.turns();
+        state.process_queue();
         if Instant::now() >= report_at {
             report_at = Instant::now() + REPORT_INTERVAL;
             links.reports.send_replace(state.report());
--- a/crates/oatdale-node/src/route/state.rs
+++ b/crates/oatdale-node/src/route/state.rs
@@ -212,8 +212,8 @@
         }
     }
 
-    /// Serves the waiting requests whose turn came.
-    pub(super) fn turns(&mut self) {
+    /// Answers the waiting requests on which the router has decided.
+    pub(super) fn process_queue(&mut self) {
         let now = self.now();
         while let Some((ticket, decision)) = self.router.poll_queue(now) {
             let reply = self.waiting.remove(&ticket);
--- a/crates/oatdale-policy/src/lib.rs
+++ b/crates/oatdale-policy/src/lib.rs
@@ -10,8 +10,8 @@
 //! ```
 //! use oatdale_config::Digest;
 //! use oatdale_policy::{
-//!     AdmissionDecision, AttemptDecision, AttemptResult, NodeIdentity, Outcome, RequestInfo, Router,
-//!     Session,
+//!     AdmissionDecision, AttemptDecision, AttemptResult, NodeIdentity, Outcome, RequestInfo,
+//!     Router, Session,
 //! };
 //! use std::sync::Arc;
 //! use std::time::Duration;
@@ -46,7 +46,8 @@
 //!     first_byte: Some(Duration::from_millis(80)),
 //!     total: Duration::from_millis(400),
 //! };
-//! assert_eq!(router.finish(now + outcome.total, dispatch.ticket, &outcome), AttemptDecision::Done);
+//! let decision = router.finish(now + outcome.total, dispatch.ticket, &outcome);
+//! assert_eq!(decision, AttemptDecision::Done);
 //! # Ok::<(), oatdale_config::Error>(())
 //! ```
 
--- a/crates/oatdale-policy/src/router.rs
+++ b/crates/oatdale-policy/src/router.rs
@@ -2,9 +2,9 @@
 
 mod finish;
 mod offer;
+mod poll;
 mod reconfigure;
 mod start;
-mod turn;
 
 use self::finish::RatingTime;
 use crate::choice::{Plan, VersionCatalogue};
