--- a/crates/oatdale-policy/tests/router/states.rs
+++ b/crates/oatdale-policy/tests/router/states.rs
@@ -1,30 +1,31 @@
 //! Tests that version states and permissions apply to new, waiting, retried and pinned requests.
 
 use crate::fixture::{
-    Shape, ask, complete, customer, endpoint, node_place, outcome, planner, refusal_reason, run,
-    secs, version, wait,
+    TestConfig, complete, customer, endpoint, expect_run, expect_wait, model_service,
+    node_identity, outcome, refusal_reason, request, secs, version,
 };
 use oatdale_config::VersionState;
 use oatdale_policy::{
-    Ask, AttemptResult, Next, Offer, RefusalReason, Router, Session, Turn, VersionReason,
+    AdmissionDecision, AttemptDecision, AttemptResult, QueueDecision, RefusalReason, RequestInfo,
+    Router, Session, VersionReason,
 };
 
 const CANARY: VersionState = VersionState::Canary { share: 0.2 };
 
-fn with_states(states: [VersionState; 3]) -> Shape {
-    Shape {
+fn with_states(states: [VersionState; 3]) -> TestConfig {
+    TestConfig {
         states,
-        ..Shape::default()
+        ..TestConfig::default()
     }
 }
 
-fn pinned(now: f64, index: usize) -> Ask {
-    Ask {
+fn pinned(now: f64, index: usize) -> RequestInfo {
+    RequestInfo {
         session: Session::Pinned {
             version: version(index),
             step: 1,
         },
-        ..ask(secs(now), 1)
+        ..request(secs(now), 1)
     }
 }
 
@@ -34,7 +35,7 @@
     let mut canaries = 0;
     for i in 0_u32..2000 {
         let now = secs(f64::from(i));
-        let dispatch = run(router.offer(now, &ask(now, u64::from(i) * 7919)));
+        let dispatch = expect_run(router.offer(now, &request(now, u64::from(i) * 7919)));
         canaries += usize::from(dispatch.version == Some(version(1)));
         router.finish(now, dispatch.ticket, &complete(None));
     }
@@ -46,11 +47,11 @@
     let mut router = with_states([VersionState::Serving, CANARY, VersionState::Serving]).router();
     for i in 0_u32..500 {
         let now = secs(f64::from(i));
-        let request = Ask {
+        let restricted = RequestInfo {
             customer: customer(1),
-            ..ask(now, u64::from(i))
+            ..request(now, u64::from(i))
         };
-        let dispatch = run(router.offer(now, &request));
+        let dispatch = expect_run(router.offer(now, &restricted));
         assert_eq!(dispatch.version, Some(version(0)));
         router.finish(now, dispatch.ticket, &complete(Some(0.0)));
     }
@@ -64,11 +65,11 @@
         VersionState::Withdrawn,
     ];
     let mut router = with_states(draining).router();
-    let refusal = refusal_reason(router.offer(secs(0.0), &ask(secs(0.0), 1)));
+    let refusal = refusal_reason(router.offer(secs(0.0), &request(secs(0.0), 1)));
     assert_eq!(refusal, RefusalReason::NoVersion);
-    let dispatch = run(router.offer(secs(0.0), &pinned(0.0, 0)));
+    let dispatch = expect_run(router.offer(secs(0.0), &pinned(0.0, 0)));
     assert_eq!(dispatch.version, Some(version(0)));
-    assert_eq!(dispatch.why_version, VersionReason::Pinned);
+    assert_eq!(dispatch.version_reason, VersionReason::Pinned);
 }
 
 /// An operator withdraws the version of an open session. The next request is refused with a reason
@@ -100,10 +101,10 @@
     let all_withdrawn = [VersionState::Withdrawn; 3];
     router.reconfigure(secs(0.5), with_states(all_withdrawn).config());
     router.finish(secs(0.5), running, &complete(None));
-    let (turn_ticket, turn) = router.next_turn(secs(0.5)).expect("a worker is free");
-    assert_eq!(turn_ticket, ticket);
-    let Turn::Refuse(refusal) = turn else {
-        panic!("ran on a withdrawn version: {turn:?}");
+    let (polled_ticket, decision) = router.poll_queue(secs(0.5)).expect("a worker is free");
+    assert_eq!(polled_ticket, ticket);
+    let QueueDecision::Refuse(refusal) = decision else {
+        panic!("ran on a withdrawn version: {decision:?}");
     };
     assert_eq!(refusal.reason, RefusalReason::NoVersion);
 }
@@ -113,30 +114,33 @@
 #[test]
 fn retry_does_not_use_a_version_withdrawn_meanwhile() {
     let mut router = with_states([VersionState::Serving; 3]).router();
-    let dispatch = run(router.offer(secs(0.0), &pinned(0.0, 0)));
+    let dispatch = expect_run(router.offer(secs(0.0), &pinned(0.0, 0)));
     let withdrawn = [
         VersionState::Withdrawn,
         VersionState::Serving,
         VersionState::Serving,
     ];
     router.reconfigure(secs(0.1), with_states(withdrawn).config());
-    let next = router.finish(secs(0.1), dispatch.ticket, &outcome(AttemptResult::NotSent));
-    assert!(matches!(next, Next::Refuse(_)), "{next:?}");
+    let decision = router.finish(secs(0.1), dispatch.ticket, &outcome(AttemptResult::NotSent));
+    assert!(
+        matches!(decision, AttemptDecision::Refuse(_)),
+        "{decision:?}"
+    );
 }
 
 #[test]
 fn stopped_version_serves_only_pinned_sessions() {
-    let mut router = Router::new(Shape::default().config(), node_place());
+    let mut router = Router::new(TestConfig::default().config(), node_identity());
     router.set_stopped(version(0), true);
     for i in 0_u32..50 {
         let now = secs(f64::from(i));
-        let dispatch = run(router.offer(now, &ask(now, i.into())));
+        let dispatch = expect_run(router.offer(now, &request(now, i.into())));
         assert_ne!(dispatch.version, Some(version(0)));
         router.finish(now, dispatch.ticket, &complete(None));
-        let opened = router.open_session(now, customer(0), planner(), i.into());
+        let opened = router.open_session(now, customer(0), model_service(), i.into());
         assert_ne!(opened.map(|(v, _)| v), Ok(version(0)));
     }
-    let dispatch = run(router.offer(secs(60.0), &pinned(60.0, 0)));
+    let dispatch = expect_run(router.offer(secs(60.0), &pinned(60.0, 0)));
     assert_eq!(dispatch.version, Some(version(0)));
 }
 
@@ -144,10 +148,10 @@
 /// end its stop.
 #[test]
 fn stop_persists_across_reconfiguration() {
-    let mut router = Router::new(Shape::default().config(), node_place());
+    let mut router = Router::new(TestConfig::default().config(), node_identity());
     router.set_stopped(version(0), true);
-    router.reconfigure(secs(1.0), Shape::default().config());
-    let dispatch = run(router.offer(secs(1.0), &ask(secs(1.0), 1)));
+    router.reconfigure(secs(1.0), TestConfig::default().config());
+    let dispatch = expect_run(router.offer(secs(1.0), &request(secs(1.0), 1)));
     assert_ne!(dispatch.version, Some(version(0)));
 }
 
@@ -155,10 +159,10 @@
 /// running and of the waiting request.
 fn fill_workers(router: &mut Router) -> (oatdale_policy::Ticket, oatdale_policy::Ticket) {
     let mut running = None;
-    for draw in 0..64 {
-        match router.offer(secs(0.0), &ask(secs(0.0), draw)) {
-            Offer::Run(dispatch) => running = Some(dispatch.ticket),
-            other => return (running.expect("a request ran"), wait(other)),
+    for rollout_hash in 0..64 {
+        match router.offer(secs(0.0), &request(secs(0.0), rollout_hash)) {
+            AdmissionDecision::Run(dispatch) => running = Some(dispatch.ticket),
+            other => return (running.expect("a request ran"), expect_wait(other)),
         }
     }
     panic!("the workers never became full");
@@ -170,12 +174,12 @@
 fn canary_loaded_by_no_engine_gets_no_requests() {
     let mut router = with_states([VersionState::Serving, CANARY, VersionState::Withdrawn]).router();
     for engine in 0..3 {
-        router.endpoint_holds(endpoint(engine), Some(vec![version(0)]));
+        router.set_loaded_versions(endpoint(engine), Some(vec![version(0)]));
     }
-    for draw in 0..100 {
-        let opened = router.open_session(secs(0.0), customer(0), planner(), draw);
+    for rollout_hash in 0..100 {
+        let opened = router.open_session(secs(0.0), customer(0), model_service(), rollout_hash);
         assert_eq!(opened.map(|(v, _)| v), Ok(version(0)));
-        let unpinned = run(router.offer(secs(0.0), &ask(secs(0.0), draw)));
+        let unpinned = expect_run(router.offer(secs(0.0), &request(secs(0.0), rollout_hash)));
         assert_eq!(unpinned.version, Some(version(0)));
         router.finish(secs(0.0), unpinned.ticket, &complete(None));
     }
