--- a/crates/oatdale-relay/src/attempt.rs
+++ b/crates/oatdale-relay/src/attempt.rs
@@ -15,8 +15,8 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// How long an endpoint may send no bytes on any connection of this node before it counts as
-/// unavailable. An engine under load sends tokens of other requests several times per second.
+/// How long an endpoint may send no bytes on any connection of this node before it is probed. An
+/// engine under load sends tokens of other requests several times per second.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Share of a route's target latency after which an attempt may be abandoned: the rest has to
@@ -38,7 +38,7 @@
     NotSent(String),
     /// The endpoint stated that it has not run the request and never will; holds its status code.
     NotRun(u16),
-    /// The request may have run.
+    /// The attempt failed for this reason, and the request may have run.
     Unknown(String),
     /// No response within the response timeout, so another endpoint is tried; the request may have
     /// run.
@@ -47,8 +47,8 @@
     TimedOut,
     /// No endpoint is eligible.
     NoEndpoint(IneligibleCounts),
-    /// The request is quarantined because it crashes endpoints; `sent` tells whether that was found
-    /// out only after it had been sent to this one.
+    /// The request is quarantined because it crashes endpoints; `sent` is true if the quarantine
+    /// began after the request had been sent to this endpoint.
     Quarantined { sent: bool },
 }
 
@@ -148,7 +148,7 @@
     let mut next_check = sent_at + response_timeout(request_cx);
     let mut is_late = false;
     let res = loop {
-        // Without permission to abandon the attempt, lateness is checked only once.
+        // If the attempt may not be abandoned, lateness is recorded only once.
         let wait_until = match options.may_abandon || !is_late {
             true => next_check.min(request_cx.deadline_at),
             false => request_cx.deadline_at,
@@ -197,7 +197,7 @@
     if metadata.leaving || metadata.back_off.is_some() {
         log::info!(
             target: "attempt",
-            "event=endpoint_announced endpoint={} leaving={} pause={:?}",
+            "event=endpoint_announced endpoint={} leaving={} back_off={:?}",
             in_flight.id, metadata.leaving, metadata.back_off
         );
     }
@@ -237,7 +237,7 @@
         || in_flight.has_lost_request(id, sent_at.elapsed()).await
 }
 
-/// Rejects responses that are not valid answers to this request.
+/// Rejects responses that are not valid for this request.
 fn validate<W: Wire>(
     request_cx: &RequestContext,
     in_flight: &InFlightRequest<W>,
@@ -255,12 +255,15 @@
     // another caller's data; the request itself may have run.
     if metadata.id != request_cx.metadata.id {
         return Err(Failure::Unknown(format!(
-            "id mismatch: got {:?}",
+            "response id mismatch: got {:?}",
             metadata.id
         )));
     }
     if !metadata.signed {
-        return Err(Failure::Unknown(format!("unsigned reply {}", head.status)));
+        return Err(Failure::Unknown(format!(
+            "unsigned response, status {}",
+            head.status
+        )));
     }
     Ok(())
 }
--- a/crates/oatdale-relay/src/body.rs
+++ b/crates/oatdale-relay/src/body.rs
@@ -23,8 +23,8 @@
 /// host's 4,000 connections with such bodies fit into its memory.
 const UNRESERVED_BYTES: usize = 16 << 10;
 
-/// How long a body waits for memory. Bodies that hold part of their memory may wait for each other,
-/// so a longer wait would not help.
+/// How long a body waits for memory. Partly received bodies may wait for each other's memory, so a
+/// longer wait would not help.
 const MEMORY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Memory budget for the bodies of all requests.
@@ -53,7 +53,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the body exceeds the size limit, breaks off or is not received in time, or if no
+    /// Fails if the body exceeds the size limit, is truncated or not received in time, or if no
     /// memory becomes free in time.
     pub(crate) async fn read(
         &self,
--- a/crates/oatdale-relay/src/crashes.rs
+++ b/crates/oatdale-relay/src/crashes.rs
@@ -1,5 +1,5 @@
-//! Quarantine of requests that crash the endpoints that run them. All nodes detect them together,
-//! and each rejects them.
+//! Quarantine of requests that crash the endpoints that run them. The nodes share what they observe
+//! to detect such requests, and every node rejects them.
 //!
 //! A broken connection alone is no proof of a crash, since the endpoint or the network may have
 //! reset it; an endpoint that crashed refuses new connections. Each node reports the requests whose
@@ -131,7 +131,7 @@
     let is_new = state.quarantine.remaining(now, request).is_none();
     match rank.filter(|_| is_new) {
         Some(rank) => state.pending_records.add_fallback(now, request, rank),
-        // This node had released the request; endpoints have crashed under it again since.
+        // This node had released the request; endpoints have crashed while running it again since.
         None if is_new => state.pending_records.remove(request),
         None => {}
     }
--- a/crates/oatdale-relay/src/crashes/check.rs
+++ b/crates/oatdale-relay/src/crashes/check.rs
@@ -77,12 +77,11 @@
     }
 }
 
-/// Handles a connection that broke while its endpoint had the request: checks whether the endpoint
-/// crashed.
+/// Starts checking whether the endpoint has crashed, after its connection broke during a request.
 ///
-/// Endpoints to which the request was sent before are checked too: once their response was dropped,
-/// a crash would go unnoticed. A leaving endpoint is not checked: it stops as planned, even with
-/// requests in flight.
+/// Endpoints to which the request was sent before are checked too: this node no longer reads their
+/// responses, so it would not notice a crash otherwise. A leaving endpoint is not checked: it stops
+/// as planned, even with requests in flight.
 pub(crate) fn check_after_break<W: Wire>(
     cx: &Arc<Cx<W>>,
     request_cx: &RequestContext,
--- a/crates/oatdale-relay/src/crashes/records.rs
+++ b/crates/oatdale-relay/src/crashes/records.rs
@@ -33,8 +33,8 @@
         self.0.insert(request, decision);
     }
 
-    /// Adds a request that another node has quarantined and is to record; `rank` is this node's
-    /// position among those that write the record if that node does not.
+    /// Adds a request that another node has quarantined and is expected to record; `rank` is this
+    /// node's position among those that write the record if that node does not.
     pub(crate) fn add_fallback(&mut self, now: Duration, request: Fingerprint, rank: usize) {
         let delay = WRITE_INTERVAL * u32::try_from(rank + 1).unwrap_or(u32::MAX);
         let decision = Decision {
--- a/crates/oatdale-relay/src/events.rs
+++ b/crates/oatdale-relay/src/events.rs
@@ -2,7 +2,7 @@
 //!
 //! Only complete events are forwarded. An endpoint that crashes stops in the middle of an event,
 //! and the endpoint that resumes the stream begins with the event after the last complete one: had
-//! a partial event been forwarded, the client would read two events as one.
+//! a partial event been forwarded, the caller would read two events as one.
 //!
 //! ```
 //! use oatdale_relay::EventReassembler;
@@ -23,7 +23,7 @@
 }
 
 impl EventReassembler {
-    /// Creates the state for a stream that resumes after event `last`.
+    /// Creates a reassembler for a stream that resumes after event `last`.
     pub fn after(last: Option<u64>) -> Self {
         EventReassembler {
             partial: Vec::new(),
@@ -49,7 +49,7 @@
     /// Appends the next chunk and returns the events that it completes.
     ///
     /// Events with an id up to the last one are dropped: an endpoint that resumes a stream may
-    /// begin too early, and the client would receive them twice.
+    /// begin too early, and the caller would receive them twice.
     pub fn push(&mut self, chunk: &[u8]) -> Bytes {
         self.partial.extend_from_slice(chunk);
         let mut complete = Vec::new();
--- a/crates/oatdale-relay/src/front.rs
+++ b/crates/oatdale-relay/src/front.rs
@@ -27,7 +27,7 @@
 const MIN_HEADER_BYTES: usize = 8 << 10;
 
 /// TCP user timeout of callers' connections: a caller that acknowledges nothing for this long is
-/// gone, and its requests would occupy endpoints for nobody.
+/// gone, and its requests would occupy endpoints needlessly.
 const CALLER_TCP_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Phase of a shutdown, as callers' connections see it.
--- a/crates/oatdale-relay/src/in_flight.rs
+++ b/crates/oatdale-relay/src/in_flight.rs
@@ -109,7 +109,7 @@
     /// request.
     ///
     /// Its previous process may have ended without closing its connections, which then stay open
-    /// and silent. Without this check the request and its client would wait for the timeout.
+    /// and silent. Without this check the request and its caller would wait for the timeout.
     pub(crate) async fn wait_restarted(&self) {
         self.restarted.cancelled().await;
     }
@@ -164,7 +164,7 @@
         if std::mem::replace(&mut entry.endpoint.leaving, true) {
             return;
         }
-        log::info!(target: "directory", "event=endpoint_leaves id={} from=answer", self.id);
+        log::info!(target: "directory", "event=endpoint_leaves id={} from=response", self.id);
         let message = Message::EndpointLeaves {
             id: self.id.clone(),
             born: entry.endpoint.born,
@@ -180,7 +180,7 @@
         handle_unreachable(&self.cx, &mut state, self.key);
     }
 
-    /// Records the remaining cold time that the endpoint announced in a response.
+    /// Records the remaining warm-up time that the endpoint announced in a response.
     pub(crate) fn record_cold(&self, cold_time: Duration) {
         let now = self.cx.now();
         let mut state = self.cx.state();
@@ -192,7 +192,7 @@
         if !is_new {
             return;
         }
-        log::info!(target: "directory", "event=endpoint_cold id={} left={cold_time:?} from=answer", self.id);
+        log::info!(target: "directory", "event=endpoint_cold id={} left={cold_time:?} from=response", self.id);
         let message = Message::EndpointCold {
             id: self.id.clone(),
             born: entry.endpoint.born,
--- a/crates/oatdale-relay/src/lib.rs
+++ b/crates/oatdale-relay/src/lib.rs
@@ -2,9 +2,10 @@
 //!
 //! A [`Relay`] finds a request's route by HTTP host and path, picks an endpoint, and passes the
 //! response back as it arrives. Request bodies are forwarded without being parsed. The relay
-//! retries what may be retried, resumes streams whose endpoint breaks off, repeats a request with a
-//! larger model where a small one has low confidence, and rolls services out to new software
-//! versions. The platform's own names and formats are behind [`Wire`], [`Update`] and [`Command`].
+//! retries requests where that is safe, resumes broken streams at another endpoint, repeats a
+//! request with a larger model where a small one has low confidence, and rolls services out to new
+//! software versions. The platform's own names and formats are behind [`Wire`], [`Update`] and
+//! [`Command`].
 //!
 //! # Examples
 //!
--- a/crates/oatdale-relay/src/local.rs
+++ b/crates/oatdale-relay/src/local.rs
@@ -19,7 +19,7 @@
 use tokio::net::TcpListener;
 
 /// How long callers may cache the node addresses. Some callers keep them three times as long, and a
-/// node that shuts down has to stay up for these.
+/// node that shuts down has to serve these callers until then.
 const ADDRESSES_MAX_AGE: Duration = Duration::from_millis(1_500);
 
 /// Maximum number of addresses in one response.
--- a/crates/oatdale-relay/src/metrics.rs
+++ b/crates/oatdale-relay/src/metrics.rs
@@ -35,7 +35,7 @@
     pub(crate) version: IntGauge,
     /// Known endpoints.
     pub(crate) endpoints: IntGauge,
-    /// Open client connections.
+    /// Open connections of callers.
     pub(crate) connections: IntGauge,
     /// In-flight requests.
     pub(crate) in_flight: IntGauge,
--- a/crates/oatdale-relay/src/node.rs
+++ b/crates/oatdale-relay/src/node.rs
@@ -22,7 +22,7 @@
 /// Interval of the periodic tasks.
 const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Fraction of the shutdown time during which new requests are accepted: clients cache addresses
+/// Fraction of the shutdown time during which new requests are accepted: callers cache addresses
 /// for a while, and their last requests need time to complete.
 const ACCEPT_FRACTION: f64 = 0.6;
 
@@ -81,15 +81,15 @@
         })
     }
 
-    /// Shuts down gracefully: removes the node from the addresses given to clients, keeps serving
-    /// for as long as clients may cache them, and drains in-flight requests.
+    /// Shuts down gracefully: removes the node from the addresses given to callers, keeps serving
+    /// for as long as callers may cache them, and drains in-flight requests.
     pub async fn stop(&self) {
         let stop_began = Instant::now();
         let stop_time = self.cx.state().bounds.stop_time();
         log::info!(target: "node", "event=stopping under_way={}", self.in_flight());
         self.cx.state().stopping = Some(stop_began);
         if self.commands.send(Command::Deregister).await.is_err() {
-            log::warn!(target: "node", "event=leave_not_sent reason=\"platform adapter has stopped\"");
+            log::warn!(target: "node", "event=deregistration_not_sent reason=\"platform adapter has stopped\"");
         }
         gossip::announce_leaving(&self.cx).await;
         tokio::time::sleep_until(stop_began + stop_time.mul_f64(ACCEPT_FRACTION)).await;
--- a/crates/oatdale-relay/src/probe.rs
+++ b/crates/oatdale-relay/src/probe.rs
@@ -1,9 +1,9 @@
 //! Probes engines on behalf of requests that wait there.
 //!
-//! An engine that processes a long prompt sends nothing meanwhile, nor does one that is down, and
-//! one may have lost a request while it responds to others. Without a probe, streams would be ended
-//! needlessly or waited for in vain. The result of one probe serves all requests that wait at the
-//! engine.
+//! A silent engine may be processing a long prompt, or it may be down; it may also have lost one
+//! request while it responds to others. Without a probe, the relay would abandon streams that are
+//! still running or wait for streams that are lost. The result of one probe serves all requests
+//! that wait at the engine.
 
 use crate::cx::Cx;
 use crate::directory::Entry;
@@ -21,15 +21,15 @@
 /// How long an engine may take to respond to a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Time after which a request that the engine has is listed in its report: reports are some hundred
-/// milliseconds old.
+/// Time after which an engine's report lists a request that the engine has received: reports lag by
+/// a few hundred milliseconds.
 const REPORT_DELAY: Duration = Duration::from_millis(600);
 
 /// How long a report is reused for other requests. Each probe costs the engine work, and many
 /// requests wait there under overload.
 const REPORT_MAX_AGE: Duration = Duration::from_millis(600);
 
-/// Maximum size of a report in bytes: enough for some hundred requests.
+/// Maximum size of a report in bytes: enough for a few hundred requests.
 const MAX_REPORT_BYTES: usize = 64 << 10;
 
 /// Result of a probe.
@@ -37,7 +37,7 @@
 enum ProbeResult {
     /// The engine did not respond in time.
     Unreachable,
-    /// The engine responded; the report is missing if it sent none that can be read.
+    /// The engine responded; `report` is `None` if it sent none or an invalid one.
     Alive {
         report: Option<Arc<EngineReport>>,
         leaving: bool,
--- a/crates/oatdale-relay/src/request_context.rs
+++ b/crates/oatdale-relay/src/request_context.rs
@@ -48,7 +48,7 @@
     pub(crate) excluded: Vec<EndpointKey>,
     /// All endpoints that received the request, including those whose responses were discarded.
     pub(crate) sent_to: SmallVec<[EndpointKey; 4]>,
-    /// Number of attempts that an endpoint may have started or refused.
+    /// Number of attempts in which at least one byte was sent to an endpoint.
     pub(crate) sends: u32,
     /// Size of the generation as a multiple of the route's mean.
     pub(crate) relative_size: f64,
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Group of requests with comparable response times: those of one plain route.
+    /// Group of requests with comparable response times: those of one non-streaming route.
     pub(crate) fn response_latency_class(&self) -> LatencyClass {
         hash(&("answer", &self.route().prefix))
     }
--- a/crates/oatdale-relay/src/request_log.rs
+++ b/crates/oatdale-relay/src/request_log.rs
@@ -43,7 +43,7 @@
 
 impl<W> Drop for RequestLog<W> {
     fn drop(&mut self) {
-        // If no end was set, the caller's connection closed first.
+        // If no outcome was set, the caller closed the connection first.
         let outcome = self.outcome.as_deref().unwrap_or("caller-left");
         log::info!(
             target: "request",
@@ -60,7 +60,7 @@
     }
 }
 
-/// Label of the request counter for an end; the log lines have the details.
+/// Returns the request counter's label for an outcome; the log lines have the details.
 fn label(outcome: &str) -> &str {
     match outcome {
         "complete" | "caller-left" => outcome,
--- a/crates/oatdale-relay/src/roll_outs.rs
+++ b/crates/oatdale-relay/src/roll_outs.rs
@@ -1,5 +1,7 @@
 //! Rollouts of endpoint pools: which software version a request may use, the evidence that all
 //! nodes have collected about the new version, and when to record the outcome.
+//!
+//! An operator starts a rollout by writing an order: a service, its target version and a duration.
 
 mod active;
 mod baseline;
@@ -64,7 +66,8 @@
 #[derive(Debug, Default)]
 pub struct RollOuts {
     by_service: HashMap<String, RollOutState>,
-    /// Baseline durations of versions that are not on trial, including those from before an order.
+    /// Baseline durations of versions that are not in a trial, including those from before an
+    /// order.
     baselines: BaselineTimes,
     sessions: Sessions,
     /// Request rates of this node.
@@ -103,7 +106,7 @@
         }
     }
 
-    /// Handles the loss of the record of how a service's last rollout ended.
+    /// Handles the loss of the record that holds the outcome of a service's last rollout.
     pub fn handle_lost_end(&mut self, now: Duration, service: &str) {
         if let Some(active) = self.by_service.get_mut(service) {
             active.reschedule_end(now);
--- a/crates/oatdale-relay/src/roll_outs/active.rs
+++ b/crates/oatdale-relay/src/roll_outs/active.rs
@@ -23,7 +23,7 @@
 /// that some of them are alive.
 pub(crate) const COORDINATORS: usize = 8;
 
-/// Requests at endpoints per client request; higher than 1 because of retries.
+/// Requests to endpoints per request of a caller; higher than 1 because of retries.
 const ATTEMPTS_PER_REQUEST: f64 = 1.4;
 
 /// State of one rollout.
@@ -41,7 +41,7 @@
     pub(super) last_write: Option<Duration>,
     /// Since when the outcome could be written.
     pub(super) due_since: Option<Duration>,
-    /// Whether the outcome is known but its record is lost.
+    /// Whether the outcome is known but its record has been lost.
     is_end_record_lost: bool,
     /// The last verdict; a change is logged.
     pub(super) verdict: Verdict,
--- a/crates/oatdale-relay/src/roll_outs/rates.rs
+++ b/crates/oatdale-relay/src/roll_outs/rates.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Averaging time of the request rate; long because client traffic comes in waves.
+/// Averaging time of the request rate; long because callers' traffic comes in waves.
 const AVERAGING_TIME: Duration = Duration::from_secs(5);
 
 /// Averaging time of the recent rate; short enough to show the start of a burst.
--- a/crates/oatdale-relay/src/roll_outs/sessions.rs
+++ b/crates/oatdale-relay/src/roll_outs/sessions.rs
@@ -1,6 +1,6 @@
 //! Session pinning: the version that each session runs on.
 //!
-//! A client's next connection may go to another node. During a trial that node would treat the
+//! A caller's next connection may go to another node. During a trial that node would treat the
 //! session as a new one and route it to the new version. Nodes therefore announce the affected
 //! sessions to each other: each new one at once, since its next request may follow within a second,
 //! and all of them periodically, for nodes that missed the first message or started later.
@@ -16,7 +16,7 @@
 const SESSIONS_PER_DATAGRAM: usize = 100;
 
 /// Maximum number of datagrams for the full list. Sessions beyond them may change their version
-/// during a trial; this takes several hundred clients per node.
+/// during a trial, which happens only with several hundred callers per node.
 const MAX_DATAGRAMS: usize = 3;
 
 /// Number of recent sessions in each announcement, so that the next datagram makes up for a lost
--- a/crates/oatdale-relay/src/serve.rs
+++ b/crates/oatdale-relay/src/serve.rs
@@ -23,18 +23,19 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Minimum time before the deadline for an attempt or a retry: no endpoint responds in less.
+/// Minimum time left until the deadline for a first attempt or a retry: no endpoint responds
+/// faster.
 const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(20);
 
-/// Response bodies up to this many bytes are buffered before their head is sent, so that one that
-/// breaks off can be retried or reported to the caller by a status code.
+/// Response bodies up to this many bytes are buffered before their head is sent, so that a
+/// truncated one can still be retried or reported to the caller by a status code.
 const MAX_BUFFERED_RESPONSE_BYTES: usize = 64 << 10;
 
 /// `Retry-After` of a refusal, as a share of the route's target latency: short enough for the retry
 /// to be in time, and randomized so that callers refused together do not retry together.
 const RETRY_AFTER_TARGET_SHARE: std::ops::Range<f64> = 0.4..1.2;
 
-/// Upper bound of the randomized part of `Retry-After`.
+/// Upper bound of the jitter that is added to `Retry-After`.
 const MAX_RANDOM_RETRY_AFTER: Duration = Duration::from_millis(1_500);
 
 /// `Retry-After` from a node that has no configuration yet, or no memory for a body.
@@ -229,7 +230,8 @@
         may_have_run |= !failure.is_not_run();
         let should_retry = match &failure {
             Failure::NoEndpoint(_) | Failure::TimedOut | Failure::Quarantined { .. } => false,
-            // Costs no endpoint anything, and ends when all endpoints have been tried.
+            // Not charged to the retry budget: no endpoint did any work, and the retries end when
+            // all endpoints have been tried.
             Failure::NotSent(_) => request_cx.time_left() > MIN_ATTEMPT_TIME,
             Failure::NotRun(_) => try_retry(cx, request_cx) && (idempotent || !may_have_run),
             Failure::Unknown(_) | Failure::Abandoned => idempotent && try_retry(cx, request_cx),
@@ -376,7 +378,7 @@
     Response::from_parts(head, reply::stream_body(body))
 }
 
-/// The rest of a body that is too long to be buffered.
+/// Streams the rest of a body that is too long to be buffered.
 fn stream_rest<W: Wire>(
     cx: Arc<Cx<W>>,
     request_cx: RequestContext,
--- a/crates/oatdale-relay/src/settings.rs
+++ b/crates/oatdale-relay/src/settings.rs
@@ -71,11 +71,11 @@
 #[derive(Clone, PartialEq, Eq, Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Listen {
-    /// Accepts client requests.
+    /// Accepts callers' requests.
     pub callers: SocketAddr,
     /// Serves this node's readiness to operators.
     pub readiness: SocketAddr,
-    /// Serves the addresses of the nodes that clients can use.
+    /// Serves the addresses of the nodes that callers can use.
     pub addresses: SocketAddr,
     /// Receives datagrams from other nodes.
     pub nodes: SocketAddr,
@@ -91,7 +91,7 @@
 pub struct Bounds {
     /// Seconds from the stop signal until the process is killed.
     pub stop_s: f64,
-    /// Seconds for which clients may cache a response with node addresses.
+    /// Seconds for which callers may cache a response with node addresses.
     pub addresses_s: f64,
     /// Retries that all nodes together may add, as a fraction of the requests for a service.
     pub repeat_ratio: f64,
--- a/crates/oatdale-relay/src/site.rs
+++ b/crates/oatdale-relay/src/site.rs
@@ -1,4 +1,4 @@
-//! Relay configuration: routes, services, customers and limits on client requests.
+//! Relay configuration: routes, services, customers and limits on callers' requests.
 
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
@@ -14,7 +14,7 @@
     pub routes: Vec<Route>,
     /// Facts about services with model engines, by service name.
     pub services: HashMap<String, ServiceFacts>,
-    /// Limits on client requests.
+    /// Limits on callers' requests.
     pub limits: CallerLimits,
     /// Customers; `None` if requests need no API key.
     pub customers: Option<Customers>,
@@ -43,11 +43,11 @@
     pub attempts: u32,
     /// Priority; 0 is the most urgent.
     pub urgency: u8,
-    /// Whether clients without an API key may use the route.
+    /// Whether callers without an API key may use the route.
     pub public: bool,
     /// Services that receive the requests, with their weights.
     pub services: Vec<(String, u32)>,
-    /// Names of the models that may respond, smallest first; empty if the client names the model.
+    /// Names of the models that may respond, smallest first; empty if the caller names the model.
     pub ladder: Vec<String>,
 }
 
@@ -69,7 +69,7 @@
 pub struct ServiceFacts {
     /// Maximum number of connections that one endpoint accepts from all nodes together.
     pub connections: u32,
-    /// How long an endpoint stays cold after its start.
+    /// How long an endpoint is cold after its start, that is, handles fewer requests than later.
     #[serde(default)]
     pub cold_time: Duration,
     /// Requests per second that a cold endpoint can handle, from all nodes together; 0 means no
@@ -80,7 +80,7 @@
     pub model_costs: HashMap<String, f64>,
 }
 
-/// Limits on client requests.
+/// Limits on callers' requests.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct CallerLimits {
     /// Maximum size of a request head in bytes.
--- a/crates/oatdale-relay/src/stream.rs
+++ b/crates/oatdale-relay/src/stream.rs
@@ -1,4 +1,4 @@
-//! Forwards an event stream, and resumes it at another endpoint if the first one breaks off.
+//! Forwards an event stream, and resumes it at another endpoint if it breaks.
 
 use crate::attempt::{self, Failure, SendOptions};
 use crate::crashes;
@@ -17,8 +17,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Share of the event gap that callers accept after which a silent stream may be resumed at another
-/// endpoint.
+/// Share of the accepted gap between events after which a silent stream is checked and may be
+/// resumed at another endpoint.
 const SILENCE_CHECK_SHARE: f64 = 0.7;
 
 /// Accepted gap between events where the route sets none.
@@ -43,7 +43,7 @@
     pace: StreamPace,
 }
 
-/// Next event of the endpoint's stream.
+/// Result of reading the endpoint's stream.
 enum Item {
     Chunk(Bytes),
     End,
@@ -99,7 +99,7 @@
                     self.ended = true;
                     return None;
                 }
-                Item::End => "stream ended within an event".to_owned(),
+                Item::End => "stream ended in the middle of an event".to_owned(),
                 Item::Broken(message) => message,
                 Item::TimedOut => return Some(Err(self.end_with_error("timed-out"))),
             };
@@ -109,7 +109,8 @@
         }
     }
 
-    /// Counts complete events, and records a single time how fast they arrive.
+    /// Records that events arrived; once their pace at this endpoint is known, adds it to the
+    /// rollout statistics.
     fn record_pace(&mut self) {
         let Some(pace) = self.pace.record_event(self.cx.now()) else {
             return;
--- a/crates/oatdale-relay/src/wire.rs
+++ b/crates/oatdale-relay/src/wire.rs
@@ -90,7 +90,7 @@
     pub id: Option<String>,
     /// Whether the endpoint states that it has not run the request and never will.
     pub not_executed: bool,
-    /// Whether another endpoint has the address now.
+    /// Whether the request reached another endpoint, which has the address now.
     pub misdirected: bool,
     /// Whether the endpoint signed the response.
     pub signed: bool,
@@ -100,6 +100,7 @@
     pub leaving: bool,
     /// Remaining warm-up time of the endpoint, if stated.
     pub cold_left: Option<Duration>,
-    /// How long the endpoint, which has not run the request, accepts no other one from this node.
+    /// How long the endpoint, which rejected the request without running it, accepts no other
+    /// request from this node.
     pub back_off: Option<Duration>,
 }
--- a/crates/oatdale-relay/tests/roll_outs.rs
+++ b/crates/oatdale-relay/tests/roll_outs.rs
@@ -103,8 +103,8 @@
     assert!(sender.pin(ms(2_600), "pool", IN_TRIAL, "v1").is_some());
 }
 
-// The key-value service rejects a node, which therefore has no order. It must not keep using the
-// old version when all other nodes have switched.
+// The key-value service rejects a node's requests, so the node has no order. It must not keep using
+// the old version when all other nodes have switched.
 #[test]
 fn node_without_the_order_learns_it_and_its_age_from_reports() {
     let mut unaware = RollOuts::default();
@@ -174,8 +174,8 @@
     assert!(busy_due < ms(9_800), "{busy_due:?}");
 }
 
-// All nodes reach the same outcome. Without turns, the key-value service would get a write from
-// each of them, nine in a deployment of nine.
+// All nodes reach the same outcome. If they did not take turns, the key-value service would receive
+// a write from each of them, nine in a deployment of nine.
 #[test]
 fn nodes_write_the_outcome_in_order_of_rank() {
     let first_due = |rank: usize| {
@@ -223,7 +223,7 @@
 
 // Two endpoints of the old version fail half of their requests, and the new version fails a third
 // of its own. If the failing old endpoints counted towards the baseline, that rate would look
-// normal, and the rollout would complete and fail requests of all clients.
+// normal, and the rollout would complete and fail requests of all callers.
 #[test]
 fn failing_endpoints_of_the_old_version_do_not_hide_a_bad_new_one() {
     let mut node = node();
--- a/crates/oatdale-relay/tests/settings.rs
+++ b/crates/oatdale-relay/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Tests of settings that operators or a platform's template may leave empty.
+//! Tests of settings that an operator's file or a platform's template may leave empty.
 
 use oatdale_relay::Settings;
 
