--- a/crates/oatdale-relay/src/attempt.rs
+++ b/crates/oatdale-relay/src/attempt.rs
@@ -17,16 +17,16 @@
 
 /// How long an endpoint may send no bytes on any connection of this node before it is probed. An
 /// engine under load sends tokens of other requests several times per second.
-const IDLE_TIMEOUT: Duration = Duration::from_millis(900);
+const ENDPOINT_IDLE_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Share of a route's target latency after which an attempt may be abandoned: the rest has to
 /// suffice for another endpoint to respond in time.
 const RESPONSE_TIMEOUT_SHARE: f64 = 0.6;
 
-/// Wait, in multiples of the target latency, after which a stream's request counts as lost: no
+/// Wait, as a multiple of the target latency, after which a stream's request counts as lost: no
 /// queue at a busy engine is that long. Abandoning it earlier would put it at the end of another
 /// engine's queue.
-const LOST_AFTER_TARGETS: f64 = 2.5;
+const LOST_REQUEST_FACTOR: f64 = 2.5;
 
 /// Minimum response timeout, so that one slow response does not count as a missing one.
 const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(60);
@@ -112,13 +112,13 @@
         "event=attempt id={} config={} service={} endpoint={} version={} model={} load={:.1} \
          candidates={} after_event={:?} left_ms={} took_ms={} end={}",
         request_cx.metadata.id.as_deref().unwrap_or("-"), request_cx.site.version, request_cx.service, in_flight.id,
-        in_flight.version, request_cx.model().unwrap_or("-"), in_flight.load_before, in_flight.choices,
+        in_flight.version, request_cx.model().unwrap_or("-"), in_flight.load_before, in_flight.candidate_count,
         options.last_event_id, request_cx.time_left().as_millis(), attempt_time.as_millis(),
         result.as_ref().map_or_else(|err| format!("{err:?}"), |ok| ok.0.status.as_u16().to_string())
     );
     record_outcome(cx, request_cx, &in_flight, &result, attempt_time);
     if matches!(result, Err(Failure::Unknown(_) | Failure::Abandoned)) {
-        crashes::check_after_break(cx, request_cx, &in_flight);
+        crashes::check_for_crash(cx, request_cx, &in_flight);
     }
     in_flight.finish_prefill();
     result.map(|(head, metadata, body)| EndpointResponse {
@@ -174,7 +174,7 @@
             Err(_) if is_abandoned(request_cx, in_flight, sent_at).await => {
                 return Err(Failure::Abandoned);
             }
-            Err(_) => next_check = Instant::now() + IDLE_TIMEOUT / 2,
+            Err(_) => next_check = Instant::now() + ENDPOINT_IDLE_TIMEOUT / 2,
         }
     };
     let (head, body) = match res {
@@ -228,12 +228,12 @@
     sent_at: Instant,
 ) -> bool {
     if !request_cx.route().kind.is_stream()
-        || sent_at.elapsed() >= latency_target(request_cx).mul_f64(LOST_AFTER_TARGETS)
+        || sent_at.elapsed() >= latency_target(request_cx).mul_f64(LOST_REQUEST_FACTOR)
     {
         return true;
     }
     let id = request_cx.metadata.id.as_deref().unwrap_or_default();
-    in_flight.is_unresponsive(IDLE_TIMEOUT).await
+    in_flight.is_unresponsive(ENDPOINT_IDLE_TIMEOUT).await
         || in_flight.has_lost_request(id, sent_at.elapsed()).await
 }
 
@@ -277,9 +277,9 @@
     attempt_time: Duration,
 ) {
     if request_cx.uses_largest_model() && matches!(result, Ok(_) | Err(Failure::Abandoned)) {
-        let share =
+        let relative_wait =
             attempt_time.as_secs_f64() / latency_target(request_cx).as_secs_f64().max(0.001);
-        cx.state().record_wait(&request_cx.service, share);
+        cx.state().record_wait(&request_cx.service, relative_wait);
     }
     let failed = match result {
         Ok((head, ..)) => {
--- a/crates/oatdale-relay/src/crashes.rs
+++ b/crates/oatdale-relay/src/crashes.rs
@@ -10,7 +10,7 @@
 mod check;
 mod records;
 
-pub(crate) use crate::crashes::check::{CrashChecks, check_after_break, wait_for_checks};
+pub(crate) use crate::crashes::check::{CrashChecks, check_for_crash, wait_for_checks};
 pub(crate) use crate::crashes::records::PendingRecords;
 
 use crate::cx::Cx;
--- a/crates/oatdale-relay/src/crashes/check.rs
+++ b/crates/oatdale-relay/src/crashes/check.rs
@@ -17,10 +17,10 @@
 
 /// Delays before each connection attempt of a check. There is more than one attempt because a
 /// process that exits may close its listener after its connections.
-const PROBE_DELAYS: [Duration; 2] = [Duration::from_millis(20), Duration::from_millis(200)];
+const CONNECT_DELAYS: [Duration; 2] = [Duration::from_millis(20), Duration::from_millis(200)];
 
 /// Timeout of each connection attempt.
-const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Checks in progress, by endpoint.
 #[derive(Debug, Default)]
@@ -82,7 +82,7 @@
 /// Endpoints to which the request was sent before are checked too: this node no longer reads their
 /// responses, so it would not notice a crash otherwise. A leaving endpoint is not checked: it stops
 /// as planned, even with requests in flight.
-pub(crate) fn check_after_break<W: Wire>(
+pub(crate) fn check_for_crash<W: Wire>(
     cx: &Arc<Cx<W>>,
     request_cx: &RequestContext,
     in_flight: &InFlightRequest<W>,
@@ -113,12 +113,12 @@
 async fn check<W: Wire>(cx: Arc<Cx<W>>, key: EndpointKey, addr: SocketAddr) {
     let has_restarted = cx.state().directory.has_restarted(key);
     let outcome = match has_restarted {
-        true => ProbeOutcome::Refused,
-        false => probe(addr).await,
+        true => ConnectOutcome::Refused,
+        false => try_connect(addr).await,
     };
-    let has_crashed = outcome == ProbeOutcome::Refused;
+    let has_crashed = outcome == ConnectOutcome::Refused;
     let mut state = cx.state();
-    if outcome != ProbeOutcome::Reachable {
+    if outcome != ConnectOutcome::Reachable {
         handle_unreachable(&cx, &mut state, key);
     }
     let requests = state.checks.finish(key);
@@ -137,9 +137,9 @@
     }
 }
 
-/// Result of probing an endpoint.
+/// Result of a connection attempt to an endpoint.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum ProbeOutcome {
+enum ConnectOutcome {
     Reachable,
     /// No process listens at the address.
     Refused,
@@ -147,16 +147,16 @@
     Unreachable,
 }
 
-async fn probe(addr: SocketAddr) -> ProbeOutcome {
-    let mut outcome = ProbeOutcome::Reachable;
-    for delay in PROBE_DELAYS {
+async fn try_connect(addr: SocketAddr) -> ConnectOutcome {
+    let mut outcome = ConnectOutcome::Reachable;
+    for delay in CONNECT_DELAYS {
         sleep(delay).await;
-        outcome = match timeout(PROBE_TIMEOUT, TcpStream::connect(addr)).await {
-            Ok(Ok(_)) => ProbeOutcome::Reachable,
+        outcome = match timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await {
+            Ok(Ok(_)) => ConnectOutcome::Reachable,
             Ok(Err(err)) if err.kind() == io::ErrorKind::ConnectionRefused => {
-                return ProbeOutcome::Refused;
+                return ConnectOutcome::Refused;
             }
-            Ok(Err(_)) | Err(_) => ProbeOutcome::Unreachable,
+            Ok(Err(_)) | Err(_) => ConnectOutcome::Unreachable,
         };
     }
     outcome
--- a/crates/oatdale-relay/src/in_flight.rs
+++ b/crates/oatdale-relay/src/in_flight.rs
@@ -26,19 +26,19 @@
     /// The endpoint's load when it was picked, for the log.
     pub(crate) load_before: f64,
     /// Number of candidates among which the endpoint was picked, for the log.
-    pub(crate) choices: usize,
+    pub(crate) candidate_count: usize,
     /// Cancelled when the endpoint restarts.
     restarted: CancellationToken,
 }
 
 impl<W> InFlightRequest<W> {
-    /// Counts a request at an endpoint that was picked among `choices` candidates.
+    /// Counts a request at an endpoint that was picked among `candidate_count` candidates.
     pub(crate) fn begin(
         cx: Arc<Cx<W>>,
         key: EndpointKey,
         entry: &mut Entry,
         weight: f64,
-        choices: usize,
+        candidate_count: usize,
     ) -> Self {
         let load_before = entry.load;
         entry.in_flight += 1;
@@ -52,7 +52,7 @@
             version: entry.endpoint.version.clone(),
             is_failing: entry.health.is_failing(),
             load_before,
-            choices,
+            candidate_count,
             restarted: entry.restart_token.clone(),
         }
     }
--- a/crates/oatdale-relay/src/roll_outs.rs
+++ b/crates/oatdale-relay/src/roll_outs.rs
@@ -81,7 +81,7 @@
 /// Interval at which the full list of sessions on old versions is sent. Several transmissions fit
 /// into a session's lifetime; with 90 nodes, each receives about 40 datagrams per second during a
 /// trial.
-const SESSIONS_INTERVAL: Duration = Duration::from_secs(2);
+const SESSION_LIST_INTERVAL: Duration = Duration::from_secs(2);
 
 impl RollOuts {
     /// Applies a rollout record written by an operator or a node.
@@ -347,11 +347,11 @@
 
     /// Returns the sessions that this node has on old versions and that other nodes need to know of
     /// while rollouts are in progress; empty if the full list was sent less than
-    /// `SESSIONS_INTERVAL` ago.
+    /// `SESSION_LIST_INTERVAL` ago.
     pub fn old_session_messages(&mut self, now: Duration) -> Vec<OldSessions> {
         if self
             .sessions_sent_at
-            .is_some_and(|sent_at| now < sent_at + SESSIONS_INTERVAL)
+            .is_some_and(|sent_at| now < sent_at + SESSION_LIST_INTERVAL)
         {
             return Vec::new();
         }
--- a/crates/oatdale-relay/src/serve.rs
+++ b/crates/oatdale-relay/src/serve.rs
@@ -36,7 +36,7 @@
 const RETRY_AFTER_TARGET_SHARE: std::ops::Range<f64> = 0.4..1.2;
 
 /// Upper bound of the jitter that is added to `Retry-After`.
-const MAX_RANDOM_RETRY_AFTER: Duration = Duration::from_millis(1_500);
+const MAX_RETRY_AFTER_JITTER: Duration = Duration::from_millis(1_500);
 
 /// `Retry-After` from a node that has no configuration yet, or no memory for a body.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(500);
@@ -177,7 +177,7 @@
     let route = request_cx.route();
     let target = route.target_latency.unwrap_or(route.timeout);
     let share = rand::rng().random_range(RETRY_AFTER_TARGET_SHARE);
-    let spread = target.mul_f64(share).min(MAX_RANDOM_RETRY_AFTER);
+    let jitter = target.mul_f64(share).min(MAX_RETRY_AFTER_JITTER);
     let now = cx.now();
     let remaining = {
         let state = cx.state();
@@ -185,8 +185,8 @@
         remaining.or_else(|| state.time_to_warm_up_slot(now, &request_cx.service))
     };
     match remaining {
-        Some(remaining) => remaining + spread,
-        None => spread.min(request_cx.time_left() / 3),
+        Some(remaining) => remaining + jitter,
+        None => jitter.min(request_cx.time_left() / 3),
     }
 }
 
@@ -340,7 +340,7 @@
             }
             Read::Broken(reason) => {
                 endpoint_res.in_flight.record_no_response();
-                crashes::check_after_break(cx, request_cx, &endpoint_res.in_flight);
+                crashes::check_for_crash(cx, request_cx, &endpoint_res.in_flight);
                 return Decision::Failed(Failure::Unknown(reason));
             }
             Read::Late => return Decision::Failed(Failure::Unknown("body timed out".to_owned())),
@@ -398,7 +398,7 @@
                 None
             }
             Read::Broken(reason) => {
-                crashes::check_after_break(&cx, &request_cx, &endpoint_res.in_flight);
+                crashes::check_for_crash(&cx, &request_cx, &endpoint_res.in_flight);
                 request_log.set_outcome(&format!("response body broke off: {reason}"));
                 Some((Err(io::Error::other(reason)), None))
             }
--- a/crates/oatdale-relay/src/stream.rs
+++ b/crates/oatdale-relay/src/stream.rs
@@ -85,7 +85,7 @@
             return None;
         }
         loop {
-            let broken = match self.read().await {
+            let break_reason = match self.read().await {
                 Item::Chunk(chunk) => match self.events.push(&chunk) {
                     complete_events if complete_events.is_empty() => continue,
                     complete_events => {
@@ -103,7 +103,7 @@
                 Item::Broken(message) => message,
                 Item::TimedOut => return Some(Err(self.end_with_error("timed-out"))),
             };
-            if let Err(reason) = self.resume(&broken).await {
+            if let Err(reason) = self.resume(&break_reason).await {
                 return Some(Err(self.end_with_error(&reason)));
             }
         }
@@ -180,19 +180,19 @@
         let silence = gap.mul_f64(SILENCE_CHECK_SHARE);
         let is_stalled = self.response.in_flight.is_unresponsive(silence).await
             || waiting_since.elapsed() >= gap.mul_f64(STALLED_GAP_FACTOR);
-        let has_other = || self.request_cx.has_eligible_endpoint(&self.cx);
+        let has_other_endpoint = || self.request_cx.has_eligible_endpoint(&self.cx);
         self.retry_charged =
-            is_stalled && has_other() && self.cx.try_retry(&self.request_cx.service);
+            is_stalled && has_other_endpoint() && self.cx.try_retry(&self.request_cx.service);
         self.retry_charged
     }
 
     /// Resumes the stream at another endpoint, or returns the reason why that failed.
-    async fn resume(&mut self, broken: &str) -> Result<(), String> {
+    async fn resume(&mut self, break_reason: &str) -> Result<(), String> {
         self.response.in_flight.record_no_response();
-        crashes::check_after_break(&self.cx, &self.request_cx, &self.response.in_flight);
+        crashes::check_for_crash(&self.cx, &self.request_cx, &self.response.in_flight);
         self.events.discard_partial();
         let last_event_id = self.events.last();
-        let mut reason = broken.to_owned();
+        let mut reason = break_reason.to_owned();
         while self.request_cx.route().kind == RouteKind::ResumableStream
             && self.request_cx.has_attempts_left()
             && (std::mem::take(&mut self.retry_charged)
--- a/crates/oatdale-relay/tests/roll_outs.rs
+++ b/crates/oatdale-relay/tests/roll_outs.rs
@@ -34,7 +34,7 @@
 }
 
 /// A response from an endpoint of a version, on the only route.
-fn answer(version: &str, endpoint: u32) -> ResponseSource<'_> {
+fn response_from(version: &str, endpoint: u32) -> ResponseSource<'_> {
     ResponseSource {
         service: "pool",
         version,
@@ -43,20 +43,21 @@
     }
 }
 
-fn is_old(allowed: &AllowedVersions) -> bool {
+/// Whether a request may use any version but `v2`.
+fn not_v2(allowed: &AllowedVersions) -> bool {
     matches!(allowed, AllowedVersions::Exclude(version) if version == "v2")
 }
 
 #[test]
 fn trial_begins_after_the_announcement_phase() {
     let node = node();
-    assert!(is_old(&node.allowed(ms(500), "pool", None, IN_TRIAL)));
+    assert!(not_v2(&node.allowed(ms(500), "pool", None, IN_TRIAL)));
     let allowed = node.allowed(ms(2_000), "pool", None, IN_TRIAL);
     assert!(
         matches!(allowed, AllowedVersions::Trial { .. }),
         "{allowed:?}"
     );
-    assert!(is_old(&node.allowed(ms(2_000), "pool", None, u64::MAX)));
+    assert!(not_v2(&node.allowed(ms(2_000), "pool", None, u64::MAX)));
     assert_eq!(
         node.allowed(ms(2_000), "desk", None, IN_TRIAL),
         AllowedVersions::All
@@ -74,7 +75,7 @@
     for old_sessions in sender.old_session_messages(ms(1_000)) {
         peer.merge_old_sessions(ms(1_500), &old_sessions);
     }
-    assert!(is_old(&peer.allowed(ms(2_000), "pool", Some(IN_TRIAL), 7)));
+    assert!(not_v2(&peer.allowed(ms(2_000), "pool", Some(IN_TRIAL), 7)));
     // Once all requests go to the new version, the session's do too.
     let switched = peer.allowed(ms(9_900), "pool", Some(IN_TRIAL), 7);
     assert_eq!(switched, AllowedVersions::Prefer("v2".to_owned()));
@@ -92,7 +93,7 @@
     let announced = sender.pin(ms(950), "pool", IN_TRIAL + 1, "v1");
     peer.merge_old_sessions(ms(951), &announced.expect("a new session is announced"));
     for session in [IN_TRIAL, IN_TRIAL + 1] {
-        assert!(is_old(&peer.allowed(ms(2_000), "pool", Some(session), 7)));
+        assert!(not_v2(&peer.allowed(ms(2_000), "pool", Some(session), 7)));
     }
     // No repetition within the announcement interval, and none of sessions that need no
     // announcement: not in the trial, on the new version, or of a service without a rollout.
@@ -118,14 +119,14 @@
 // Each of three nodes sees one failure per endpoint, too few for a verdict. Their sum must be
 // enough.
 #[test]
-fn failures_are_summed_over_nodes() {
+fn failures_summed_over_nodes_cause_a_rollback() {
     let mut nodes = [node(), node(), node()];
     for node in &mut nodes {
         for endpoint in 1..=2 {
-            node.record_response(&answer("v2", endpoint), true, None);
+            node.record_response(&response_from("v2", endpoint), true, None);
         }
         for _ in 0..20 {
-            node.record_response(&answer("v1", 3), false, None);
+            node.record_response(&response_from("v1", 3), false, None);
         }
     }
     let reports: Vec<_> = nodes
@@ -137,7 +138,7 @@
     assert!(peer.due_ends(ms(2_000), 0, |_, _| false).is_empty());
     peer.merge_report(ms(2_000), &reports[1]);
     peer.merge_report(ms(2_000), &reports[2]);
-    assert!(is_old(&peer.allowed(ms(2_000), "pool", None, IN_TRIAL)));
+    assert!(not_v2(&peer.allowed(ms(2_000), "pool", None, IN_TRIAL)));
     let due = peer.due_ends(ms(2_000), 0, |_, _| false);
     assert_eq!(due.len(), 1);
     assert_eq!(due[0].1, RollOutEnd::RolledBack);
@@ -150,9 +151,9 @@
     let mut node = node();
     node.update(ms(3_000), order(2, Some(RollOutEnd::RolledBack)));
     node.update(ms(3_100), order(2, None));
-    assert!(is_old(&node.allowed(ms(9_900), "pool", None, u64::MAX)));
+    assert!(not_v2(&node.allowed(ms(9_900), "pool", None, u64::MAX)));
     node.update(ms(3_200), order(1, Some(RollOutEnd::Completed)));
-    assert!(is_old(&node.allowed(ms(9_900), "pool", None, u64::MAX)));
+    assert!(not_v2(&node.allowed(ms(9_900), "pool", None, u64::MAX)));
     node.update(ms(20_000), order(3, None));
     let allowed = node.allowed(ms(20_100), "pool", None, u64::MAX);
     assert_eq!(allowed, AllowedVersions::Exclude("v3".to_owned()));
@@ -191,7 +192,7 @@
 // A service has many sessions and routes. Messages about them must fit into single datagrams, which
 // are delivered completely or not at all.
 #[test]
-fn messages_fit_into_datagrams() {
+fn messages_about_many_sessions_and_routes_fit_into_datagrams() {
     let mut node = node();
     for n in 0..1_000 {
         node.pin(ms(1_300), "pool", n, "v1");
@@ -202,7 +203,7 @@
         for version in ["v1", "v2"] {
             let source = ResponseSource {
                 origin,
-                ..answer(version, 1)
+                ..response_from(version, 1)
             };
             node.record_response(&source, false, None);
         }
@@ -231,12 +232,12 @@
         let is_failing_endpoint = n % 4 == 0;
         let source = ResponseSource {
             is_failing: is_failing_endpoint,
-            ..answer("v1", 3)
+            ..response_from("v1", 3)
         };
         node.record_response(&source, is_failing_endpoint && n % 8 == 0, None);
     }
     for n in 0..42 {
-        node.record_response(&answer("v2", n % 3), n % 4 == 1, None);
+        node.record_response(&response_from("v2", n % 3), n % 4 == 1, None);
     }
     let due = node.due_ends(ms(2_000), 0, |_, _| false);
     assert_eq!(due.first().map(|d| d.1), Some(RollOutEnd::RolledBack));
--- a/crates/oatdale-relay/tests/settings.rs
+++ b/crates/oatdale-relay/tests/settings.rs
@@ -20,7 +20,7 @@
 
 // Guards against nodes that fail to start when operators set no bounds for cold endpoints.
 #[test]
-fn bounds_of_cold_endpoints_may_be_empty() {
+fn empty_bounds_of_cold_endpoints_are_read_as_unset() {
     for bounds in ["", "  cold-overshoot:\n  cold-slack:\n"] {
         let settings = Settings::read(&format!("{TEXT}{bounds}")).unwrap();
         assert_eq!(settings.bounds.cold_overshoot, None);
