--- a/crates/oatdale-relay/src/roll_outs.rs
+++ b/crates/oatdale-relay/src/roll_outs.rs
@@ -1,5 +1,7 @@
 //! Rollouts of endpoint pools: which software version a request may use, the evidence that all
 //! nodes have collected about the new version, and when to record the outcome.
+//!
+//! An operator starts a rollout by writing an order: a service, its target version and a duration.
 
 mod active;
 mod baseline;
@@ -64,7 +66,8 @@
 #[derive(Debug, Default)]
 pub struct RollOuts {
     by_service: HashMap<String, RollOutState>,
-    /// Baseline durations of versions that are not on trial, including those from before an order.
+    /// Baseline durations of versions that are not in a trial, including those from before an
+    /// order.
     baselines: BaselineTimes,
     sessions: Sessions,
     /// Request rates of this node.
@@ -78,7 +81,7 @@
 /// Interval at which the full list of sessions on old versions is sent. Several transmissions fit
 /// into a session's lifetime; with 90 nodes, each receives about 40 datagrams per second during a
 /// trial.
-const SESSIONS_INTERVAL: Duration = Duration::from_secs(2);
+const SESSION_LIST_INTERVAL: Duration = Duration::from_secs(2);
 
 impl RollOuts {
     /// Applies a rollout record written by an operator or a node.
@@ -103,7 +106,7 @@
         }
     }
 
-    /// Handles the loss of the record of how a service's last rollout ended.
+    /// Handles the loss of the record that holds the outcome of a service's last rollout.
     pub fn handle_lost_end(&mut self, now: Duration, service: &str) {
         if let Some(active) = self.by_service.get_mut(service) {
             active.reschedule_end(now);
@@ -344,11 +347,11 @@
 
     /// Returns the sessions that this node has on old versions and that other nodes need to know of
     /// while rollouts are in progress; empty if the full list was sent less than
-    /// `SESSIONS_INTERVAL` ago.
+    /// `SESSION_LIST_INTERVAL` ago.
     pub fn old_session_messages(&mut self, now: Duration) -> Vec<OldSessions> {
         if self
             .sessions_sent_at
-            .is_some_and(|sent_at| now < sent_at + SESSIONS_INTERVAL)
+            .is_some_and(|sent_at| now < sent_at + SESSION_LIST_INTERVAL)
         {
             return Vec::new();
         }
--- a/crates/oatdale-relay/src/serve.rs
+++ b/crates/oatdale-relay/src/serve.rs
@@ -23,19 +23,20 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Minimum time before the deadline for an attempt or a retry: no endpoint responds in less.
+/// Minimum time left until the deadline for a first attempt or a retry: no endpoint responds
+/// faster.
 const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(20);
 
-/// Response bodies up to this many bytes are buffered before their head is sent, so that one that
-/// breaks off can be retried or reported to the caller by a status code.
+/// Response bodies up to this many bytes are buffered before their head is sent, so that a
+/// truncated one can still be retried or reported to the caller by a status code.
 const MAX_BUFFERED_RESPONSE_BYTES: usize = 64 << 10;
 
 /// `Retry-After` of a refusal, as a share of the route's target latency: short enough for the retry
 /// to be in time, and randomized so that callers refused together do not retry together.
 const RETRY_AFTER_TARGET_SHARE: std::ops::Range<f64> = 0.4..1.2;
 
-/// Upper bound of the randomized part of `Retry-After`.
-const MAX_RANDOM_RETRY_AFTER: Duration = Duration::from_millis(1_500);
+/// Upper bound of the jitter that is added to `Retry-After`.
+const MAX_RETRY_AFTER_JITTER: Duration = Duration::from_millis(1_500);
 
 /// `Retry-After` from a node that has no configuration yet, or no memory for a body.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(500);
@@ -176,7 +177,7 @@
     let route = request_cx.route();
     let target = route.target_latency.unwrap_or(route.timeout);
     let share = rand::rng().random_range(RETRY_AFTER_TARGET_SHARE);
-    let spread = target.mul_f64(share).min(MAX_RANDOM_RETRY_AFTER);
+    let jitter = target.mul_f64(share).min(MAX_RETRY_AFTER_JITTER);
     let now = cx.now();
     let remaining = {
         let state = cx.state();
@@ -184,8 +185,8 @@
         remaining.or_else(|| state.time_to_warm_up_slot(now, &request_cx.service))
     };
     match remaining {
-        Some(remaining) => remaining + spread,
-        None => spread.min(request_cx.time_left() / 3),
+        Some(remaining) => remaining + jitter,
+        None => jitter.min(request_cx.time_left() / 3),
     }
 }
 
@@ -229,7 +230,8 @@
         may_have_run |= !failure.is_not_run();
         let should_retry = match &failure {
             Failure::NoEndpoint(_) | Failure::TimedOut | Failure::Quarantined { .. } => false,
-            // Costs no endpoint anything, and ends when all endpoints have been tried.
+            // Not charged to the retry budget: no endpoint did any work, and the retries end when
+            // all endpoints have been tried.
             Failure::NotSent(_) => request_cx.time_left() > MIN_ATTEMPT_TIME,
             Failure::NotRun(_) => try_retry(cx, request_cx) && (idempotent || !may_have_run),
             Failure::Unknown(_) | Failure::Abandoned => idempotent && try_retry(cx, request_cx),
@@ -338,7 +340,7 @@
             }
             Read::Broken(reason) => {
                 endpoint_res.in_flight.record_no_response();
-                crashes::check_after_break(cx, request_cx, &endpoint_res.in_flight);
+                crashes::check_for_crash(cx, request_cx, &endpoint_res.in_flight);
                 return Decision::Failed(Failure::Unknown(reason));
             }
             Read::Late => return Decision::Failed(Failure::Unknown("body timed out".to_owned())),
@@ -376,7 +378,7 @@
     Response::from_parts(head, reply::stream_body(body))
 }
 
-/// The rest of a body that is too long to be buffered.
+/// Streams the rest of a body that is too long to be buffered.
 fn stream_rest<W: Wire>(
     cx: Arc<Cx<W>>,
     request_cx: RequestContext,
@@ -396,7 +398,7 @@
                 None
             }
             Read::Broken(reason) => {
-                crashes::check_after_break(&cx, &request_cx, &endpoint_res.in_flight);
+                crashes::check_for_crash(&cx, &request_cx, &endpoint_res.in_flight);
                 request_log.set_outcome(&format!("response body broke off: {reason}"));
                 Some((Err(io::Error::other(reason)), None))
             }
