--- a/crates/oatdale-relay/src/cx.rs
+++ b/crates/oatdale-relay/src/cx.rs
@@ -47,7 +47,7 @@
     pub(crate) body_memory: BodyMemory,
     /// Socket for datagrams between nodes.
     pub(crate) socket: UdpSocket,
-    /// Notified when a request is quarantined, for its copies in flight.
+    /// Notified when the quarantined requests change, for in-flight requests that are among them.
     pub(crate) quarantine_changed: watch::Sender<()>,
     started: Instant,
     state: Mutex<State>,
@@ -258,7 +258,7 @@
         ))
     }
 
-    /// Counts a request for a service; requests earn its retry budget.
+    /// Counts a request for a service, which adds to the service's retry budget.
     pub(crate) fn count_request(&self, service: &str) {
         let now = self.now();
         self.state().roll_outs.count_request(now, service);
--- a/crates/oatdale-relay/src/directory.rs
+++ b/crates/oatdale-relay/src/directory.rs
@@ -15,7 +15,7 @@
 /// about two seconds.
 const RECOVERY_GRACE: Duration = Duration::from_millis(1_900);
 
-/// How long after an endpoint's restart its record may not show the restart yet.
+/// Maximum delay between an endpoint's restart and the record that shows it.
 const RESTART_RECORD_DELAY: Duration = Duration::from_millis(2_500);
 
 /// Minimum time between two reports that an endpoint is unreachable.
@@ -25,7 +25,8 @@
 /// attributed to it.
 const REMOVED_RETENTION: Duration = Duration::from_secs(60);
 
-/// Key of one start of an endpoint in the directory; never reused.
+/// Directory key of one incarnation of an endpoint: each start of its process gets a new key, and
+/// keys are never reused.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct EndpointKey(u32);
 
@@ -41,7 +42,9 @@
     evacuated: Option<BTreeSet<String>>,
 }
 
-/// State of one endpoint.
+/// State of one incarnation of an endpoint.
+///
+/// A cold endpoint is one that is still warming up; its service may limit its request rate.
 #[derive(Debug)]
 pub struct Entry {
     /// The endpoint's own record.
@@ -62,7 +65,7 @@
     pub last_probe: Duration,
     /// Last report of its work.
     pub(crate) report: Option<ProbeReport>,
-    /// When it stops being cold, by its last announcement.
+    /// When it stops being cold, as it last announced.
     cold_until: Duration,
     /// The latest time at which it may have become cold without its record saying so.
     maybe_cold_since: Option<Duration>,
@@ -73,7 +76,7 @@
     pub(crate) warm_up_share: Option<(Duration, u32)>,
     /// End of the back-off that it asked this node for.
     pub(crate) back_off_until: Duration,
-    /// Cancelled when the endpoint restarts: requests sent to the earlier start are lost.
+    /// Cancelled when the endpoint restarts: requests in flight to it are lost.
     pub(crate) restart_token: CancellationToken,
     registration: Registration,
 }
@@ -94,7 +97,7 @@
     None,
     /// The endpoint announced that it is leaving.
     Leaves,
-    /// The endpoint restarted under the same id; holds the address of its earlier start.
+    /// The endpoint restarted under the same id; holds the address of its previous incarnation.
     Restarted(SocketAddr),
 }
 
@@ -164,7 +167,7 @@
 
     /// Inserts or updates an endpoint.
     ///
-    /// A record of an earlier start than the known one is stale and is ignored. A later start
+    /// A record of an earlier incarnation than the known one is stale and is ignored. A later one
     /// replaces the known one and inherits nothing from it: not its leaving state, its failures,
     /// its load or its in-flight requests.
     pub fn upsert(&mut self, now: Duration, endpoint: Endpoint) -> RecordChange {
@@ -200,7 +203,7 @@
         self.evict_removed(now);
     }
 
-    /// Marks an endpoint that started at `born` as leaving, as read by another node, and returns
+    /// Marks an endpoint that started at `born` as leaving, on notice from another node. Returns
     /// whether it was not marked before.
     pub fn mark_leaving(&mut self, id: &str, born: Option<u64>) -> bool {
         match self.by_id_mut(id) {
@@ -217,8 +220,8 @@
         self.by_id_mut(id).is_some_and(is_known) && self.remove(now, id)
     }
 
-    /// Removes an endpoint whose entry is missing, and returns whether that is new and not
-    /// explained by an outage.
+    /// Removes an endpoint whose entry is missing. Returns whether the endpoint was registered
+    /// until now and its entry cannot have expired in an outage.
     ///
     /// While the key-value service is unavailable, and shortly after, entries expire because their
     /// endpoints cannot renew them; removing all of them at once would refuse every request. While
@@ -274,7 +277,7 @@
         let lifted = previous.into_iter().filter(|d| !self.is_evacuated(d));
         for domain in lifted.collect::<Vec<_>>() {
             log::warn!(target: "directory", "event=domain_evacuation_lifted domain={domain}");
-            // They were idle and may have become cold; their records may say so only later.
+            // Its endpoints were idle and may have become cold; their records may show this later.
             let entries = self.entries.values_mut();
             entries
                 .filter(|e| e.endpoint.domain == domain)
@@ -282,8 +285,8 @@
         }
     }
 
-    /// Returns the available endpoints of a service that may be cold, where `time` is how long one
-    /// that became cold unnoticed stays so.
+    /// Returns the available endpoints of a service that may be cold. `time` is how long one stays
+    /// cold that restarted unnoticed.
     pub(crate) fn cold_endpoints_mut(
         &mut self,
         now: Duration,
@@ -474,9 +477,9 @@
         }
     }
 
-    /// Applies another record of the same start.
+    /// Applies another record of the same incarnation.
     ///
-    /// An endpoint that announced its leaving returns only with a new start: a record that says
+    /// An endpoint that announced its leaving returns only as a new incarnation: a record that says
     /// otherwise is older.
     fn update(&mut self, now: Duration, endpoint: Endpoint) -> RecordChange {
         let known = &self.endpoint;
@@ -499,13 +502,13 @@
         }
     }
 
-    /// Ends this start after the endpoint has restarted; its in-flight requests are lost.
+    /// Ends this incarnation after the endpoint has restarted; its in-flight requests are lost.
     fn retire(&mut self, now: Duration) {
         self.registration = Registration::ExpiresAt(now);
         self.restart_token.cancel();
     }
 
-    /// Whether it may be cold, where `time` is how long one that restarted unnoticed stays cold.
+    /// Whether it may be cold. `time` is how long it stays cold if it restarted unnoticed.
     pub(crate) fn is_cold(&self, now: Duration, time: Duration) -> bool {
         self.reports_cold(now)
             || self
--- a/crates/oatdale-relay/src/gossip.rs
+++ b/crates/oatdale-relay/src/gossip.rs
@@ -1,8 +1,8 @@
-//! Datagrams between nodes: counts for rollouts under way, announcements of leaving nodes and
-//! endpoints, long prompts, loads and crashes.
+//! Datagrams between nodes: request counts of rollouts under way, announcements of leaving nodes
+//! and endpoints, long prompts, loads and crashes.
 //!
-//! A lost datagram is made up for by the next one: each carries the sender's counts since the
-//! order, and a leaving node announces this several times.
+//! A lost datagram is made up for by the next one: each report carries the sender's counts
+//! since the rollout was ordered, and a leaving node announces this several times.
 
 use crate::crashes;
 use crate::cx::Cx;
@@ -29,7 +29,7 @@
 const LEAVE_ANNOUNCEMENT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Minimum weight of a request that is announced: a prompt of this length blocks its engine for
-/// half a second, and other nodes would send theirs there meanwhile.
+/// half a second, and other nodes would send their requests there meanwhile.
 const LONG_PROMPT_WEIGHT: f64 = 3.0;
 
 /// Maximum weight counted for one prompt.
@@ -216,13 +216,14 @@
 /// endpoint that gets no new work, a long prompt at one, a session whose version must be kept.
 ///
 /// Each node reads the records only about once a second, since every call has a cost; together the
-/// nodes read many times a second. A lost datagram is made up for by the node's own next read.
+/// nodes read many times a second, so one of them learns of an event early. A lost datagram is made
+/// up for by the node's own next read.
 pub(crate) fn broadcast<W: Wire>(cx: &Cx<W>, state: &State, message: &Message) {
     send_now(cx, other_nodes(cx, state), message);
 }
 
-/// Periodically sends this node's loads to the aggregators, and its sums to the nodes that
-/// reported.
+/// Periodically sends this node's loads to the aggregators and, if it is an aggregator itself, the
+/// sums to the nodes that reported.
 pub(crate) async fn run_load_exchange<W: Wire>(cx: Arc<Cx<W>>) {
     loop {
         let interval = cx.state().load_sums.scheme().interval;
--- a/crates/oatdale-relay/src/loads.rs
+++ b/crates/oatdale-relay/src/loads.rs
@@ -19,8 +19,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Maximum number of loads in one datagram: each takes up to nine of the 1,200 bytes that pass
-/// every network.
+/// Maximum number of loads in one datagram: each takes up to nine bytes, and datagrams of
+/// 1,200 bytes pass every network.
 pub const MAX_LOADS_PER_DATAGRAM: usize = 120;
 
 /// Aggregators per group. One would do; the second continues while the first is down and the other
@@ -28,7 +28,7 @@
 pub(crate) const AGGREGATORS_PER_GROUP: usize = 2;
 
 /// Minimum number of nodes in a sum that replaces the last one, as a fraction of that one's nodes:
-/// there are two aggregators, and one that has just taken the role has received few loads.
+/// there are two aggregators, and one that has just become an aggregator has received few reports.
 const MIN_COVERAGE: f64 = 0.8;
 
 /// Load at one endpoint, encoded as a pair of numbers: field names would triple the datagram's
@@ -42,7 +42,8 @@
     pub tenths: u16,
 }
 
-/// Loads as last reported; determines what the next report contains.
+/// Loads in the last report that were not zero, in tenths of a request by endpoint. The next report
+/// contains a zero for each that has become zero.
 #[derive(Clone, Debug, Default)]
 struct LastReport(BTreeMap<u32, u16>);
 
--- a/crates/oatdale-relay/src/nodes.rs
+++ b/crates/oatdale-relay/src/nodes.rs
@@ -22,14 +22,15 @@
 #[derive(Debug)]
 struct KnownNode {
     node: Node,
+    /// When the node is dropped; `None` if it was in the last list.
     until: Option<Duration>,
 }
 
 impl Nodes {
     /// Replaces all nodes.
     ///
-    /// Right after an outage, some nodes are missing although they run. Callers that get a list of
-    /// few nodes would all move to these and overload them.
+    /// Right after an outage, some nodes are missing although they run; these are kept for a grace
+    /// period. Callers that get a list of few nodes would all move to these and overload them.
     pub(crate) fn replace(&mut self, now: Duration, all: Vec<Node>) {
         let grace = self.grace.filter(|until| *until > now);
         for known in self.nodes.values_mut() {
--- a/crates/oatdale-relay/src/peers.rs
+++ b/crates/oatdale-relay/src/peers.rs
@@ -2,7 +2,7 @@
 //!
 //! The service may reject a single node, or be down while a node starts. Such a node would use an
 //! outdated configuration, send requests to endpoints that left, or refuse everything, although its
-//! peers know better. It polls one peer at a time until the service answers again.
+//! peers have the current state. It polls one peer at a time until the service answers again.
 
 mod wire;
 
@@ -28,11 +28,11 @@
 use wire::Snapshot;
 
 /// Polling interval. Endpoints that leave must get no new requests two seconds later, and the
-/// polled node learns of their leaving within one.
+/// polled node learns of their leaving within one second.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long the key-value service may be silent before peers are polled: after most failed calls it
-/// answers again at once.
+/// How long the key-value service may not answer before peers are polled: after most failed calls
+/// it answers again at once.
 const STORE_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Timeout for the head of a response and for each pause in its body: nodes are a few milliseconds
--- a/crates/oatdale-relay/src/state.rs
+++ b/crates/oatdale-relay/src/state.rs
@@ -19,16 +19,16 @@
 use tokio::time::Instant;
 use warm_up::has_capacity;
 
-/// Part of the site's retry budget that nodes plan to use. The rest covers that nodes count
-/// independently, and that restarted nodes do not know of their earlier retries.
+/// Part of the site's retry budget that nodes plan to use. The rest is a margin, since nodes
+/// count independently and restarted nodes do not know of their earlier retries.
 const PLANNED_RETRY_SHARE: f64 = 0.85;
 
-/// Minimum number of nodes that share the budget beyond the ratio: a starting node does not know
-/// the others yet.
+/// Minimum number of nodes over which the fixed part of the retry budget (`repeat_slack`) is
+/// divided: a starting node does not know the others yet.
 const MIN_BUDGET_NODES: usize = 4;
 
-/// Minimum number of endpoints of a new version that a trial uses: only the others tell whether one
-/// slow or failing endpoint is at fault by itself or the version is.
+/// Minimum number of endpoints of a new version that a trial uses: with fewer, one slow
+/// or failing endpoint cannot be distinguished from a faulty version.
 const MIN_TRIAL_ENDPOINTS: usize = 3;
 
 /// Number of responses over which the wait at the largest models is averaged: a few seconds of one
@@ -63,7 +63,7 @@
     pub(crate) reads_only_for_itself: bool,
     /// Since when the key-value service has not answered this node, if it does not.
     pub(crate) store_unavailable_since: Option<Duration>,
-    /// Since when the other nodes have known this one.
+    /// Since when this node has been in the other nodes' node lists.
     listed_since: Duration,
 }
 
@@ -123,7 +123,7 @@
         self.retry_limiters.entry(service.to_owned()).or_default()
     }
 
-    /// Records how long a largest model let a request wait, as a fraction of its target latency.
+    /// Records how long a request waited at a largest model, as a fraction of its target latency.
     pub(crate) fn record_wait(&mut self, service: &str, fraction: f64) {
         let mean = self.largest_model_waits.entry(service.to_owned());
         mean.or_insert_with(|| Mean::new(WAIT_MEAN_RESPONSES))
@@ -171,6 +171,7 @@
         } else {
             healthy
         };
+        // 0.1 is added to the load so that the health of idle endpoints counts too.
         let candidates: Vec<Candidate> = eligible
             .iter()
             .map(|(_, e)| Candidate {
@@ -215,13 +216,15 @@
 
     /// Returns an endpoint's load as used for placement.
     ///
-    /// Sums of loads are a quarter of a second old. Plain requests go to the endpoint with the
-    /// least load: if all nodes used the same sums, they would all pick the same endpoint until the
-    /// next sums arrive. Prompts stay with the engine that has their prefix cached, and use the
-    /// sums to move to another one when it is overloaded.
+    /// Load sums are a quarter of a second old. Requests without a prompt prefix do not use them:
+    /// they go to the endpoint with the least load, and if all nodes used the same sums, they would
+    /// all pick the same endpoint until the next sums arrive. Requests with a prefix stay with the
+    /// engine that has it cached, and use the sums to move to another one when it is overloaded.
     fn load(&self, now: Duration, request: &PlacementRequest<'_>, entry: &Entry) -> f64 {
         match (request.prefix, self.load_sums.last_sum_at(now)) {
             (Some(_), Some(last_sum)) => {
+                // A load is in the sums after up to two intervals: one until the node's next
+                // report, one until the aggregator's next sum.
                 let summed_until = last_sum.saturating_sub(2 * self.load_sums.scheme().interval);
                 entry.known_load(now, Some(summed_until))
                     + self.load_sums.other_nodes_load(now, entry.number)
--- a/crates/oatdale-relay/src/state/warm_up.rs
+++ b/crates/oatdale-relay/src/state/warm_up.rs
@@ -11,7 +11,7 @@
 /// lists.
 const NODE_RECORD_LIFETIME: Duration = Duration::from_secs(2);
 
-/// How long a computed share is used; it is recomputed since the set of nodes changes.
+/// How long a computed share is used; it is recomputed because the set of nodes changes.
 const SHARE_VALIDITY: Duration = Duration::from_millis(500);
 
 impl State {
@@ -112,7 +112,8 @@
     }
 }
 
-/// Returns the number of nodes and a node's rank among them for an endpoint.
+/// Returns the number of nodes and the rank of the node `own` among them, in an order that is the
+/// same on every node and differs by endpoint.
 fn count_and_rank(nodes: &Nodes, now: Duration, endpoint: u32, own: &str) -> (usize, usize) {
     let rank_key = |host: &str| hash(&(endpoint, host));
     let own_key = rank_key(own);
--- a/crates/oatdale-relay/src/update.rs
+++ b/crates/oatdale-relay/src/update.rs
@@ -88,13 +88,13 @@
     Deregister,
 }
 
-/// One start of one endpoint.
+/// One incarnation of an endpoint: its process from one start to the next.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct Endpoint {
     /// The id; a restarted endpoint may keep its id.
     pub id: String,
     /// Start time in Unix milliseconds by the endpoint's own clock, if it reports one. A later
-    /// start under the same id has a later start time.
+    /// incarnation under the same id has a later start time.
     #[serde(default)]
     pub born: Option<u64>,
     /// The service that the endpoint belongs to.
@@ -148,7 +148,7 @@
     /// Whether another node's order is later than this one.
     ///
     /// An order of a later era may come from an older backup, which that node cannot detect if it
-    /// has just started. In that case the records decide.
+    /// has just started. Then the service's records decide which order applies.
     pub(crate) fn is_superseded_by(&self, other: &RollOut) -> bool {
         self.order < other.order && self.order.era == other.order.era
     }
--- a/crates/oatdale-relay/src/versions.rs
+++ b/crates/oatdale-relay/src/versions.rs
@@ -100,7 +100,7 @@
 }
 
 impl VersionTracker {
-    /// Creates an empty set of versions, where `policy` gives the retention of a key.
+    /// Creates an empty tracker; `policy` returns the retention policy of a key.
     pub fn new(policy: fn(&str) -> RetentionPolicy) -> Self {
         VersionTracker {
             policy,
--- a/crates/oatdale-relay/tests/directory.rs
+++ b/crates/oatdale-relay/tests/directory.rs
@@ -111,7 +111,7 @@
 }
 
 // An endpoint announces its leaving, crashes, and restarts under its id. It must get requests
-// again, without the failures and load recorded for its earlier start.
+// again, without the failures and load recorded for its previous incarnation.
 #[test]
 fn restarted_endpoint_inherits_nothing_from_its_earlier_start() {
     let mut directory = Directory::default();
@@ -136,8 +136,8 @@
     assert!(!entry.health.is_ejected(ms(20)));
 }
 
-// A record of an earlier start arrives, directly or from another node, after the endpoint has
-// restarted. It must not end the new start or bring back the earlier one.
+// A record of an earlier incarnation arrives, directly or from another node, after the endpoint has
+// restarted. It must not end the new incarnation or bring back the earlier one.
 #[test]
 fn late_records_of_an_earlier_start_are_ignored() {
     let mut directory = Directory::default();
@@ -157,13 +157,13 @@
     assert_eq!(usable(&directory, ms(20)), ["x"]);
     assert!(directory.mark_leaving("x", Some(2_000)));
     assert!(usable(&directory, ms(30)).is_empty());
-    // A record without a start time is not of a later start either.
+    // A record without a start time is not of a later incarnation either.
     directory.upsert(ms(40), endpoint("x"));
     assert!(usable(&directory, ms(40)).is_empty());
 }
 
-// Guards against a back-off that applies to a new start of its endpoint, or that a shorter one cuts
-// off.
+// Guards against a back-off that applies to a new incarnation of its endpoint, or that is shortened
+// by a later, shorter one.
 #[test]
 fn back_off_applies_to_one_start_of_an_endpoint() {
     let mut directory = Directory::default();
@@ -179,8 +179,8 @@
     assert_eq!(usable(&directory, ms(600)), ["x"]);
 }
 
-// Guards against sending callers away for the back-off of one endpoint while another one takes
-// requests, or for that of a leaving endpoint.
+// Guards against refusing callers because of the back-off of one endpoint while another one takes
+// requests, or because of the back-off of a leaving endpoint.
 #[test]
 fn pause_left_is_that_of_the_first_available_endpoint() {
     let mut directory = Directory::default();
--- a/crates/oatdale-relay/tests/loads.rs
+++ b/crates/oatdale-relay/tests/loads.rs
@@ -78,8 +78,8 @@
     assert_eq!(load_sums.other_nodes_load(ms(1_400), 1), 1.0);
 }
 
-// A datagram longer than the network or the receiver accepts is lost, with all loads of a busy
-// site: only idle sites would know theirs.
+// A datagram longer than the network or the receiver accepts is lost with all its loads, so a busy
+// site would get no load sums.
 #[test]
 fn largest_load_report_fits_into_a_datagram() {
     let all = vec![load(u32::MAX, u16::MAX); MAX_LOADS_PER_DATAGRAM];
--- a/crates/oatdale-relay/tests/placement_spec.rs
+++ b/crates/oatdale-relay/tests/placement_spec.rs
@@ -1,7 +1,7 @@
 //! Model check of evacuated domains and cold endpoints: nodes learn late, are cut off, reconnect
 //! and restart at any time, and send whenever they may.
 //!
-//! What a node may send is decided by the product's own `Directory`, `WarmUp` and `warm_up_share`.
+//! What a node may send is decided by the production `Directory`, `WarmUp` and `warm_up_share`.
 
 use oatdale_check::{Spec, explore};
 use oatdale_policy::relay::{WarmUp, warm_up_share};
@@ -27,7 +27,7 @@
     ServesBeforeReading,
     /// A node that reconnects does not read the changes it missed.
     SkipsMissedChanges,
-    /// The directory is not consulted.
+    /// A node ignores the evacuation orders that it has read.
     IgnoresOrders,
     /// Each node uses an endpoint's whole request rate as its share.
     NoSharing,
@@ -73,7 +73,7 @@
 const MAX_FAULTS: u8 = 3;
 
 impl Evacuation {
-    /// Whether a node sends to the domain, decided by the product's directory from the orders that
+    /// Whether a node sends to the domain, decided by the production directory from the orders that
     /// the node knows.
     fn sends(&self, node: &Follower) -> bool {
         let known = match (node.known, self.0) {
@@ -391,7 +391,7 @@
 }
 
 /// Returns the nodes that have a record: the lease of a killed or cut-off node expires only after
-/// such a node has noticed the cut.
+/// a cut-off node has noticed that it is cut off.
 fn registered(state: &ColdState) -> BTreeSet<usize> {
     let nodes = state.nodes.iter().enumerate();
     let registered = nodes.filter(|(_, n)| n.gone_ticks <= LEASE_TICKS);
@@ -458,7 +458,8 @@
     );
 }
 
-/// Explores a specification with an injected fault, which must break this promise.
+/// Explores a specification with an injected fault, which must break an invariant with a message
+/// that contains this text.
 fn assert_fault_found(spec: &impl Spec, fault: Fault, promise: &str) {
     let found = explore(spec, MAX_STATES).expect_err("the injected fault must be found");
     println!("{fault:?}: {found}");
--- a/crates/oatdale-relay/tests/replica_spec.rs
+++ b/crates/oatdale-relay/tests/replica_spec.rs
@@ -77,7 +77,7 @@
     fault: Fault,
 }
 
-/// The service's revision with this number.
+/// The service's revision with this number, in its first era.
 fn at(number: usize) -> Revision {
     Revision::new(1, number as u64)
 }
--- a/crates/oatdale-relay/tests/versions.rs
+++ b/crates/oatdale-relay/tests/versions.rs
@@ -98,7 +98,7 @@
     assert_eq!(all, [written("op", ERA1, 5, "same")]);
 }
 
-// Guards against running endpoints being dropped because the backup lacks them, and against dead
+// Guards against running endpoints being dropped because the backup lacks them, and against ended
 // ones staying for ever.
 #[test]
 fn a_missing_leased_record_is_kept_for_two_seconds() {
@@ -118,7 +118,7 @@
 }
 
 // Guards against an ended endpoint being used because the backup has it, and against a running one
-// being left out.
+// being dropped.
 #[test]
 fn a_deleted_record_that_reappears_is_accepted_only_if_it_stays() {
     let existing = written("leased/a", ERA1, 5, "a");
