--- a/crates/oatdale-relay/src/cx.rs
+++ b/crates/oatdale-relay/src/cx.rs
@@ -154,7 +154,7 @@
                 crashes::schedule_rewrites(&mut state, now);
             }
             Update::Nodes(nodes) => state.nodes.replace(now, nodes),
-            Update::ReadsOnlyForItself(alone) => state.reads_only_for_itself = alone,
+            Update::ReadsOnlyForItself(is_set) => state.reads_only_for_itself = is_set,
             Update::StoreUnavailable => {
                 self.metrics.store.set(0);
                 state.store_unavailable_since = Some(now);
--- a/crates/oatdale-relay/src/directory.rs
+++ b/crates/oatdale-relay/src/directory.rs
@@ -35,8 +35,8 @@
 pub struct Directory {
     entries: BTreeMap<EndpointKey, Entry>,
     by_id: BTreeMap<String, EndpointKey>,
-    next: u32,
-    store: Store,
+    next_key: u32,
+    store: StoreState,
     /// Failure domains evacuated by operators; `None` until the evacuation orders, or their
     /// absence, have been read.
     evacuated: Option<BTreeSet<String>>,
@@ -84,7 +84,7 @@
 /// Long prompt sent by another node.
 #[derive(Clone, Copy, PartialEq, Debug)]
 struct LongPrompt {
-    announced: Duration,
+    announced_at: Duration,
     /// When the engine has finished reading it.
     read_at: Duration,
     weight: f64,
@@ -129,12 +129,12 @@
 
 /// Availability of the key-value service.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-enum Store {
+enum StoreState {
     #[default]
     Up,
     Down,
     /// Recovered at this time; missing entries are still in their grace period.
-    UpSince(Duration),
+    Recovered(Duration),
 }
 
 impl Directory {
@@ -196,8 +196,8 @@
     }
 
     fn insert(&mut self, now: Duration, endpoint: Endpoint) {
-        let key = EndpointKey(self.next);
-        self.next += 1;
+        let key = EndpointKey(self.next_key);
+        self.next_key += 1;
         self.by_id.insert(endpoint.id.clone(), key);
         self.entries.insert(key, Entry::new(now, endpoint));
         self.evict_removed(now);
@@ -216,8 +216,8 @@
 
     /// Removes an endpoint that started at `born` and whose entry another node found missing.
     pub fn remove_incarnation(&mut self, now: Duration, id: &str, born: Option<u64>) -> bool {
-        let is_known = |e: &mut Entry| e.endpoint.born <= born;
-        self.by_id_mut(id).is_some_and(is_known) && self.remove(now, id)
+        let is_not_later = |e: &mut Entry| e.endpoint.born <= born;
+        self.by_id_mut(id).is_some_and(is_not_later) && self.remove(now, id)
     }
 
     /// Removes an endpoint whose entry is missing. Returns whether the endpoint was registered
@@ -227,10 +227,10 @@
     /// endpoints cannot renew them; removing all of them at once would refuse every request. While
     /// the service is available, a missing entry means that the endpoint is leaving.
     pub fn remove(&mut self, now: Duration, id: &str) -> bool {
-        let at = match self.store {
-            Store::Up => now,
-            Store::Down => now + RECOVERY_GRACE,
-            Store::UpSince(since) => now.max(since + RECOVERY_GRACE),
+        let expires_at = match self.store {
+            StoreState::Up => now,
+            StoreState::Down => now + RECOVERY_GRACE,
+            StoreState::Recovered(recovered_at) => now.max(recovered_at + RECOVERY_GRACE),
         };
         let entry = self
             .by_id
@@ -239,8 +239,8 @@
             .filter(|entry| entry.registration == Registration::Present);
         match entry {
             Some(entry) => {
-                entry.registration = Registration::ExpiresAt(at);
-                self.store == Store::Up
+                entry.registration = Registration::ExpiresAt(expires_at);
+                self.store == StoreState::Up
             }
             None => false,
         }
@@ -248,20 +248,20 @@
 
     /// Records that the key-value service does not answer.
     pub fn mark_store_unavailable(&mut self) {
-        self.store = Store::Down;
+        self.store = StoreState::Down;
     }
 
     /// Records that the key-value service answers, for the first time or again.
     pub fn mark_store_available(&mut self, now: Duration) {
-        if self.store == Store::Down {
-            self.store = Store::UpSince(now);
+        if self.store == StoreState::Down {
+            self.store = StoreState::Recovered(now);
         }
     }
 
     /// Ends the grace period for missing entries once it is over.
     pub fn tick(&mut self, now: Duration) {
         match self.store {
-            Store::UpSince(since) if now >= since + RECOVERY_GRACE => self.store = Store::Up,
+            StoreState::Recovered(at) if now >= at + RECOVERY_GRACE => self.store = StoreState::Up,
             _ => {}
         }
     }
@@ -285,17 +285,19 @@
         }
     }
 
-    /// Returns the available endpoints of a service that may be cold. `time` is how long one stays
-    /// cold that restarted unnoticed.
+    /// Returns the available endpoints of a service that may be cold. `cold_time` is how long one
+    /// stays cold that restarted unnoticed.
     pub(crate) fn cold_endpoints_mut(
         &mut self,
         now: Duration,
         service: &str,
-        time: Duration,
+        cold_time: Duration,
     ) -> impl Iterator<Item = &mut Entry> {
         let entries = self.entries.values_mut();
         entries.filter(move |e| {
-            e.endpoint.service == service && e.accepts_new_requests(now) && e.is_cold(now, time)
+            e.endpoint.service == service
+                && e.accepts_new_requests(now)
+                && e.is_cold(now, cold_time)
         })
     }
 
@@ -334,8 +336,10 @@
         let entries = self.entries.values();
         let eligible =
             entries.filter(|e| e.endpoint.service == service && self.is_eligible(now, e));
-        let first = eligible.map(|e| e.back_off_until).min()?;
-        first.checked_sub(now).filter(|left| !left.is_zero())
+        let earliest_end = eligible.map(|e| e.back_off_until).min()?;
+        earliest_end
+            .checked_sub(now)
+            .filter(|remaining| !remaining.is_zero())
     }
 
     fn is_eligible(&self, now: Duration, entry: &Entry) -> bool {
@@ -508,12 +512,12 @@
         self.restart_token.cancel();
     }
 
-    /// Whether it may be cold. `time` is how long it stays cold if it restarted unnoticed.
-    pub(crate) fn is_cold(&self, now: Duration, time: Duration) -> bool {
+    /// Whether it may be cold. `cold_time` is how long it stays cold if it restarted unnoticed.
+    pub(crate) fn is_cold(&self, now: Duration, cold_time: Duration) -> bool {
         self.reports_cold(now)
             || self
                 .maybe_cold_since
-                .is_some_and(|at| now < at.saturating_add(time))
+                .is_some_and(|at| now < at.saturating_add(cold_time))
     }
 
     /// Whether it has announced that it is cold.
@@ -540,20 +544,21 @@
     }
 
     /// Adds a long prompt that another node sent to it.
-    pub fn add_remote_prompt(&mut self, now: Duration, time: Duration, weight: f64) {
+    pub fn add_remote_prompt(&mut self, now: Duration, read_time: Duration, weight: f64) {
         self.remote_prompts.retain(|prompt| prompt.read_at > now);
         self.remote_prompts.push(LongPrompt {
-            announced: now,
-            read_at: now + time,
+            announced_at: now,
+            read_at: now + read_time,
             weight,
         });
     }
 
     /// Returns its load as known to this node: this node's requests and the long prompts of other
-    /// nodes, except those announced at or before `summed`, which the load sums already include.
-    pub fn known_load(&self, now: Duration, summed: Option<Duration>) -> f64 {
-        let counts = |p: &&LongPrompt| p.read_at > now && summed.is_none_or(|t| p.announced > t);
-        let remote_prompts = self.remote_prompts.iter().filter(counts);
+    /// nodes, except those announced until `summed_until`, which the load sums already include.
+    pub fn known_load(&self, now: Duration, summed_until: Option<Duration>) -> f64 {
+        let is_counted =
+            |p: &&LongPrompt| p.read_at > now && summed_until.is_none_or(|t| p.announced_at > t);
+        let remote_prompts = self.remote_prompts.iter().filter(is_counted);
         self.load + remote_prompts.map(|p| p.weight).sum::<f64>()
     }
 
--- a/crates/oatdale-relay/src/gossip.rs
+++ b/crates/oatdale-relay/src/gossip.rs
@@ -375,18 +375,18 @@
         let first = nodes.iter().take(limit);
         first.filter(|n| n.host != *host).map(|n| n.nodes)
     };
-    let mut out = Vec::new();
+    let mut datagrams = Vec::new();
     for datagram in reports
         .into_iter()
         .filter_map(|r| encode(&Message::Report(r)))
     {
-        out.extend(others(recipient_count).map(|to| (datagram.clone(), to)));
+        datagrams.extend(others(recipient_count).map(|to| (datagram.clone(), to)));
     }
     for datagram in old_sessions
         .into_iter()
         .filter_map(|o| encode(&Message::OnOld(o)))
     {
-        out.extend(others(usize::MAX).map(|to| (datagram.clone(), to)));
+        datagrams.extend(others(usize::MAX).map(|to| (datagram.clone(), to)));
     }
-    out
+    datagrams
 }
--- a/crates/oatdale-relay/src/loads.rs
+++ b/crates/oatdale-relay/src/loads.rs
@@ -53,14 +53,14 @@
     scheme: AggregationScheme,
     /// Time of each node's last report, and its loads.
     nodes: BTreeMap<SocketAddr, (Duration, TimedLoads)>,
-    reported: LastReport,
+    last_report: LastReport,
 }
 
 /// Load sums as received from the aggregators.
 #[derive(Clone, Debug, Default)]
 pub struct LoadSums {
     scheme: AggregationScheme,
-    own: LastReport,
+    last_own_report: LastReport,
     sums: TimedLoads,
     /// When a sum was last accepted, and the number of nodes that it covers.
     last_sum: Option<(Duration, usize)>,
@@ -130,11 +130,11 @@
         for (endpoint, load) in self
             .nodes
             .values()
-            .flat_map(|(_, k)| k.recent(now, validity))
+            .flat_map(|(_, timed_loads)| timed_loads.recent(now, validity))
         {
             *sums.entry(endpoint).or_default() += load;
         }
-        let loads = self.reported.next_report(sums.into_iter());
+        let loads = self.last_report.next_report(sums.into_iter());
         let nodes = self.nodes.keys().copied().collect();
         (self.nodes.len(), loads, nodes)
     }
@@ -152,8 +152,8 @@
     }
 
     /// Returns the next report of this node's loads.
-    pub fn own_report(&mut self, own: impl Iterator<Item = (u32, f64)>) -> Vec<Load> {
-        self.own.next_report(own)
+    pub fn own_report(&mut self, own_loads: impl Iterator<Item = (u32, f64)>) -> Vec<Load> {
+        self.last_own_report.next_report(own_loads)
     }
 
     /// Records sums over `nodes` nodes, including this one.
@@ -171,7 +171,7 @@
     /// Returns the load of the other nodes at an endpoint, in requests; 0 if no recent sum has it.
     pub fn other_nodes_load(&self, now: Duration, endpoint: u32) -> f64 {
         let sum = self.sums.get(now, self.scheme.validity(), endpoint);
-        (sum - self.own.requests(endpoint)).max(0.0)
+        (sum - self.last_own_report.requests(endpoint)).max(0.0)
     }
 
     /// Returns when sums were last accepted, if recently.
--- a/crates/oatdale-relay/src/nodes.rs
+++ b/crates/oatdale-relay/src/nodes.rs
@@ -13,7 +13,7 @@
 pub(crate) struct Nodes {
     nodes: BTreeMap<String, KnownNode>,
     /// Until when missing nodes are kept; `None` unless there was an outage.
-    grace: Option<Duration>,
+    grace_until: Option<Duration>,
     /// Nodes that announced their leaving, and until when that applies: the next process on the
     /// host has the same name.
     leaving: BTreeMap<String, Duration>,
@@ -23,7 +23,7 @@
 struct KnownNode {
     node: Node,
     /// When the node is dropped; `None` if it was in the last list.
-    until: Option<Duration>,
+    dropped_at: Option<Duration>,
 }
 
 impl Nodes {
@@ -32,19 +32,19 @@
     /// Right after an outage, some nodes are missing although they run; these are kept for a grace
     /// period. Callers that get a list of few nodes would all move to these and overload them.
     pub(crate) fn replace(&mut self, now: Duration, all: Vec<Node>) {
-        let grace = self.grace.filter(|until| *until > now);
+        let grace_until = self.grace_until.filter(|until| *until > now);
         for known in self.nodes.values_mut() {
-            known.until = known.until.or(Some(grace.unwrap_or(now)));
+            known.dropped_at = known.dropped_at.or(Some(grace_until.unwrap_or(now)));
         }
         for node in all {
             let known = KnownNode {
                 node: node.clone(),
-                until: None,
+                dropped_at: None,
             };
             self.nodes.insert(node.host, known);
         }
         self.nodes
-            .retain(|_, k| k.until.is_none_or(|until| until > now));
+            .retain(|_, k| k.dropped_at.is_none_or(|until| until > now));
     }
 
     /// Records that a node announced its own leaving.
@@ -56,11 +56,11 @@
     }
 
     pub(crate) fn mark_store_unavailable(&mut self) {
-        self.grace = Some(Duration::MAX);
+        self.grace_until = Some(Duration::MAX);
     }
 
     pub(crate) fn mark_store_available(&mut self, now: Duration) {
-        self.grace = self.grace.map(|_| now + RECOVERY_GRACE);
+        self.grace_until = self.grace_until.map(|_| now + RECOVERY_GRACE);
     }
 
     /// Replaces all nodes by those of a peer that the key-value service answers.
@@ -69,9 +69,9 @@
     /// cut off, it would keep giving callers the addresses of hosts that lost power, and they would
     /// try these in vain.
     pub(crate) fn replace_from_peer(&mut self, now: Duration, all: Vec<Node>) {
-        let grace = self.grace.take();
+        let grace_until = self.grace_until.take();
         self.replace(now, all);
-        self.grace = grace;
+        self.grace_until = grace_until;
     }
 
     /// Returns the nodes that run or may run, by name.
@@ -79,7 +79,7 @@
         let is_leaving = move |host: &str| self.leaving.get(host).is_some_and(|until| *until > now);
         self.nodes
             .values()
-            .filter(move |k| k.until.is_none_or(|until| until > now))
+            .filter(move |k| k.dropped_at.is_none_or(|until| until > now))
             .map(|k| &k.node)
             .filter(move |node| !is_leaving(&node.host))
     }
--- a/crates/oatdale-relay/src/state.rs
+++ b/crates/oatdale-relay/src/state.rs
@@ -185,8 +185,8 @@
             Some(_) => Placement::Affinity,
             None => Placement::Load,
         };
-        let at = choose(&candidates, placement, rand::random())?;
-        Some((eligible[at].0, candidates.len()))
+        let chosen = choose(&candidates, placement, rand::random())?;
+        Some((eligible[chosen].0, candidates.len()))
     }
 }
 
@@ -200,14 +200,14 @@
         all: &[KeyedEntry<'a>],
     ) -> Vec<KeyedEntry<'a>> {
         let eligible = filter_by_version(now, request.allowed, all);
-        let Some(time) = self.cold_time(request.service) else {
+        let Some(cold_time) = self.cold_time(request.service) else {
             return eligible;
         };
-        let available = filter_entries(&eligible, |e| has_capacity(now, e, time));
+        let available = filter_entries(&eligible, |e| has_capacity(now, e, cold_time));
         match request.allowed {
             AllowedVersions::Trial { version, .. } if available.is_empty() => {
                 filter_entries(all, |e| {
-                    e.endpoint.version != *version && has_capacity(now, e, time)
+                    e.endpoint.version != *version && has_capacity(now, e, cold_time)
                 })
             }
             _ => available,
--- a/crates/oatdale-relay/src/state/warm_up.rs
+++ b/crates/oatdale-relay/src/state/warm_up.rs
@@ -42,21 +42,21 @@
     }
 
     /// Recomputes this node's share of the request rate of each cold endpoint of a service.
-    pub(crate) fn update_warm_up_shares(&mut self, now: Duration, service: &str, own: &str) {
+    pub(crate) fn update_warm_up_shares(&mut self, now: Duration, service: &str, own_host: &str) {
         let Some(config) = self.cold_service_config(service) else {
             return;
         };
-        let (time, rate) = (config.cold_time, self.bounds.cold_rate(config.cold_rate));
+        let (cold_time, rate) = (config.cold_time, self.bounds.cold_rate(config.cold_rate));
         let nodes = &self.nodes;
         let listed_for = now.saturating_sub(self.listed_since);
         // The other nodes take over the share of a node that is stopping or cut off from them.
         let is_taken_over = self.store_unavailable_since.is_some() || self.stopping.is_some();
-        for entry in self.directory.cold_endpoints_mut(now, service, time) {
+        for entry in self.directory.cold_endpoints_mut(now, service, cold_time) {
             let known = entry.warm_up_share;
             if known.is_some_and(|(at, _)| now < at + SHARE_VALIDITY) {
                 continue;
             }
-            let (count, rank) = count_and_rank(nodes, now, entry.number, own);
+            let (count, rank) = count_and_rank(nodes, now, entry.number, own_host);
             let share = match is_taken_over {
                 true => 0,
                 false => warm_up_share(listed_for, rate, count, rank),
@@ -88,8 +88,9 @@
         now: Duration,
         request: &PlacementRequest<'_>,
     ) -> IneligibleCounts {
-        let time = self.cold_time(request.service);
-        let has_capacity = |e: &Entry| time.is_none_or(|time| has_capacity(now, e, time));
+        let cold_time = self.cold_time(request.service);
+        let has_capacity =
+            |e: &Entry| cold_time.is_none_or(|cold_time| has_capacity(now, e, cold_time));
         self.directory
             .count_ineligible(now, request.service, request.excluded, has_capacity)
     }
@@ -97,10 +98,10 @@
     /// Returns the time until this node may send to the first cold endpoint of a service. `None` if
     /// there is a warm one, or none that it may send to.
     pub(crate) fn time_to_warm_up_slot(&self, now: Duration, service: &str) -> Option<Duration> {
-        let time = self.cold_time(service)?;
+        let cold_time = self.cold_time(service)?;
         let mut earliest = None;
         for (_, entry) in self.directory.usable(now, service) {
-            if !entry.is_cold(now, time) {
+            if !entry.is_cold(now, cold_time) {
                 return None;
             }
             earliest = [earliest, next_warm_up_request(entry)]
@@ -112,12 +113,12 @@
     }
 }
 
-/// Returns the number of nodes and the rank of the node `own` among them, in an order that is the
-/// same on every node and differs by endpoint.
-fn count_and_rank(nodes: &Nodes, now: Duration, endpoint: u32, own: &str) -> (usize, usize) {
+/// Returns the number of nodes and the rank of the node `own_host` among them, in an order that is
+/// the same on every node and differs by endpoint.
+fn count_and_rank(nodes: &Nodes, now: Duration, endpoint: u32, own_host: &str) -> (usize, usize) {
     let rank_key = |host: &str| hash(&(endpoint, host));
-    let own_key = rank_key(own);
-    let others = nodes.iter(now).filter(|n| n.host != own);
+    let own_key = rank_key(own_host);
+    let others = nodes.iter(now).filter(|n| n.host != own_host);
     let (mut count, mut rank) = (1, 0);
     for other in others {
         count += 1;
@@ -126,10 +127,10 @@
     (count, rank)
 }
 
-/// Whether an endpoint is warm or this node's share of its request rate is not used up; `time` is
-/// how long endpoints of its service are cold.
-pub(super) fn has_capacity(now: Duration, entry: &Entry, time: Duration) -> bool {
-    !entry.is_cold(now, time) || next_warm_up_request(entry).is_some_and(|next| next <= now)
+/// Whether an endpoint is warm or this node's share of its request rate is not used up; `cold_time`
+/// is how long endpoints of its service are cold.
+pub(super) fn has_capacity(now: Duration, entry: &Entry, cold_time: Duration) -> bool {
+    !entry.is_cold(now, cold_time) || next_warm_up_request(entry).is_some_and(|next| next <= now)
 }
 
 /// Returns when this node may send the next request to a cold endpoint, or `None` if it has no
--- a/crates/oatdale-relay/src/versions.rs
+++ b/crates/oatdale-relay/src/versions.rs
@@ -136,7 +136,7 @@
         for record in changes {
             match self.keys.get_mut(&record.key) {
                 Some(entry) if entry.newest == *record => entry.keep_reason = None,
-                Some(entry) => entry.push(now, record.clone()),
+                Some(entry) => entry.replace_newest(now, record.clone()),
                 None => self.insert(now, record.clone()),
             }
         }
@@ -235,7 +235,7 @@
                 entry.newest.value.is_some().then(|| entry.newest.clone())
             }
             _ => {
-                entry.push(now, record.clone());
+                entry.replace_newest(now, record.clone());
                 Some(record)
             }
         }
@@ -253,12 +253,12 @@
             .keys
             .iter()
             .filter(|(_, entry)| entry.newest.value.is_some());
-        let missing = known.filter(|(name, _)| !present.contains(*name));
-        let missing: Vec<_> = missing.map(|(name, _)| name.clone()).collect();
+        let missing = known.filter(|(key, _)| !present.contains(*key));
+        let missing: Vec<_> = missing.map(|(key, _)| key.clone()).collect();
         let mut retained = Vec::new();
-        for name in missing {
-            let takes_precedence = self.takes_precedence(now, &name, MISSING_RETENTION);
-            let Some(entry) = self.keys.get_mut(&name) else {
+        for missing_key in missing {
+            let takes_precedence = self.takes_precedence(now, &missing_key, MISSING_RETENTION);
+            let Some(entry) = self.keys.get_mut(&missing_key) else {
                 continue;
             };
             if takes_precedence {
@@ -267,11 +267,11 @@
                 continue;
             }
             let deletion = Record {
-                key: name,
+                key: missing_key,
                 value: None,
                 revision,
             };
-            entry.push(now, deletion);
+            entry.replace_newest(now, deletion);
         }
         retained
     }
@@ -313,7 +313,7 @@
         Version::of(&self.newest)
     }
 
-    fn push(&mut self, now: Duration, record: Record) {
+    fn replace_newest(&mut self, now: Duration, record: Record) {
         self.superseded.push_back((self.version(), now));
         if self.superseded.len() > MAX_VERSIONS {
             self.superseded.pop_front();
--- a/crates/oatdale-relay/tests/directory.rs
+++ b/crates/oatdale-relay/tests/directory.rs
@@ -113,7 +113,7 @@
 // An endpoint announces its leaving, crashes, and restarts under its id. It must get requests
 // again, without the failures and load recorded for its previous incarnation.
 #[test]
-fn restarted_endpoint_inherits_nothing_from_its_earlier_start() {
+fn restarted_endpoint_inherits_nothing_from_its_previous_incarnation() {
     let mut directory = Directory::default();
     directory.upsert(ms(0), started_at("x", 1_000));
     let entry = directory.by_id_mut("x").unwrap();
@@ -124,9 +124,9 @@
         ..started_at("x", 1_000)
     };
     assert_eq!(directory.upsert(ms(10), leaving), RecordChange::Leaves);
-    let again = directory.upsert(ms(20), started_at("x", 2_000));
+    let change = directory.upsert(ms(20), started_at("x", 2_000));
     assert_eq!(
-        again,
+        change,
         RecordChange::Restarted("10.0.0.1:80".parse().unwrap())
     );
     assert_eq!(usable(&directory, ms(20)), ["x"]);
@@ -139,7 +139,7 @@
 // A record of an earlier incarnation arrives, directly or from another node, after the endpoint has
 // restarted. It must not end the new incarnation or bring back the earlier one.
 #[test]
-fn late_records_of_an_earlier_start_are_ignored() {
+fn late_records_of_an_earlier_incarnation_are_ignored() {
     let mut directory = Directory::default();
     directory.upsert(ms(0), started_at("x", 2_000));
     let leaving = Endpoint {
@@ -165,7 +165,7 @@
 // Guards against a back-off that applies to a new incarnation of its endpoint, or that is shortened
 // by a later, shorter one.
 #[test]
-fn back_off_applies_to_one_start_of_an_endpoint() {
+fn back_off_applies_to_one_incarnation_of_an_endpoint() {
     let mut directory = Directory::default();
     directory.replace(ms(0), vec![started_at("x", 1)]);
     assert_eq!(directory.remaining_back_off(ms(0), "pool"), None);
@@ -182,7 +182,7 @@
 // Guards against refusing callers because of the back-off of one endpoint while another one takes
 // requests, or because of the back-off of a leaving endpoint.
 #[test]
-fn pause_left_is_that_of_the_first_available_endpoint() {
+fn remaining_back_off_is_that_of_the_first_available_endpoint() {
     let mut directory = Directory::default();
     directory.replace(ms(0), vec![endpoint("x"), endpoint("y"), endpoint("z")]);
     directory.by_id_mut("x").unwrap().back_off(ms(0), ms(500));
--- a/crates/oatdale-relay/tests/loads.rs
+++ b/crates/oatdale-relay/tests/loads.rs
@@ -98,16 +98,16 @@
 fn aggregator_traffic_is_bounded_at_any_site_size() {
     for (nodes, endpoints) in [(7, 12), (66, 117), (87, 90), (300, 300), (360, 2_100)] {
         let scheme = AggregationScheme::new(nodes, endpoints);
-        let a_second = 1.0 / scheme.interval.as_secs_f64();
-        let in_group = endpoints as f64 / f64::from(scheme.groups);
+        let reports_per_s = 1.0 / scheme.interval.as_secs_f64();
+        let group_size = endpoints as f64 / f64::from(scheme.groups);
         // A node that aggregates two groups, with 60 bytes overhead per datagram and nine bytes per
         // endpoint.
-        let sent = 2.0 * nodes as f64 * a_second * (60.0 + 9.0 * in_group);
+        let sent = 2.0 * nodes as f64 * reports_per_s * (60.0 + 9.0 * group_size);
         assert!(
             sent < 0.5 * 10e6 / 8.0,
             "{nodes} nodes: {sent} bytes per second exceed half of a 10 Mbit/s link"
         );
-        let datagrams = 2.0 * f64::from(scheme.groups) * a_second;
+        let datagrams = 2.0 * f64::from(scheme.groups) * reports_per_s;
         assert!(
             datagrams <= 256.0,
             "{nodes} nodes: {datagrams} datagrams per second, at most 256 expected"
--- a/crates/oatdale-relay/tests/placement_spec.rs
+++ b/crates/oatdale-relay/tests/placement_spec.rs
@@ -66,7 +66,7 @@
 
 /// Ticks after an order in which requests may still reach the domain, and after which a reconnected
 /// node is checked.
-const BOUND_TICKS: u8 = 5;
+const COMPLIANCE_TICKS: u8 = 5;
 
 const MAX_TICKS: u8 = 12;
 const MAX_CHANGES: u8 = 3;
@@ -92,12 +92,15 @@
     fn tick(state: &EvacuationState) -> EvacuationState {
         let mut next = state.clone();
         next.tick += 1;
-        next.unchanged_ticks = next.unchanged_ticks.saturating_add(1).min(BOUND_TICKS + 1);
+        next.unchanged_ticks = next
+            .unchanged_ticks
+            .saturating_add(1)
+            .min(COMPLIANCE_TICKS + 1);
         for node in &mut next.nodes {
             let Some(connected_ticks) = &mut node.connected_ticks else {
                 continue;
             };
-            *connected_ticks = (*connected_ticks + 1).min(BOUND_TICKS + 1);
+            *connected_ticks = (*connected_ticks + 1).min(COMPLIANCE_TICKS + 1);
             let is_late = node.reads_missed && node.known != Some(next.is_evacuated);
             node.late_ticks = if is_late { node.late_ticks + 1 } else { 0 };
             if node.late_ticks >= LEARN_TICKS {
@@ -178,8 +181,8 @@
         if self.sends(node) {
             let must_comply = node
                 .connected_ticks
-                .is_some_and(|ticks| ticks > BOUND_TICKS);
-            if state.is_evacuated && state.unchanged_ticks > BOUND_TICKS && must_comply {
+                .is_some_and(|ticks| ticks > COMPLIANCE_TICKS);
+            if state.is_evacuated && state.unchanged_ticks > COMPLIANCE_TICKS && must_comply {
                 let mut next = state.clone();
                 next.violation = Some("a connected node sends to an evacuated domain");
                 steps.push((format!("node {index} sends"), next));
@@ -200,7 +203,7 @@
     fn initial(&self) -> Vec<EvacuationState> {
         let node = Follower {
             known: Some(false),
-            connected_ticks: Some(BOUND_TICKS + 1),
+            connected_ticks: Some(COMPLIANCE_TICKS + 1),
             late_ticks: 0,
             reads_missed: true,
         };
@@ -460,10 +463,10 @@
 
 /// Explores a specification with an injected fault, which must break an invariant with a message
 /// that contains this text.
-fn assert_fault_found(spec: &impl Spec, fault: Fault, promise: &str) {
+fn assert_fault_found(spec: &impl Spec, fault: Fault, expected: &str) {
     let found = explore(spec, MAX_STATES).expect_err("the injected fault must be found");
     println!("{fault:?}: {found}");
-    assert!(found.broken.contains(promise), "{fault:?}: {found}");
+    assert!(found.broken.contains(expected), "{fault:?}: {found}");
 }
 
 #[test]
@@ -478,8 +481,8 @@
         (Fault::SkipsMissedChanges, "to an evacuated domain"),
         (Fault::IgnoresOrders, "to an evacuated domain"),
     ];
-    for (fault, promise) in cases {
-        assert_fault_found(&Evacuation(fault), fault, promise);
+    for (fault, expected) in cases {
+        assert_fault_found(&Evacuation(fault), fault, expected);
     }
 }
 
--- a/crates/oatdale-relay/tests/replica_spec.rs
+++ b/crates/oatdale-relay/tests/replica_spec.rs
@@ -78,7 +78,7 @@
 }
 
 /// The service's revision with this number, in its first era.
-fn at(number: usize) -> Revision {
+fn rev(number: usize) -> Revision {
     Revision::new(1, number as u64)
 }
 
@@ -93,12 +93,12 @@
     Record {
         key: KEYS[key].to_owned(),
         value: written_at.map(|at| Bytes::from(at.to_string())),
-        revision: at(revision),
+        revision: rev(revision),
     }
 }
 
 /// The records that exist at a revision.
-fn state(changes: &[Change], revision: usize) -> Vec<Record> {
+fn records(changes: &[Change], revision: usize) -> Vec<Record> {
     let keys = 0..KEYS.len();
     let existing = keys.filter_map(|key| Some((key, written_at(changes, revision, key)?)));
     existing
@@ -130,8 +130,8 @@
         replica.set_max_value_bytes(100);
         for read in &reader.reads {
             match *read {
-                Read::Snapshot(at) => {
-                    replica.replace(Topic::Endpoints, self::at(at), &state(&model.changes, at));
+                Read::Snapshot(n) => {
+                    replica.replace(Topic::Endpoints, self::rev(n), &records(&model.changes, n));
                 }
                 Read::Changes(from, to) => {
                     let revision = match self.fault {
@@ -139,7 +139,7 @@
                         _ => to,
                     };
                     let changes = changes_between(&model.changes, from, to);
-                    replica.apply_changes(Topic::Endpoints, at(revision), &changes);
+                    replica.apply_changes(Topic::Endpoints, rev(revision), &changes);
                 }
             }
         }
@@ -148,7 +148,7 @@
         }
         let request = FetchRequest {
             topic: Topic::Endpoints,
-            after: after.map(at),
+            after: after.map(rev),
             wait_ms: 0,
             node: None,
         };
