--- a/crates/oatdale-relay/src/directory.rs
+++ b/crates/oatdale-relay/src/directory.rs
@@ -15,7 +15,7 @@
 /// about two seconds.
 const RECOVERY_GRACE: Duration = Duration::from_millis(1_900);
 
-/// How long after an endpoint's restart its record may not show the restart yet.
+/// Maximum delay between an endpoint's restart and the record that shows it.
 const RESTART_RECORD_DELAY: Duration = Duration::from_millis(2_500);
 
 /// Minimum time between two reports that an endpoint is unreachable.
@@ -25,7 +25,8 @@
 /// attributed to it.
 const REMOVED_RETENTION: Duration = Duration::from_secs(60);
 
-/// Key of one start of an endpoint in the directory; never reused.
+/// Directory key of one incarnation of an endpoint: each start of its process gets a new key, and
+/// keys are never reused.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct EndpointKey(u32);
 
@@ -34,14 +35,16 @@
 pub struct Directory {
     entries: BTreeMap<EndpointKey, Entry>,
     by_id: BTreeMap<String, EndpointKey>,
-    next: u32,
-    store: Store,
+    next_key: u32,
+    store: StoreState,
     /// Failure domains evacuated by operators; `None` until the evacuation orders, or their
     /// absence, have been read.
     evacuated: Option<BTreeSet<String>>,
 }
 
-/// State of one endpoint.
+/// State of one incarnation of an endpoint.
+///
+/// A cold endpoint is one that is still warming up; its service may limit its request rate.
 #[derive(Debug)]
 pub struct Entry {
     /// The endpoint's own record.
@@ -62,7 +65,7 @@
     pub last_probe: Duration,
     /// Last report of its work.
     pub(crate) report: Option<ProbeReport>,
-    /// When it stops being cold, by its last announcement.
+    /// When it stops being cold, as it last announced.
     cold_until: Duration,
     /// The latest time at which it may have become cold without its record saying so.
     maybe_cold_since: Option<Duration>,
@@ -73,7 +76,7 @@
     pub(crate) warm_up_share: Option<(Duration, u32)>,
     /// End of the back-off that it asked this node for.
     pub(crate) back_off_until: Duration,
-    /// Cancelled when the endpoint restarts: requests sent to the earlier start are lost.
+    /// Cancelled when the endpoint restarts: requests in flight to it are lost.
     pub(crate) restart_token: CancellationToken,
     registration: Registration,
 }
@@ -81,7 +84,7 @@
 /// Long prompt sent by another node.
 #[derive(Clone, Copy, PartialEq, Debug)]
 struct LongPrompt {
-    announced: Duration,
+    announced_at: Duration,
     /// When the engine has finished reading it.
     read_at: Duration,
     weight: f64,
@@ -94,7 +97,7 @@
     None,
     /// The endpoint announced that it is leaving.
     Leaves,
-    /// The endpoint restarted under the same id; holds the address of its earlier start.
+    /// The endpoint restarted under the same id; holds the address of its previous incarnation.
     Restarted(SocketAddr),
 }
 
@@ -126,12 +129,12 @@
 
 /// Availability of the key-value service.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-enum Store {
+enum StoreState {
     #[default]
     Up,
     Down,
     /// Recovered at this time; missing entries are still in their grace period.
-    UpSince(Duration),
+    Recovered(Duration),
 }
 
 impl Directory {
@@ -164,7 +167,7 @@
 
     /// Inserts or updates an endpoint.
     ///
-    /// A record of an earlier start than the known one is stale and is ignored. A later start
+    /// A record of an earlier incarnation than the known one is stale and is ignored. A later one
     /// replaces the known one and inherits nothing from it: not its leaving state, its failures,
     /// its load or its in-flight requests.
     pub fn upsert(&mut self, now: Duration, endpoint: Endpoint) -> RecordChange {
@@ -193,14 +196,14 @@
     }
 
     fn insert(&mut self, now: Duration, endpoint: Endpoint) {
-        let key = EndpointKey(self.next);
-        self.next += 1;
+        let key = EndpointKey(self.next_key);
+        self.next_key += 1;
         self.by_id.insert(endpoint.id.clone(), key);
         self.entries.insert(key, Entry::new(now, endpoint));
         self.evict_removed(now);
     }
 
-    /// Marks an endpoint that started at `born` as leaving, as read by another node, and returns
+    /// Marks an endpoint that started at `born` as leaving, on notice from another node. Returns
     /// whether it was not marked before.
     pub fn mark_leaving(&mut self, id: &str, born: Option<u64>) -> bool {
         match self.by_id_mut(id) {
@@ -213,21 +216,21 @@
 
     /// Removes an endpoint that started at `born` and whose entry another node found missing.
     pub fn remove_incarnation(&mut self, now: Duration, id: &str, born: Option<u64>) -> bool {
-        let is_known = |e: &mut Entry| e.endpoint.born <= born;
-        self.by_id_mut(id).is_some_and(is_known) && self.remove(now, id)
+        let is_not_later = |e: &mut Entry| e.endpoint.born <= born;
+        self.by_id_mut(id).is_some_and(is_not_later) && self.remove(now, id)
     }
 
-    /// Removes an endpoint whose entry is missing, and returns whether that is new and not
-    /// explained by an outage.
+    /// Removes an endpoint whose entry is missing. Returns whether the endpoint was registered
+    /// until now and its entry cannot have expired in an outage.
     ///
     /// While the key-value service is unavailable, and shortly after, entries expire because their
     /// endpoints cannot renew them; removing all of them at once would refuse every request. While
     /// the service is available, a missing entry means that the endpoint is leaving.
     pub fn remove(&mut self, now: Duration, id: &str) -> bool {
-        let at = match self.store {
-            Store::Up => now,
-            Store::Down => now + RECOVERY_GRACE,
-            Store::UpSince(since) => now.max(since + RECOVERY_GRACE),
+        let expires_at = match self.store {
+            StoreState::Up => now,
+            StoreState::Down => now + RECOVERY_GRACE,
+            StoreState::Recovered(recovered_at) => now.max(recovered_at + RECOVERY_GRACE),
         };
         let entry = self
             .by_id
@@ -236,8 +239,8 @@
             .filter(|entry| entry.registration == Registration::Present);
         match entry {
             Some(entry) => {
-                entry.registration = Registration::ExpiresAt(at);
-                self.store == Store::Up
+                entry.registration = Registration::ExpiresAt(expires_at);
+                self.store == StoreState::Up
             }
             None => false,
         }
@@ -245,20 +248,20 @@
 
     /// Records that the key-value service does not answer.
     pub fn mark_store_unavailable(&mut self) {
-        self.store = Store::Down;
+        self.store = StoreState::Down;
     }
 
     /// Records that the key-value service answers, for the first time or again.
     pub fn mark_store_available(&mut self, now: Duration) {
-        if self.store == Store::Down {
-            self.store = Store::UpSince(now);
+        if self.store == StoreState::Down {
+            self.store = StoreState::Recovered(now);
         }
     }
 
     /// Ends the grace period for missing entries once it is over.
     pub fn tick(&mut self, now: Duration) {
         match self.store {
-            Store::UpSince(since) if now >= since + RECOVERY_GRACE => self.store = Store::Up,
+            StoreState::Recovered(at) if now >= at + RECOVERY_GRACE => self.store = StoreState::Up,
             _ => {}
         }
     }
@@ -274,7 +277,7 @@
         let lifted = previous.into_iter().filter(|d| !self.is_evacuated(d));
         for domain in lifted.collect::<Vec<_>>() {
             log::warn!(target: "directory", "event=domain_evacuation_lifted domain={domain}");
-            // They were idle and may have become cold; their records may say so only later.
+            // Its endpoints were idle and may have become cold; their records may show this later.
             let entries = self.entries.values_mut();
             entries
                 .filter(|e| e.endpoint.domain == domain)
@@ -282,17 +285,19 @@
         }
     }
 
-    /// Returns the available endpoints of a service that may be cold, where `time` is how long one
-    /// that became cold unnoticed stays so.
+    /// Returns the available endpoints of a service that may be cold. `cold_time` is how long one
+    /// stays cold that restarted unnoticed.
     pub(crate) fn cold_endpoints_mut(
         &mut self,
         now: Duration,
         service: &str,
-        time: Duration,
+        cold_time: Duration,
     ) -> impl Iterator<Item = &mut Entry> {
         let entries = self.entries.values_mut();
         entries.filter(move |e| {
-            e.endpoint.service == service && e.accepts_new_requests(now) && e.is_cold(now, time)
+            e.endpoint.service == service
+                && e.accepts_new_requests(now)
+                && e.is_cold(now, cold_time)
         })
     }
 
@@ -331,8 +336,10 @@
         let entries = self.entries.values();
         let eligible =
             entries.filter(|e| e.endpoint.service == service && self.is_eligible(now, e));
-        let first = eligible.map(|e| e.back_off_until).min()?;
-        first.checked_sub(now).filter(|left| !left.is_zero())
+        let earliest_end = eligible.map(|e| e.back_off_until).min()?;
+        earliest_end
+            .checked_sub(now)
+            .filter(|remaining| !remaining.is_zero())
     }
 
     fn is_eligible(&self, now: Duration, entry: &Entry) -> bool {
@@ -474,9 +481,9 @@
         }
     }
 
-    /// Applies another record of the same start.
+    /// Applies another record of the same incarnation.
     ///
-    /// An endpoint that announced its leaving returns only with a new start: a record that says
+    /// An endpoint that announced its leaving returns only as a new incarnation: a record that says
     /// otherwise is older.
     fn update(&mut self, now: Duration, endpoint: Endpoint) -> RecordChange {
         let known = &self.endpoint;
@@ -499,18 +506,18 @@
         }
     }
 
-    /// Ends this start after the endpoint has restarted; its in-flight requests are lost.
+    /// Ends this incarnation after the endpoint has restarted; its in-flight requests are lost.
     fn retire(&mut self, now: Duration) {
         self.registration = Registration::ExpiresAt(now);
         self.restart_token.cancel();
     }
 
-    /// Whether it may be cold, where `time` is how long one that restarted unnoticed stays cold.
-    pub(crate) fn is_cold(&self, now: Duration, time: Duration) -> bool {
+    /// Whether it may be cold. `cold_time` is how long it stays cold if it restarted unnoticed.
+    pub(crate) fn is_cold(&self, now: Duration, cold_time: Duration) -> bool {
         self.reports_cold(now)
             || self
                 .maybe_cold_since
-                .is_some_and(|at| now < at.saturating_add(time))
+                .is_some_and(|at| now < at.saturating_add(cold_time))
     }
 
     /// Whether it has announced that it is cold.
@@ -537,20 +544,21 @@
     }
 
     /// Adds a long prompt that another node sent to it.
-    pub fn add_remote_prompt(&mut self, now: Duration, time: Duration, weight: f64) {
+    pub fn add_remote_prompt(&mut self, now: Duration, read_time: Duration, weight: f64) {
         self.remote_prompts.retain(|prompt| prompt.read_at > now);
         self.remote_prompts.push(LongPrompt {
-            announced: now,
-            read_at: now + time,
+            announced_at: now,
+            read_at: now + read_time,
             weight,
         });
     }
 
     /// Returns its load as known to this node: this node's requests and the long prompts of other
-    /// nodes, except those announced at or before `summed`, which the load sums already include.
-    pub fn known_load(&self, now: Duration, summed: Option<Duration>) -> f64 {
-        let counts = |p: &&LongPrompt| p.read_at > now && summed.is_none_or(|t| p.announced > t);
-        let remote_prompts = self.remote_prompts.iter().filter(counts);
+    /// nodes, except those announced until `summed_until`, which the load sums already include.
+    pub fn known_load(&self, now: Duration, summed_until: Option<Duration>) -> f64 {
+        let is_counted =
+            |p: &&LongPrompt| p.read_at > now && summed_until.is_none_or(|t| p.announced_at > t);
+        let remote_prompts = self.remote_prompts.iter().filter(is_counted);
         self.load + remote_prompts.map(|p| p.weight).sum::<f64>()
     }
 
--- a/crates/oatdale-relay/src/loads.rs
+++ b/crates/oatdale-relay/src/loads.rs
@@ -19,8 +19,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Maximum number of loads in one datagram: each takes up to nine of the 1,200 bytes that pass
-/// every network.
+/// Maximum number of loads in one datagram: each takes up to nine bytes, and datagrams of
+/// 1,200 bytes pass every network.
 pub const MAX_LOADS_PER_DATAGRAM: usize = 120;
 
 /// Aggregators per group. One would do; the second continues while the first is down and the other
@@ -28,7 +28,7 @@
 pub(crate) const AGGREGATORS_PER_GROUP: usize = 2;
 
 /// Minimum number of nodes in a sum that replaces the last one, as a fraction of that one's nodes:
-/// there are two aggregators, and one that has just taken the role has received few loads.
+/// there are two aggregators, and one that has just become an aggregator has received few reports.
 const MIN_COVERAGE: f64 = 0.8;
 
 /// Load at one endpoint, encoded as a pair of numbers: field names would triple the datagram's
@@ -42,7 +42,8 @@
     pub tenths: u16,
 }
 
-/// Loads as last reported; determines what the next report contains.
+/// Loads in the last report that were not zero, in tenths of a request by endpoint. The next report
+/// contains a zero for each that has become zero.
 #[derive(Clone, Debug, Default)]
 struct LastReport(BTreeMap<u32, u16>);
 
@@ -52,14 +53,14 @@
     scheme: AggregationScheme,
     /// Time of each node's last report, and its loads.
     nodes: BTreeMap<SocketAddr, (Duration, TimedLoads)>,
-    reported: LastReport,
+    last_report: LastReport,
 }
 
 /// Load sums as received from the aggregators.
 #[derive(Clone, Debug, Default)]
 pub struct LoadSums {
     scheme: AggregationScheme,
-    own: LastReport,
+    last_own_report: LastReport,
     sums: TimedLoads,
     /// When a sum was last accepted, and the number of nodes that it covers.
     last_sum: Option<(Duration, usize)>,
@@ -129,11 +130,11 @@
         for (endpoint, load) in self
             .nodes
             .values()
-            .flat_map(|(_, k)| k.recent(now, validity))
+            .flat_map(|(_, timed_loads)| timed_loads.recent(now, validity))
         {
             *sums.entry(endpoint).or_default() += load;
         }
-        let loads = self.reported.next_report(sums.into_iter());
+        let loads = self.last_report.next_report(sums.into_iter());
         let nodes = self.nodes.keys().copied().collect();
         (self.nodes.len(), loads, nodes)
     }
@@ -151,8 +152,8 @@
     }
 
     /// Returns the next report of this node's loads.
-    pub fn own_report(&mut self, own: impl Iterator<Item = (u32, f64)>) -> Vec<Load> {
-        self.own.next_report(own)
+    pub fn own_report(&mut self, own_loads: impl Iterator<Item = (u32, f64)>) -> Vec<Load> {
+        self.last_own_report.next_report(own_loads)
     }
 
     /// Records sums over `nodes` nodes, including this one.
@@ -170,7 +171,7 @@
     /// Returns the load of the other nodes at an endpoint, in requests; 0 if no recent sum has it.
     pub fn other_nodes_load(&self, now: Duration, endpoint: u32) -> f64 {
         let sum = self.sums.get(now, self.scheme.validity(), endpoint);
-        (sum - self.own.requests(endpoint)).max(0.0)
+        (sum - self.last_own_report.requests(endpoint)).max(0.0)
     }
 
     /// Returns when sums were last accepted, if recently.
--- a/crates/oatdale-relay/tests/placement_spec.rs
+++ b/crates/oatdale-relay/tests/placement_spec.rs
@@ -1,7 +1,7 @@
 //! Model check of evacuated domains and cold endpoints: nodes learn late, are cut off, reconnect
 //! and restart at any time, and send whenever they may.
 //!
-//! What a node may send is decided by the product's own `Directory`, `WarmUp` and `warm_up_share`.
+//! What a node may send is decided by the production `Directory`, `WarmUp` and `warm_up_share`.
 
 use oatdale_check::{Spec, explore};
 use oatdale_policy::relay::{WarmUp, warm_up_share};
@@ -27,7 +27,7 @@
     ServesBeforeReading,
     /// A node that reconnects does not read the changes it missed.
     SkipsMissedChanges,
-    /// The directory is not consulted.
+    /// A node ignores the evacuation orders that it has read.
     IgnoresOrders,
     /// Each node uses an endpoint's whole request rate as its share.
     NoSharing,
@@ -66,14 +66,14 @@
 
 /// Ticks after an order in which requests may still reach the domain, and after which a reconnected
 /// node is checked.
-const BOUND_TICKS: u8 = 5;
+const COMPLIANCE_TICKS: u8 = 5;
 
 const MAX_TICKS: u8 = 12;
 const MAX_CHANGES: u8 = 3;
 const MAX_FAULTS: u8 = 3;
 
 impl Evacuation {
-    /// Whether a node sends to the domain, decided by the product's directory from the orders that
+    /// Whether a node sends to the domain, decided by the production directory from the orders that
     /// the node knows.
     fn sends(&self, node: &Follower) -> bool {
         let known = match (node.known, self.0) {
@@ -92,12 +92,15 @@
     fn tick(state: &EvacuationState) -> EvacuationState {
         let mut next = state.clone();
         next.tick += 1;
-        next.unchanged_ticks = next.unchanged_ticks.saturating_add(1).min(BOUND_TICKS + 1);
+        next.unchanged_ticks = next
+            .unchanged_ticks
+            .saturating_add(1)
+            .min(COMPLIANCE_TICKS + 1);
         for node in &mut next.nodes {
             let Some(connected_ticks) = &mut node.connected_ticks else {
                 continue;
             };
-            *connected_ticks = (*connected_ticks + 1).min(BOUND_TICKS + 1);
+            *connected_ticks = (*connected_ticks + 1).min(COMPLIANCE_TICKS + 1);
             let is_late = node.reads_missed && node.known != Some(next.is_evacuated);
             node.late_ticks = if is_late { node.late_ticks + 1 } else { 0 };
             if node.late_ticks >= LEARN_TICKS {
@@ -178,8 +181,8 @@
         if self.sends(node) {
             let must_comply = node
                 .connected_ticks
-                .is_some_and(|ticks| ticks > BOUND_TICKS);
-            if state.is_evacuated && state.unchanged_ticks > BOUND_TICKS && must_comply {
+                .is_some_and(|ticks| ticks > COMPLIANCE_TICKS);
+            if state.is_evacuated && state.unchanged_ticks > COMPLIANCE_TICKS && must_comply {
                 let mut next = state.clone();
                 next.violation = Some("a connected node sends to an evacuated domain");
                 steps.push((format!("node {index} sends"), next));
@@ -200,7 +203,7 @@
     fn initial(&self) -> Vec<EvacuationState> {
         let node = Follower {
             known: Some(false),
-            connected_ticks: Some(BOUND_TICKS + 1),
+            connected_ticks: Some(COMPLIANCE_TICKS + 1),
             late_ticks: 0,
             reads_missed: true,
         };
@@ -391,7 +394,7 @@
 }
 
 /// Returns the nodes that have a record: the lease of a killed or cut-off node expires only after
-/// such a node has noticed the cut.
+/// a cut-off node has noticed that it is cut off.
 fn registered(state: &ColdState) -> BTreeSet<usize> {
     let nodes = state.nodes.iter().enumerate();
     let registered = nodes.filter(|(_, n)| n.gone_ticks <= LEASE_TICKS);
@@ -458,11 +461,12 @@
     );
 }
 
-/// Explores a specification with an injected fault, which must break this promise.
-fn assert_fault_found(spec: &impl Spec, fault: Fault, promise: &str) {
+/// Explores a specification with an injected fault, which must break an invariant with a message
+/// that contains this text.
+fn assert_fault_found(spec: &impl Spec, fault: Fault, expected: &str) {
     let found = explore(spec, MAX_STATES).expect_err("the injected fault must be found");
     println!("{fault:?}: {found}");
-    assert!(found.broken.contains(promise), "{fault:?}: {found}");
+    assert!(found.broken.contains(expected), "{fault:?}: {found}");
 }
 
 #[test]
@@ -477,8 +481,8 @@
         (Fault::SkipsMissedChanges, "to an evacuated domain"),
         (Fault::IgnoresOrders, "to an evacuated domain"),
     ];
-    for (fault, promise) in cases {
-        assert_fault_found(&Evacuation(fault), fault, promise);
+    for (fault, expected) in cases {
+        assert_fault_found(&Evacuation(fault), fault, expected);
     }
 }
 
