--- a/crates/oatdale-policy/src/relay/addresses.rs
+++ b/crates/oatdale-policy/src/relay/addresses.rs
@@ -9,8 +9,8 @@
 pub struct AddressCandidate {
     /// Whether the node is in the caller's failure domain.
     pub same_domain: bool,
-    /// Hash of the caller's failure domain and the node's name, the same on every node: callers
-    /// close open connections when another node advertises other addresses.
+    /// Hash of the caller's failure domain and the node's name. It must be the same on every node,
+    /// because callers close open connections when another node advertises different addresses.
     pub hash: u64,
 }
 
--- a/crates/oatdale-policy/src/relay/evidence.rs
+++ b/crates/oatdale-policy/src/relay/evidence.rs
@@ -7,17 +7,19 @@
 use crate::trial::log_evidence;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Natural logarithm of the evidence above which a version is bad: one false rollback in 100
-/// rollouts of good versions. Rolling back a good version costs another order; completing a bad one
-/// affects every caller of the service, and the old endpoints are gone by then.
+/// Natural logarithm of the evidence (a mean of likelihood ratios) above which a version is bad:
+/// one false rollback in 100 rollouts of good versions. After a false rollback, the rollout has to
+/// be ordered again; completing a bad version affects every caller of the service, and the old
+/// endpoints are gone by then.
 const LOG_EVIDENCE_BOUND: f64 = 4.6;
 
-/// Natural logarithm of the evidence that must remain without the endpoint that contributes most to
-/// it: a bad version is then four times as likely at the other endpoints too.
+/// Natural logarithm of the evidence that must remain when the endpoint that contributes most to it
+/// is left out: a likelihood ratio of four for a bad version at the other endpoints.
 const LEAVE_ONE_OUT_LOG_BOUND: f64 = 1.4;
 
-/// Bad responses that suffice if only one endpoint of the version has responded: a pool may have no
-/// other endpoint of the version.
+/// Number of bad responses required for a rollback if only one endpoint of the version has
+/// responded. A second endpoint cannot be required, since a pool may have no other one of the
+/// version.
 const MIN_BAD_SINGLE_ENDPOINT: u64 = 12;
 
 /// Difference by which a good version's share of bad responses may exceed that of the old version:
@@ -69,8 +71,8 @@
 /// Result of comparing the new version with the old one.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Verdict {
-    /// No significant evidence against the version. A service with few requests may see only a few
-    /// responses of it, and the rollout proceeds all the same.
+    /// No significant evidence against the version. The rollout proceeds even if there are only a
+    /// few responses, as at a service with few requests.
     Sound,
     /// The version must be rolled back.
     Bad,
@@ -211,8 +213,8 @@
     })
 }
 
-/// Returns the logarithms of the evidence that the version is bad: first on all routes, then on
-/// each of them. The first term has the weight of all others together.
+/// Returns the logarithms of the evidence that the version is bad: first over all routes, then on
+/// each of them. In [`log_mean`], the first term has the weight of all others together.
 fn log_evidence_terms(
     version_counts: &VersionCounts,
     fault: Fault,
@@ -238,9 +240,9 @@
         .collect()
 }
 
-/// Returns the logarithm of the weighted mean of the evidence for mutually exclusive faults. As
-/// with each term, a good version raises the mean above a bound of `1 / p` with probability at most
-/// `p`.
+/// Returns the logarithm of the weighted mean of the evidence for mutually exclusive hypotheses:
+/// the version is bad on all routes, or on one of them. As with each term, a good version raises
+/// the mean above a bound of `1 / p` with probability at most `p`.
 fn log_mean(evidence: &[f64]) -> f64 {
     let (overall, by_route) = (evidence[0], &evidence[1..]);
     let largest = evidence.iter().copied().fold(f64::MIN, f64::max);
--- a/crates/oatdale-policy/src/relay/health.rs
+++ b/crates/oatdale-policy/src/relay/health.rs
@@ -6,8 +6,8 @@
 /// chance, few enough to notice a recovery within about ten responses.
 const AVERAGED_SAMPLES: f64 = 8.0;
 
-/// Failure share above which an endpoint counts as failing and gets few requests; a service whose
-/// calls fail one time in seven by themselves stays below it.
+/// Failure share above which an endpoint counts as failing and gets few requests. A service
+/// of which one call in seven fails in normal operation stays below it.
 const FAILING_SHARE: f64 = 0.3;
 
 /// Ejection time after a failure that suggests that the endpoint is unreachable; doubled by each
@@ -64,7 +64,7 @@
     }
 
     /// Records that a response is late and may never come. For requests that may be sent only once,
-    /// the timeout would tell so a second later.
+    /// the timeout would reveal this only a second later.
     pub fn record_late_response(&mut self) {
         self.failure_share += (1.0 - self.failure_share) / AVERAGED_SAMPLES;
     }
@@ -74,8 +74,8 @@
         self.failure_share > FAILING_SHARE
     }
 
-    /// Returns the factor on the endpoint's load when endpoints are compared: a failing endpoint is
-    /// used less, but often enough to notice its recovery.
+    /// Returns the factor by which the endpoint's load is multiplied when endpoints are compared: a
+    /// failing endpoint is used less, but often enough to notice its recovery.
     pub fn load_factor(&self) -> f64 {
         match self.is_failing() {
             true => 1.0 + 10.0 * self.failure_share,
--- a/crates/oatdale-policy/src/relay/ladder.rs
+++ b/crates/oatdale-policy/src/relay/ladder.rs
@@ -29,10 +29,10 @@
     pub relative_size: f64,
 }
 
-/// Wait up to which the full threshold applies.
+/// Relative wait up to which the full threshold applies.
 const FULL_THRESHOLD_WAIT: f64 = 0.3;
 
-/// Wait from which on only the minimum share of the threshold applies.
+/// Relative wait from which on only the minimum share of the threshold applies.
 const MIN_THRESHOLD_WAIT: f64 = 0.8;
 
 /// Share of the threshold that always applies: answers without any confidence are worthless, even
@@ -46,7 +46,7 @@
 const MIN_SIZE: f64 = 0.05;
 const MAX_VALUE_SIZE: f64 = 4.0;
 
-/// Bounds of the size's effect on the threshold: an answer that is a rough guess stays one,
+/// Bounds of the size's effect on the threshold: an answer with a very low confidence is poor,
 /// whatever its size.
 const MIN_SIZE_FACTOR: f64 = 0.4;
 const MAX_SIZE_FACTOR: f64 = 1.25;
@@ -81,9 +81,9 @@
 
     /// Returns the factor by which the generation's size changes the threshold.
     ///
-    /// The cost of a second run grows with the size. Its benefit to callers has a part that every
-    /// answer has, grows more slowly, and does not grow beyond a few times the usual size. Over 120
-    /// days with and without this factor, callers got 0.0025 more of the achievable value at the
+    /// The cost of a second run grows with the size. Its benefit to callers grows more slowly: a
+    /// part is the same for every answer, and beyond a few times the usual size it no longer grows.
+    /// Compared over 120 days, the factor gave callers 0.0025 more of the achievable value at the
     /// same cost.
     fn size_factor(&self) -> f64 {
         let size = self.relative_size.max(MIN_SIZE);
--- a/crates/oatdale-policy/src/relay/pace.rs
+++ b/crates/oatdale-policy/src/relay/pace.rs
@@ -20,7 +20,7 @@
 /// network and the scheduler.
 const SLOW_MARGIN: Duration = Duration::from_millis(8);
 
-/// Samples without which nothing counts as slow: there is no usual time yet.
+/// Samples that are required before anything counts as slow: with fewer, there is no usual time.
 const MIN_SAMPLES: usize = 4;
 
 /// Pace of one stream: the shortest of its first pauses.
@@ -53,8 +53,9 @@
         self.is_decided.then_some(shortest)
     }
 
-    /// Returns when the pace becomes slower than `bound` if no event comes: waiting for the next
-    /// event of a slow version would hide for seconds that it is slow.
+    /// Returns the time at which the stream is known to be slower than `bound` if no event comes
+    /// before; `None` unless the current pause is the last one and all earlier ones were slow.
+    /// Waiting for the next event would delay the detection of a slow version by seconds.
     pub fn slow_at(&self, bound: Duration) -> Option<Duration> {
         let previous_are_slow = self.shortest.is_some_and(|s| s > bound);
         let is_last = self.pauses + 1 == PACE_PAUSES;
@@ -92,7 +93,7 @@
     /// Returns the time above which an operation counts as slow, if a usual time is known.
     ///
     /// It is derived from the median: the mean follows the few operations that wait behind long
-    /// prompts, and a slow version is not far above it.
+    /// prompts, and a slow version exceeds it only slightly.
     pub fn slow_threshold(&self) -> Option<Duration> {
         let has_baseline = self.recent.len() >= MIN_SAMPLES;
         has_baseline.then(|| self.median.mul_f64(SLOW_FACTOR) + SLOW_MARGIN)
--- a/crates/oatdale-policy/src/relay/placement.rs
+++ b/crates/oatdale-policy/src/relay/placement.rs
@@ -51,7 +51,7 @@
         let allowed = (0..candidates.len()).filter(|&i| is_allowed(&candidates[i]));
         allowed.max_by_key(|&i| candidates[i].affinity)
     };
-    // Few nodes may send to a cold endpoint; those that may compensate for the others.
+    // Few nodes may send to a cold endpoint, so they prefer it to compensate for the other nodes.
     best(&|c| c.may_warm_up && c.in_flight < mean)
         .or_else(|| best(&|c| c.in_flight <= bound))
         .or_else(|| choose_by_load(candidates, 0))
--- a/crates/oatdale-policy/src/relay/quarantine.rs
+++ b/crates/oatdale-policy/src/relay/quarantine.rs
@@ -9,7 +9,8 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Number of endpoints that crash under a request until it is sent to no further one.
+/// Number of endpoints that crash under a request, that is, while running it, until it is
+/// quarantined.
 ///
 /// Of the requests that share a crashing endpoint, few are sent to the same next one, and hardly
 /// any share a third.
@@ -45,7 +46,7 @@
     Quarantined,
 }
 
-/// State of a request before it completed.
+/// How a request was tracked before it completed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum PreviousState {
     /// It was not tracked.
@@ -114,8 +115,8 @@
         tracked.is_some_and(|t| matches!(t.state, State::Suspected(_)))
     }
 
-    /// Records that a copy of a request completed, so that it crashes no endpoint; returns the
-    /// request's state before.
+    /// Stops tracking a request, a copy of which completed and which thus is not at fault; returns
+    /// how it was tracked before.
     pub fn clear(&mut self, request: Fingerprint) -> PreviousState {
         match self.tracked.remove(&request).map(|t| t.state) {
             None => PreviousState::Unknown,
--- a/crates/oatdale-policy/src/relay/readers.rs
+++ b/crates/oatdale-policy/src/relay/readers.rs
@@ -1,5 +1,5 @@
-//! Selection of the nodes that read the key-value service on behalf of their failure domain, of the
-//! nodes that have a record there, and of the source that a node reads from.
+//! Selection of the nodes that read the key-value service on behalf of their failure domain
+//! (readers), of the nodes that register a record there, and of the source that a node reads from.
 //!
 //! Hundreds of nodes watch the same records. If each read from the service, the number of calls,
 //! each of which has a price, would grow with the number of nodes, and each change would be sent to
@@ -9,8 +9,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Readers of a failure domain: while one is gone and the other nodes do not know it yet, the
-/// second one goes on.
+/// Readers of a failure domain: if one fails, the second one continues until the other nodes have
+/// noticed the failure.
 pub const READERS_PER_DOMAIN: usize = 2;
 
 /// Nodes in a failure domain from which on some read for the others. With fewer, nearly all nodes
@@ -22,17 +22,17 @@
 /// from, since the leases of all of them would have to be renewed again and again.
 pub const REGISTERED_PER_DOMAIN: usize = 3;
 
-/// Interval between two nodes that replace missing registered nodes: by then the others know the
-/// first one.
+/// Interval between the registrations of nodes that replace missing registered nodes: long enough
+/// for the other nodes to learn of a registration before the next one.
 const TAKEOVER_INTERVAL: Duration = Duration::from_millis(700);
 
 /// Longest delay of a node that starts together with all others.
 const MAX_START_DELAY: Duration = Duration::from_millis(2_400);
 
-/// Link speed in Mbit/s at which a node waits for half of that.
+/// Link speed in Mbit/s at which the start delay is half as long as at 0 Mbit/s.
 const HALF_DELAY_LINK_MBPS: f64 = 20.0;
 
-/// Seconds for which one change may fill a reader's link.
+/// Seconds for which forwarding one change may saturate a reader's link.
 const FORWARD_LINK_SECONDS: f64 = 1.0;
 
 /// Size up to which a record is forwarded over any link: endpoints, nodes and usual configurations
@@ -83,7 +83,7 @@
 }
 
 /// Returns how long a node waits that starts together with all others: nodes with fast links are
-/// registered by the time the others look which nodes exist. `draw` is from 0 to 1 and spreads
+/// registered by the time the others list the registered nodes. `draw` is from 0 to 1 and spreads
 /// nodes with equal links, which would otherwise all register at once.
 pub fn start_delay(link_mbps: u32, draw: f64) -> Duration {
     let slowness = HALF_DELAY_LINK_MBPS / (HALF_DELAY_LINK_MBPS + f64::from(link_mbps));
@@ -101,12 +101,12 @@
     MIN_FORWARDED_BYTES.max(bytes_each as usize)
 }
 
-/// Selects where a node that has readers reads: at a reader that answers, or at the service while
-/// none does.
+/// Selects the source that a node in a domain with readers reads from: a reader that answers, or
+/// the service while none does.
 ///
 /// A reader that hangs is noticed late. If another reader were asked next and hung too, the node
-/// would use stale state for longer than an endpoint has to leave. So the service is asked in
-/// between.
+/// would use stale state for longer than the time that an endpoint has for leaving. So the service
+/// is asked in between.
 #[derive(Clone, Debug)]
 pub struct ReaderSelector<K> {
     backoffs: BTreeMap<K, Backoff>,
--- a/crates/oatdale-policy/src/relay/retry_limiter.rs
+++ b/crates/oatdale-policy/src/relay/retry_limiter.rs
@@ -49,7 +49,7 @@
 
     /// Records a retry and returns `true` if the limit allows it with `reserved_share` of it left.
     ///
-    /// A deferrable use reserves a share for uses that cannot wait.
+    /// Retries that can be deferred reserve a share of the limit for those that cannot.
     pub fn try_retry(
         &mut self,
         now: Duration,
--- a/crates/oatdale-policy/src/relay/roll_out.rs
+++ b/crates/oatdale-policy/src/relay/roll_out.rs
@@ -32,29 +32,30 @@
 const MAX_TRIAL_START: Duration = Duration::from_millis(1_000);
 
 /// Time before the end in which all requests go to the new version: this fraction of the duration,
-/// within the bounds below. The end is written half a second before the order's time is over; short
-/// requests on the old version end before that, and the new version continues the rest. A longer
-/// time leaves less of the allowed exposure for the trial, which is what detects a bad version.
+/// within the bounds below. The completion is recorded half a second before the order's time is
+/// over; short requests on the old version end before that, and the new version continues the rest.
+/// A longer time leaves less of the allowed exposure for the trial, which is what detects a bad
+/// version.
 const SWITCH_LEAD_FRACTION: f64 = 0.06;
 const MAX_SWITCH_LEAD: Duration = Duration::from_millis(1_600);
 const MIN_SWITCH_LEAD: Duration = Duration::from_millis(700);
 
-/// Multiple of the usual request rate that is expected after the switch: callers come in waves.
+/// Multiple of the usual request rate that is expected after the switch: requests come in bursts.
 const PEAK_FACTOR: f64 = 1.15;
 
 /// The time of the switch is a multiple of this, so that nodes whose counts differ slightly arrive
 /// at the same one.
 const SWITCH_LEAD_STEP: Duration = Duration::from_millis(100);
 
-/// Time before the latest end from which on the end is written if no request is in flight on the
-/// old version. Not sooner: the end cannot be revoked, and a version that is bad under load or on
-/// one route shows it in the first responses after the switch.
+/// Time before the completion deadline from which on the completion is recorded if no request is in
+/// flight on the old version. Not sooner: the completion cannot be revoked, and a version that is
+/// bad under load or on one route shows it in the first responses after the switch.
 const IDLE_END_LEAD: Duration = Duration::from_millis(100);
 
-/// Fraction of the switch lead after which the end is written although requests on the old version
-/// remain, and the time before the end of the order at which it is written at the latest: a node
-/// checks five times a second, and an end that is written at the last moment may come too late to
-/// count.
+/// Fraction of the switch lead after which the completion is recorded although requests on the old
+/// version remain, and the time before the end of the order at which it is recorded at the latest:
+/// a node checks five times a second, and a completion that is recorded at the last moment may come
+/// too late to count.
 const GRACE_FRACTION: f64 = 0.5;
 const MIN_END_MARGIN: Duration = Duration::from_millis(500);
 
@@ -67,7 +68,7 @@
     Trial,
     /// All requests go to the new version.
     Switched,
-    /// The old version is no longer used, and the end can be written.
+    /// The old version is no longer used, and the completion can be recorded.
     Done,
 }
 
@@ -122,8 +123,9 @@
         self.lead
     }
 
-    /// Returns the time since the order at which the end is written although requests on the old
-    /// version remain: an end that is late does not count, and the write may have to be repeated.
+    /// Returns the time since the order at which the completion is recorded although requests on
+    /// the old version remain: a late completion does not count, and the write may have to be
+    /// repeated.
     pub fn completion_deadline(&self) -> Duration {
         let margin = self.lead.mul_f64(1.0 - GRACE_FRACTION);
         self.duration.saturating_sub(margin.max(MIN_END_MARGIN))
--- a/crates/oatdale-policy/tests/relay.rs
+++ b/crates/oatdale-policy/tests/relay.rs
@@ -150,7 +150,7 @@
         let limit = requests * RETRY_LIMIT.ratio + RETRY_LIMIT.slack;
         assert!(within(&repeated, from) <= limit, "{from:?}");
     }
-    // The allowance is used up except for a small part.
+    // The limit is used up except for a small part.
     assert!(repeated.len() as f64 > 0.8 * RETRY_LIMIT.ratio * requested.len() as f64);
 }
 
--- a/crates/oatdale-policy/tests/relay_quarantine.rs
+++ b/crates/oatdale-policy/tests/relay_quarantine.rs
@@ -13,6 +13,8 @@
     Duration::from_secs(n)
 }
 
+/// Records the crashes of `MAX_CRASHES` endpoints; returns whether the last one quarantines the
+/// request.
 fn crash_max_endpoints(quarantine: &mut Quarantine, now: Duration, request: Fingerprint) -> bool {
     let crashed = (0..MAX_CRASHES as u32).map(|e| quarantine.record_crash(now, request, e));
     crashed.last().unwrap_or(false)
--- a/crates/oatdale-policy/tests/relay_roll_outs.rs
+++ b/crates/oatdale-policy/tests/relay_roll_outs.rs
@@ -57,7 +57,8 @@
     let default_lead = schedule.switch_lead();
     schedule.adjust_to_rate(secs(14), 70.0, 90.0);
     assert!(schedule.switch_lead() < default_lead, "{schedule:?}");
-    // Never so late that requests on the old version cannot end or the end cannot be written.
+    // Never so late that requests on the old version cannot end or the completion cannot be
+    // recorded.
     schedule.adjust_to_rate(secs(14), 70.0, 700.0);
     assert_eq!(schedule.switch_lead(), Duration::from_millis(700));
     assert_eq!(
@@ -104,7 +105,8 @@
         .collect()
 }
 
-/// Responses on one route; those of the new version come half from each of two endpoints.
+/// Builds counts of responses on one route; those of the new version are divided between two
+/// endpoints.
 fn version_counts(new: [u64; 4], old: [u64; 4]) -> VersionCounts {
     let halves = [new.map(|n| n / 2), new.map(|n| n - n / 2)];
     VersionCounts {
--- a/crates/oatdale-policy/tests/spec/rollout.rs
+++ b/crates/oatdale-policy/tests/spec/rollout.rs
@@ -73,7 +73,7 @@
     requests: u8,
     /// A queued request: its node, and the version chosen on its arrival.
     waiting: Option<(usize, usize)>,
-    /// Violation by the last session that was opened or request that ran.
+    /// Violation by the session that opened or the request that ran last.
     violation: Option<Violation>,
 }
 
