--- a/crates/oatdale-policy/src/relay.rs
+++ b/crates/oatdale-policy/src/relay.rs
@@ -38,7 +38,7 @@
 pub use crate::relay::ladder::{EscalationDecision, Ladder};
 pub use crate::relay::pace::{BaselineTime, StreamPace};
 pub use crate::relay::placement::{Candidate, Placement, choose};
-pub use crate::relay::quarantine::{MAX_CRASHES, PreviousState, QUARANTINE_TIME, Quarantine};
+pub use crate::relay::quarantine::{MAX_CRASHES, QUARANTINE_TIME, Quarantine, Tracking};
 pub use crate::relay::readers::{
     READERS_PER_DOMAIN, REGISTERED_PER_DOMAIN, ReaderCandidate, ReaderSelector,
     max_forwarded_bytes, rank_readers, registration_delay, select_readers, start_delay,
--- a/crates/oatdale-policy/src/relay/evidence.rs
+++ b/crates/oatdale-policy/src/relay/evidence.rs
@@ -218,13 +218,13 @@
 fn log_evidence_terms(
     version_counts: &VersionCounts,
     fault: Fault,
-    includes: impl Fn(&Origin) -> bool,
+    is_included: impl Fn(&Origin) -> bool,
 ) -> Vec<f64> {
     let log_evidence_on = |route: Option<u32>| {
         let is_on_route = |o: &Origin| route.is_none_or(|r| o.route == r);
         let new = version_counts
             .new
-            .cases(fault, |o| is_on_route(o) && includes(o));
+            .cases(fault, |o| is_on_route(o) && is_included(o));
         let old = version_counts.old.cases(fault, is_on_route);
         log_evidence(new.bad, new.samples, baseline_share(old))
     };
@@ -243,9 +243,9 @@
 /// Returns the logarithm of the weighted mean of the evidence for mutually exclusive hypotheses:
 /// the version is bad on all routes, or on one of them. As with each term, a good version raises
 /// the mean above a bound of `1 / p` with probability at most `p`.
-fn log_mean(evidence: &[f64]) -> f64 {
-    let (overall, by_route) = (evidence[0], &evidence[1..]);
-    let largest = evidence.iter().copied().fold(f64::MIN, f64::max);
+fn log_mean(log_terms: &[f64]) -> f64 {
+    let (overall, by_route) = (log_terms[0], &log_terms[1..]);
+    let largest = log_terms.iter().copied().fold(f64::MIN, f64::max);
     let sum: f64 = by_route.iter().map(|e| (e - largest).exp()).sum();
     let mean = sum / by_route.len().max(1) as f64;
     largest + (0.5 * (overall - largest).exp() + 0.5 * mean).ln()
--- a/crates/oatdale-policy/src/relay/health.rs
+++ b/crates/oatdale-policy/src/relay/health.rs
@@ -44,8 +44,8 @@
 
 impl Health {
     /// Records a response, successful or failed.
-    pub fn record_response(&mut self, good: bool) {
-        let sample = if good { 0.0 } else { 1.0 };
+    pub fn record_response(&mut self, is_success: bool) {
+        let sample = if is_success { 0.0 } else { 1.0 };
         self.failure_share += (sample - self.failure_share) / AVERAGED_SAMPLES;
         self.consecutive_unreachable = 0;
     }
--- a/crates/oatdale-policy/src/relay/ladder.rs
+++ b/crates/oatdale-policy/src/relay/ladder.rs
@@ -52,27 +52,27 @@
 const MAX_SIZE_FACTOR: f64 = 1.25;
 
 impl Ladder {
-    /// Decides about an answer of the model at position `pos` in a ladder of `sizes` models.
+    /// Decides about an answer of the model at position `pos` in a ladder of `model_count` models.
     ///
     /// `may_run` says whether a further run is allowed and would finish in time.
     pub fn decide(
         &self,
         pos: usize,
-        sizes: usize,
+        model_count: usize,
         confidence: Option<u8>,
         may_run: bool,
     ) -> EscalationDecision {
-        let top = sizes.saturating_sub(1);
+        let top = model_count.saturating_sub(1);
         match confidence {
-            Some(score) if may_run && pos < top && f64::from(score) < self.bound() => {
+            Some(score) if may_run && pos < top && f64::from(score) < self.min_confidence() => {
                 EscalationDecision::Escalate(top)
             }
             _ => EscalationDecision::Accept,
         }
     }
 
-    /// Returns the confidence below which an answer is escalated.
-    fn bound(&self) -> f64 {
+    /// Returns the lowest confidence at which an answer is not escalated.
+    fn min_confidence(&self) -> f64 {
         let overload =
             (self.relative_wait - FULL_THRESHOLD_WAIT) / (MIN_THRESHOLD_WAIT - FULL_THRESHOLD_WAIT);
         let wait_factor = (1.0 - overload).clamp(MIN_THRESHOLD_SHARE, 1.0);
--- a/crates/oatdale-policy/src/relay/pace.rs
+++ b/crates/oatdale-policy/src/relay/pace.rs
@@ -57,11 +57,11 @@
     /// before; `None` unless the current pause is the last one and all earlier ones were slow.
     /// Waiting for the next event would delay the detection of a slow version by seconds.
     pub fn slow_at(&self, bound: Duration) -> Option<Duration> {
-        let previous_are_slow = self.shortest.is_some_and(|s| s > bound);
-        let is_last = self.pauses + 1 == PACE_PAUSES;
-        let decides = !self.is_decided && is_last && previous_are_slow;
+        let earlier_pauses_are_slow = self.shortest.is_some_and(|s| s > bound);
+        let next_is_last_pause = self.pauses + 1 == PACE_PAUSES;
+        let next_pause_decides = !self.is_decided && next_is_last_pause && earlier_pauses_are_slow;
         self.last_event
-            .filter(|_| decides)
+            .filter(|_| next_pause_decides)
             .map(|previous| previous + bound)
     }
 
@@ -80,11 +80,11 @@
 
 impl BaselineTime {
     /// Records the time of an operation.
-    pub fn record(&mut self, took: Duration) {
+    pub fn record(&mut self, elapsed: Duration) {
         if self.recent.len() == MEDIAN_SAMPLES {
             self.recent.pop_front();
         }
-        self.recent.push_back(took);
+        self.recent.push_back(elapsed);
         let mut sorted: Vec<_> = self.recent.iter().copied().collect();
         let middle = sorted.len() / 2;
         self.median = *sorted.select_nth_unstable(middle).1;
--- a/crates/oatdale-policy/src/relay/quarantine.rs
+++ b/crates/oatdale-policy/src/relay/quarantine.rs
@@ -29,11 +29,11 @@
 /// Requests under which endpoints crashed, as seen by one node.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
-    tracked: HashMap<Fingerprint, Tracked>,
+    tracked: HashMap<Fingerprint, TrackedRequest>,
 }
 
 #[derive(Clone, Debug)]
-struct Tracked {
+struct TrackedRequest {
     state: State,
     /// When the entry is dropped.
     expires_at: Duration,
@@ -48,7 +48,7 @@
 
 /// How a request was tracked before it completed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum PreviousState {
+pub enum Tracking {
     /// It was not tracked.
     Unknown,
     /// Endpoints had crashed under it.
@@ -69,10 +69,13 @@
     /// `endpoint` identifies one start of the endpoint: several nodes report the same crash.
     pub fn record_crash(&mut self, now: Duration, request: Fingerprint, endpoint: u32) -> bool {
         self.ensure_capacity(now, request);
-        let tracked = self.tracked.entry(request).or_insert_with(|| Tracked {
-            state: State::Suspected(SmallVec::new()),
-            expires_at: now,
-        });
+        let tracked = self
+            .tracked
+            .entry(request)
+            .or_insert_with(|| TrackedRequest {
+                state: State::Suspected(SmallVec::new()),
+                expires_at: now,
+            });
         let State::Suspected(crashed_endpoints) = &mut tracked.state else {
             return false;
         };
@@ -89,7 +92,7 @@
             return false;
         }
         self.ensure_capacity(now, request);
-        let tracked = Tracked {
+        let tracked = TrackedRequest {
             state: State::Quarantined,
             expires_at: now + QUARANTINE_TIME,
         };
@@ -117,11 +120,11 @@
 
     /// Stops tracking a request, a copy of which completed and which thus is not at fault; returns
     /// how it was tracked before.
-    pub fn clear(&mut self, request: Fingerprint) -> PreviousState {
+    pub fn clear(&mut self, request: Fingerprint) -> Tracking {
         match self.tracked.remove(&request).map(|t| t.state) {
-            None => PreviousState::Unknown,
-            Some(State::Suspected(_)) => PreviousState::Suspected,
-            Some(State::Quarantined) => PreviousState::Quarantined,
+            None => Tracking::Unknown,
+            Some(State::Suspected(_)) => Tracking::Suspected,
+            Some(State::Quarantined) => Tracking::Quarantined,
         }
     }
 
@@ -150,7 +153,8 @@
         if self.tracked.len() < MAX_TRACKED_REQUESTS {
             return;
         }
-        let eviction_key = |t: &Tracked| (matches!(t.state, State::Quarantined), t.expires_at);
+        let eviction_key =
+            |t: &TrackedRequest| (matches!(t.state, State::Quarantined), t.expires_at);
         let evicted = self.tracked.iter().min_by_key(|(_, t)| eviction_key(t));
         if let Some(request) = evicted.map(|(request, _)| *request) {
             self.tracked.remove(&request);
--- a/crates/oatdale-policy/src/relay/readers.rs
+++ b/crates/oatdale-policy/src/relay/readers.rs
@@ -78,8 +78,8 @@
     let missing = REGISTERED_PER_DOMAIN
         .checked_sub(registered)
         .filter(|n| *n > 0)?;
-    let turn = u32::try_from(rank / missing).unwrap_or(u32::MAX);
-    Some(TAKEOVER_INTERVAL.saturating_mul(turn))
+    let round = u32::try_from(rank / missing).unwrap_or(u32::MAX);
+    Some(TAKEOVER_INTERVAL.saturating_mul(round))
 }
 
 /// Returns how long a node waits that starts together with all others: nodes with fast links are
@@ -97,8 +97,8 @@
 /// link, it would reach the last one after many seconds and delay all other updates.
 pub fn max_forwarded_bytes(link_mbps: u32, followers: usize) -> usize {
     let link_bytes = f64::from(link_mbps) * 125_000.0 * FORWARD_LINK_SECONDS;
-    let bytes_each = link_bytes / followers.max(1) as f64;
-    MIN_FORWARDED_BYTES.max(bytes_each as usize)
+    let bytes_per_follower = link_bytes / followers.max(1) as f64;
+    MIN_FORWARDED_BYTES.max(bytes_per_follower as usize)
 }
 
 /// Selects the source that a node in a domain with readers reads from: a reader that answers, or
@@ -136,8 +136,11 @@
             return None;
         }
         self.backoffs.retain(|reader, _| readers.contains(reader));
-        let is_waiting = |reader: &K| self.backoffs.get(reader).is_some_and(|b| now < b.until);
-        readers.iter().copied().find(|reader| !is_waiting(reader))
+        let is_backing_off = |reader: &K| self.backoffs.get(reader).is_some_and(|b| now < b.until);
+        readers
+            .iter()
+            .copied()
+            .find(|reader| !is_backing_off(reader))
     }
 
     /// Records that a reader answered.
--- a/crates/oatdale-policy/src/relay/roll_out.rs
+++ b/crates/oatdale-policy/src/relay/roll_out.rs
@@ -50,14 +50,14 @@
 /// Time before the completion deadline from which on the completion is recorded if no request is in
 /// flight on the old version. Not sooner: the completion cannot be revoked, and a version that is
 /// bad under load or on one route shows it in the first responses after the switch.
-const IDLE_END_LEAD: Duration = Duration::from_millis(100);
+const IDLE_COMPLETION_LEAD: Duration = Duration::from_millis(100);
 
 /// Fraction of the switch lead after which the completion is recorded although requests on the old
 /// version remain, and the time before the end of the order at which it is recorded at the latest:
 /// a node checks five times a second, and a completion that is recorded at the last moment may come
 /// too late to count.
 const GRACE_FRACTION: f64 = 0.5;
-const MIN_END_MARGIN: Duration = Duration::from_millis(500);
+const MIN_COMPLETION_MARGIN: Duration = Duration::from_millis(500);
 
 /// Phase of a rollout according to its schedule.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -92,11 +92,13 @@
 
     /// Returns the phase at the time `since` the order.
     pub fn phase(&self, since: Duration, verdict: Verdict) -> Phase {
-        let idle_end = self.completion_deadline().saturating_sub(IDLE_END_LEAD);
+        let idle_completion = self
+            .completion_deadline()
+            .saturating_sub(IDLE_COMPLETION_LEAD);
         let trial_start = MAX_TRIAL_START.min(self.duration.mul_f64(TRIAL_START_FRACTION));
         match verdict {
             _ if since < trial_start => Phase::Announced,
-            Verdict::Sound if since >= idle_end.max(self.switch_at()) => Phase::Done,
+            Verdict::Sound if since >= idle_completion.max(self.switch_at()) => Phase::Done,
             Verdict::Sound if since >= self.switch_at() => Phase::Switched,
             _ => Phase::Trial,
         }
@@ -128,7 +130,8 @@
     /// repeated.
     pub fn completion_deadline(&self) -> Duration {
         let margin = self.lead.mul_f64(1.0 - GRACE_FRACTION);
-        self.duration.saturating_sub(margin.max(MIN_END_MARGIN))
+        self.duration
+            .saturating_sub(margin.max(MIN_COMPLETION_MARGIN))
     }
 
     /// Returns the time since the order at which all requests switch to the new version.
--- a/crates/oatdale-policy/src/relay/warm_up.rs
+++ b/crates/oatdale-policy/src/relay/warm_up.rs
@@ -27,8 +27,8 @@
     }
     let per_second = (rate as u32).max(1);
     let nodes = u32::try_from(nodes.max(1)).unwrap_or(u32::MAX);
-    let has_remainder = u32::try_from(rank).is_ok_and(|rank| rank < per_second % nodes);
-    per_second / nodes + u32::from(has_remainder)
+    let gets_extra_request = u32::try_from(rank).is_ok_and(|rank| rank < per_second % nodes);
+    per_second / nodes + u32::from(gets_extra_request)
 }
 
 /// Requests that a node sent to an endpoint recently.
--- a/crates/oatdale-policy/tests/relay.rs
+++ b/crates/oatdale-policy/tests/relay.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn unreachable_endpoint_backs_off_longer_each_time_and_is_retried() {
+fn unreachable_endpoint_is_ejected_longer_each_time_and_then_retried() {
     let mut health = Health::default();
     let mut now = secs(10);
     let mut backoffs = Vec::new();
@@ -97,7 +97,7 @@
 // A call that may be sent only once gets no response. Four late responses must suffice to prefer
 // other endpoints, before any call has reached its timeout.
 #[test]
-fn late_answers_raise_the_load_factor() {
+fn late_responses_raise_the_load_factor() {
     let mut health = Health::default();
     for n in 0..70 {
         health.record_response(n % 7 != 0);
@@ -120,24 +120,24 @@
 // waves; the requests of the window before count too, as operators state the limit.
 #[test]
 fn retries_stay_within_the_limit_in_any_window() {
-    let planned = RetryLimit {
+    let reduced_limit = RetryLimit {
         ratio: RETRY_LIMIT.ratio * 0.85,
         slack: RETRY_LIMIT.slack * 0.85,
         ..RETRY_LIMIT
     };
     let mut limiter = RetryLimiter::default();
     let mut requested = Vec::new();
-    let mut repeated = Vec::new();
+    let mut retried = Vec::new();
     for tick in 0..6_000_u64 {
         let now = Duration::from_millis(tick * 10);
         let is_burst = (tick / 700) % 3 == 1;
         let is_trickle = tick % 40 == 0;
         if is_burst || is_trickle {
-            limiter.record_request(now, &planned);
+            limiter.record_request(now, &reduced_limit);
             requested.push(now);
         }
-        while limiter.try_retry(now, &planned, 0.0) {
-            repeated.push(now);
+        while limiter.try_retry(now, &reduced_limit, 0.0) {
+            retried.push(now);
         }
     }
     let within = |times: &[Duration], from: Duration| {
@@ -148,23 +148,23 @@
         let before = from.saturating_sub(RETRY_LIMIT.window / 2);
         let requests = within(&requested, from).max(within(&requested, before));
         let limit = requests * RETRY_LIMIT.ratio + RETRY_LIMIT.slack;
-        assert!(within(&repeated, from) <= limit, "{from:?}");
+        assert!(within(&retried, from) <= limit, "{from:?}");
     }
     // The limit is used up except for a small part.
-    assert!(repeated.len() as f64 > 0.8 * RETRY_LIMIT.ratio * requested.len() as f64);
+    assert!(retried.len() as f64 > 0.8 * RETRY_LIMIT.ratio * requested.len() as f64);
 }
 
 #[test]
 fn reserved_share_is_left_for_other_retries() {
     let mut limiter = RetryLimiter::default();
-    let allowed = RetryLimit {
+    let retry_limit = RetryLimit {
         slack: 10.0,
         ..RETRY_LIMIT
     };
     let now = Duration::from_secs(1);
-    let deferrable = (0..20).filter(|_| limiter.try_retry(now, &allowed, 0.2));
+    let deferrable = (0..20).filter(|_| limiter.try_retry(now, &retry_limit, 0.2));
     assert_eq!(deferrable.count(), 8);
-    let urgent = (0..20).filter(|_| limiter.try_retry(now, &allowed, 0.0));
+    let urgent = (0..20).filter(|_| limiter.try_retry(now, &retry_limit, 0.0));
     assert_eq!(urgent.count(), 2);
 }
 
@@ -173,7 +173,7 @@
 // a low-confidence answer because two or three of them came in a row.
 #[test]
 fn clustered_retries_are_allowed_at_a_low_request_rate() {
-    let allowed = RetryLimit {
+    let retry_limit = RetryLimit {
         window: Duration::from_secs(10),
         ratio: 0.765,
         slack: 2.1,
@@ -183,11 +183,11 @@
     let mut low_confidence = 0;
     for n in 0..600_u64 {
         let now = Duration::from_millis(n * 160);
-        limiter.record_request(now, &allowed);
+        limiter.record_request(now, &retry_limit);
         // Four of ten, in a row.
         if n % 10 < 4 {
             low_confidence += 1;
-            refused += u32::from(!limiter.try_retry(now, &allowed, 0.2));
+            refused += u32::from(!limiter.try_retry(now, &retry_limit, 0.2));
         }
     }
     assert!(
--- a/crates/oatdale-policy/tests/relay_addresses.rs
+++ b/crates/oatdale-policy/tests/relay_addresses.rs
@@ -14,15 +14,18 @@
     hasher.finish()
 }
 
-/// Returns the running nodes with their domains, as candidates for a caller of domain `caller`.
-fn nodes(caller: usize, alive: impl Fn(usize, usize) -> bool) -> Vec<(usize, AddressCandidate)> {
+/// Returns the running nodes with their domains, as candidates for a caller in `caller_domain`.
+fn nodes(
+    caller_domain: usize,
+    alive: impl Fn(usize, usize) -> bool,
+) -> Vec<(usize, AddressCandidate)> {
     let all = (0..NODES_PER_DOMAIN.len())
         .flat_map(|domain| (0..NODES_PER_DOMAIN[domain]).map(move |n| (domain, n)));
     let alive = all.filter(|&(domain, n)| alive(domain, n));
     let candidate = |(domain, n)| {
         let candidate = AddressCandidate {
-            same_domain: domain == caller,
-            hash: hash((caller, domain, n)),
+            same_domain: domain == caller_domain,
+            hash: hash((caller_domain, domain, n)),
         };
         (domain, candidate)
     };
@@ -40,8 +43,8 @@
 #[test]
 fn load_of_all_callers_is_spread_over_all_domains() {
     let mut uses = [0; NODES_PER_DOMAIN.len()];
-    for caller in 0..NODES_PER_DOMAIN.len() {
-        let nodes = nodes(caller, |_, _| true);
+    for caller_domain in 0..NODES_PER_DOMAIN.len() {
+        let nodes = nodes(caller_domain, |_, _| true);
         let advertised = advertised(&nodes);
         assert_eq!(advertised.len(), MAX_ADDRESSES);
         for i in advertised {
@@ -49,8 +52,8 @@
         }
     }
     let mean = (MAX_ADDRESSES * NODES_PER_DOMAIN.len() / NODES_PER_DOMAIN.len()) as f64;
-    for domain in uses {
-        assert!(f64::from(domain) < 1.3 * mean, "{uses:?}");
+    for use_count in uses {
+        assert!(f64::from(use_count) < 1.3 * mean, "{uses:?}");
     }
 }
 
--- a/crates/oatdale-policy/tests/relay_quarantine.rs
+++ b/crates/oatdale-policy/tests/relay_quarantine.rs
@@ -1,6 +1,6 @@
 //! Quarantine of requests under which endpoints crash.
 
-use oatdale_policy::relay::{Fingerprint, MAX_CRASHES, PreviousState, QUARANTINE_TIME, Quarantine};
+use oatdale_policy::relay::{Fingerprint, MAX_CRASHES, QUARANTINE_TIME, Quarantine, Tracking};
 use rand::seq::IteratorRandom;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -55,11 +55,11 @@
     for round in 0..5 {
         quarantine.record_crash(secs(round), REQUEST, 10 * round as u32);
         quarantine.record_crash(secs(round), REQUEST, 10 * round as u32 + 1);
-        assert_eq!(quarantine.clear(REQUEST), PreviousState::Suspected);
+        assert_eq!(quarantine.clear(REQUEST), Tracking::Suspected);
     }
     assert!(crash_max_endpoints(&mut quarantine, secs(9), REQUEST));
-    assert_eq!(quarantine.clear(REQUEST), PreviousState::Quarantined);
-    assert_eq!(quarantine.clear(REQUEST), PreviousState::Unknown);
+    assert_eq!(quarantine.clear(REQUEST), Tracking::Quarantined);
+    assert_eq!(quarantine.clear(REQUEST), Tracking::Unknown);
     assert!(quarantine.is_empty());
 }
 
@@ -105,7 +105,7 @@
 fn simulate_crashes(seed: u64, engines: usize, concurrency: usize) -> (usize, usize) {
     let mut rng = Pcg64::seed_from_u64(seed);
     let mut quarantine = Quarantine::default();
-    let mut others: HashMap<u128, usize> = (1..=(engines * concurrency) as u128)
+    let mut innocent_requests: HashMap<u128, usize> = (1..=(engines * concurrency) as u128)
         .map(|request| (request, rng.random_range(0..engines)))
         .collect();
     let (mut quarantined, mut crashes) = (0, 0);
@@ -114,7 +114,10 @@
         let incarnation = (engine + engines * crashes) as u32;
         crashes += 1;
         quarantine.record_crash(secs(1), Fingerprint(0), incarnation);
-        for (request, at) in others.iter_mut().filter(|(_, at)| **at == engine) {
+        for (request, at) in innocent_requests
+            .iter_mut()
+            .filter(|(_, at)| **at == engine)
+        {
             quarantined +=
                 usize::from(quarantine.record_crash(secs(1), Fingerprint(*request), incarnation));
             *at = rng.random_range(0..engines);
--- a/crates/oatdale-policy/tests/spec/rollout.rs
+++ b/crates/oatdale-policy/tests/spec/rollout.rs
@@ -83,7 +83,7 @@
     /// A request ran on a withdrawn version.
     Ran,
     /// A request ran on a version other than the one its session is pinned to.
-    Moved,
+    ChangedVersion,
     /// A session opened on a closed version, that is, a draining or withdrawn one.
     Opened,
 }
@@ -158,7 +158,10 @@
                     State::Draining | State::Withdrawn => Some(Violation::Opened),
                     State::Canary | State::Serving => None,
                 };
-                steps.push((format!("session opens at node {node} on {version}"), next));
+                steps.push((
+                    format!("session opens at node {node} on version {version}"),
+                    next,
+                ));
             }
         }
         steps
@@ -180,7 +183,7 @@
             let mut next = world.clone();
             next.waiting = Some((node, version));
             next.requests += 1;
-            steps.push((format!("a request waits at node {node}"), next));
+            steps.push((format!("a request is queued at node {node}"), next));
         }
         steps
     }
@@ -212,11 +215,14 @@
             return vec![(format!("node {node} refuses the request"), next)];
         };
         next.violation = match () {
-            () if Some(version) != world.pinned => Some(Violation::Moved),
+            () if Some(version) != world.pinned => Some(Violation::ChangedVersion),
             () if Self::state(world, node, version) == State::Withdrawn => Some(Violation::Ran),
             () => None,
         };
-        vec![(format!("node {node} runs the request on {version}"), next)]
+        vec![(
+            format!("node {node} runs the request on version {version}"),
+            next,
+        )]
     }
 }
 
@@ -247,7 +253,7 @@
     fn invariant(&self, world: &World) -> Result<(), String> {
         match world.violation {
             Some(Violation::Ran) => Err("a withdrawn version received work".to_owned()),
-            Some(Violation::Moved) => Err("a session changed version".to_owned()),
+            Some(Violation::ChangedVersion) => Err("a session changed version".to_owned()),
             Some(Violation::Opened) => Err("a session opened on a closed version".to_owned()),
             None if world.revisions != world.highest => Err("a revision decreased".to_owned()),
             None => Ok(()),
--- a/crates/oatdale-policy/tests/spec/stop.rs
+++ b/crates/oatdale-policy/tests/spec/stop.rs
@@ -70,7 +70,7 @@
 
 impl Stop {
     /// Whether the stop is in force at a node.
-    fn holds(&self, node: &Node) -> bool {
+    fn is_stopped(&self, node: &Node) -> bool {
         let Some(stopped_at) = node.stop else {
             return false;
         };
@@ -151,7 +151,7 @@
     fn session_steps(&self, world: &World, index: usize) -> Vec<(String, World)> {
         let node = world.nodes[index];
         let may_decide = node.has_read || self.fault == Fault::RestartForgets;
-        let stopped = self.holds(&node);
+        let stopped = self.is_stopped(&node);
         let admits_new = may_decide && admits(VersionState::Serving, stopped, Work::New);
         let admits_pinned = match self.fault {
             Fault::PinnedIsStopped => !stopped,
--- a/crates/oatdale-relay/src/crashes.rs
+++ b/crates/oatdale-relay/src/crashes.rs
@@ -19,7 +19,7 @@
 use crate::state::{State, hash};
 use crate::update::Command;
 use crate::wire::Wire;
-use oatdale_policy::relay::{Fingerprint, PreviousState};
+use oatdale_policy::relay::{Fingerprint, Tracking};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -67,11 +67,9 @@
         let mut state = self.state();
         let msg = Message::Completed { request: request.0 };
         match state.quarantine.clear(request) {
-            PreviousState::Unknown => {}
-            PreviousState::Suspected => {
-                gossip::send_now(self, tally_peers(self, &state, request), &msg);
-            }
-            PreviousState::Quarantined => {
+            Tracking::Unknown => {}
+            Tracking::Suspected => gossip::send_now(self, tally_peers(self, &state, request), &msg),
+            Tracking::Quarantined => {
                 log::warn!(target: "quarantine", "event=released request={request} reason=\"a copy completed\"");
                 state.pending_records.add(self.now(), request, false);
                 gossip::broadcast(self, &state, &msg);
@@ -174,7 +172,7 @@
     let now = cx.now();
     let is_new = match is_quarantined {
         true => state.quarantine.quarantine(now, request),
-        false => state.quarantine.clear(request) != PreviousState::Unknown,
+        false => state.quarantine.clear(request) != Tracking::Unknown,
     };
     if is_new {
         log::info!(target: "quarantine", "event=learned request={request} held={is_quarantined}");
