--- a/crates/oatdale-policy/src/relay/health.rs
+++ b/crates/oatdale-policy/src/relay/health.rs
@@ -6,8 +6,8 @@
 /// chance, few enough to notice a recovery within about ten responses.
 const AVERAGED_SAMPLES: f64 = 8.0;
 
-/// Failure share above which an endpoint counts as failing and gets few requests. A service
-/// of which one call in seven fails in normal operation stays below it.
+/// Failure share above which an endpoint counts as failing and gets few requests. A service of
+/// which one call in seven fails in normal operation stays below it.
 const FAILING_SHARE: f64 = 0.3;
 
 /// Ejection time after a failure that suggests that the endpoint is unreachable; doubled by each
--- a/crates/oatdale-policy/src/relay/placement.rs
+++ b/crates/oatdale-policy/src/relay/placement.rs
@@ -4,8 +4,8 @@
 /// it caches. Above it the wait costs more than reading the prefix again.
 const AFFINITY_LOAD_FACTOR: f64 = 1.1;
 
-/// Load, in requests, that is allowed beyond that multiple: with few requests in flight the mean
-/// says little.
+/// Load, in requests, that is allowed beyond that multiple: with few requests in flight, the mean
+/// is not meaningful.
 const AFFINITY_SLACK_REQUESTS: f64 = 2.0;
 
 /// Load, in requests, by which an endpoint of another failure domain must be below one of the
--- a/crates/oatdale-policy/src/relay/readers.rs
+++ b/crates/oatdale-policy/src/relay/readers.rs
@@ -72,8 +72,8 @@
     order
 }
 
-/// Returns how long after registered nodes went missing the unregistered node with this rank
-/// registers; `None` if enough nodes are registered.
+/// Returns the delay after which the unregistered node with this rank registers once registered
+/// nodes have gone missing; `None` if enough nodes are registered.
 pub fn registration_delay(registered: usize, rank: usize) -> Option<Duration> {
     let missing = REGISTERED_PER_DOMAIN
         .checked_sub(registered)
@@ -82,9 +82,9 @@
     Some(TAKEOVER_INTERVAL.saturating_mul(round))
 }
 
-/// Returns how long a node waits that starts together with all others: nodes with fast links are
-/// registered by the time the others list the registered nodes. `draw` is from 0 to 1 and spreads
-/// nodes with equal links, which would otherwise all register at once.
+/// Returns how long a node that starts together with all others waits before it registers: nodes
+/// with fast links are registered by the time the others list the registered nodes. `draw` is from
+/// 0 to 1 and spreads nodes with equal links, which would otherwise all register at once.
 pub fn start_delay(link_mbps: u32, draw: f64) -> Duration {
     let slowness = HALF_DELAY_LINK_MBPS / (HALF_DELAY_LINK_MBPS + f64::from(link_mbps));
     MAX_START_DELAY.mul_f64(slowness * (1.0 + draw) / 2.0)
--- a/crates/oatdale-policy/src/relay/roll_out.rs
+++ b/crates/oatdale-policy/src/relay/roll_out.rs
@@ -3,11 +3,11 @@
 //!
 //! All nodes follow the same schedule by the time since the order, so that they expose the version
 //! alike without coordination. At first no request uses it, while the nodes exchange which sessions
-//! run; then a small share of the requests does for most of the time; then all requests do for the
-//! short rest, in which requests on the old version end. The share and the late switch are such
-//! that a version whose faults never show in the trial has still received less than about a sixth
-//! of the requests at the end. The observations of all nodes are summed; a version that fails or is
-//! slow more often than the old one is rolled back at once.
+//! run. In the trial, which takes most of the time, a small share of the requests uses it. After
+//! the switch, all requests use it for the short rest, in which requests on the old version end.
+//! The share and the late switch are such that a version whose faults never show in the trial has
+//! still received less than about a sixth of the requests at the end. The observations of all nodes
+//! are summed; a version that fails or is slow more often than the old one is rolled back at once.
 
 use crate::relay::evidence::Verdict;
 use std::time::Duration;
@@ -32,10 +32,10 @@
 const MAX_TRIAL_START: Duration = Duration::from_millis(1_000);
 
 /// Time before the end in which all requests go to the new version: this fraction of the duration,
-/// within the bounds below. The completion is recorded half a second before the order's time is
-/// over; short requests on the old version end before that, and the new version continues the rest.
-/// A longer time leaves less of the allowed exposure for the trial, which is what detects a bad
-/// version.
+/// within the bounds below. The completion is recorded at least half a second before the order's
+/// time is over; short requests on the old version end before that, and the new version continues
+/// the rest. A longer time leaves less of the allowed exposure for the trial, which is what detects
+/// a bad version.
 const SWITCH_LEAD_FRACTION: f64 = 0.06;
 const MAX_SWITCH_LEAD: Duration = Duration::from_millis(1_600);
 const MIN_SWITCH_LEAD: Duration = Duration::from_millis(700);
@@ -43,8 +43,8 @@
 /// Multiple of the usual request rate that is expected after the switch: requests come in bursts.
 const PEAK_FACTOR: f64 = 1.15;
 
-/// The time of the switch is a multiple of this, so that nodes whose counts differ slightly arrive
-/// at the same one.
+/// A shortened switch lead is rounded up to a multiple of this, so that nodes whose counts differ
+/// slightly arrive at the same one.
 const SWITCH_LEAD_STEP: Duration = Duration::from_millis(100);
 
 /// Time before the completion deadline from which on the completion is recorded if no request is in
@@ -152,9 +152,9 @@
 /// Returns the share of requests that try the new version, for a service with `rate` requests a
 /// second.
 ///
-/// Together with the requests after the switch, it uses up the planned exposure if there is no
-/// evidence against the version until the end: as much evidence as possible, and never more
-/// exposure.
+/// Together with the requests after the switch, the trial uses up the planned exposure if there is
+/// no evidence against the version until the end. This gives as much evidence as possible without
+/// exceeding the planned exposure.
 pub fn trial_share(limit: ExposureLimit, rate: f64, schedule: &Schedule) -> f64 {
     let secs = schedule.duration.as_secs_f64();
     let switch_lead = schedule.lead.as_secs_f64();
--- a/crates/oatdale-policy/tests/relay.rs
+++ b/crates/oatdale-policy/tests/relay.rs
@@ -116,8 +116,9 @@
 };
 
 // Endpoints that fail because they are overloaded would stay so if each request were sent again: in
-// no window, whenever it begins, may there be more retries than its requests allow. Callers come in
-// waves; the requests of the window before count too, as operators state the limit.
+// no window, whenever it begins, may there be more retries than its requests allow. Requests come
+// in bursts; as operators state the limit, the requests of a window that begins half a window
+// earlier may be counted instead.
 #[test]
 fn retries_stay_within_the_limit_in_any_window() {
     let reduced_limit = RetryLimit {
