--- a/crates/oatdale-policy/src/relay/pace.rs
+++ b/crates/oatdale-policy/src/relay/pace.rs
@@ -58,10 +58,11 @@
     /// Waiting for the next event would delay the detection of a slow version by seconds.
     pub fn slow_at(&self, bound: Duration) -> Option<Duration> {
         let earlier_pauses_are_slow = self.shortest.is_some_and(|s| s > bound);
-        let next_is_last_pause = self.pauses + 1 == PACE_PAUSES;
-        let next_pause_decides = !self.is_decided && next_is_last_pause && earlier_pauses_are_slow;
+        let current_is_last_pause = self.pauses + 1 == PACE_PAUSES;
+        let current_pause_decides =
+            !self.is_decided && current_is_last_pause && earlier_pauses_are_slow;
         self.last_event
-            .filter(|_| next_pause_decides)
+            .filter(|_| current_pause_decides)
             .map(|previous| previous + bound)
     }
 
