--- a/crates/oatdale-policy/src/relay/roll_out.rs
+++ b/crates/oatdale-policy/src/relay/roll_out.rs
@@ -3,11 +3,11 @@
 //!
 //! All nodes follow the same schedule by the time since the order, so that they expose the version
 //! alike without coordination. At first no request uses it, while the nodes exchange which sessions
-//! run; then a small share of the requests does for most of the time; then all requests do for the
-//! short rest, in which requests on the old version end. The share and the late switch are such
-//! that a version whose faults never show in the trial has still received less than about a sixth
-//! of the requests at the end. The observations of all nodes are summed; a version that fails or is
-//! slow more often than the old one is rolled back at once.
+//! run. In the trial, which takes most of the time, a small share of the requests uses it. After
+//! the switch, all requests use it for the short rest, in which requests on the old version end.
+//! The share and the late switch are such that a version whose faults never show in the trial has
+//! still received less than about a sixth of the requests at the end. The observations of all nodes
+//! are summed; a version that fails or is slow more often than the old one is rolled back at once.
 
 use crate::relay::evidence::Verdict;
 use std::time::Duration;
@@ -32,31 +32,32 @@
 const MAX_TRIAL_START: Duration = Duration::from_millis(1_000);
 
 /// Time before the end in which all requests go to the new version: this fraction of the duration,
-/// within the bounds below. The end is written half a second before the order's time is over; short
-/// requests on the old version end before that, and the new version continues the rest. A longer
-/// time leaves less of the allowed exposure for the trial, which is what detects a bad version.
+/// within the bounds below. The completion is recorded at least half a second before the order's
+/// time is over; short requests on the old version end before that, and the new version continues
+/// the rest. A longer time leaves less of the allowed exposure for the trial, which is what detects
+/// a bad version.
 const SWITCH_LEAD_FRACTION: f64 = 0.06;
 const MAX_SWITCH_LEAD: Duration = Duration::from_millis(1_600);
 const MIN_SWITCH_LEAD: Duration = Duration::from_millis(700);
 
-/// Multiple of the usual request rate that is expected after the switch: callers come in waves.
+/// Multiple of the usual request rate that is expected after the switch: requests come in bursts.
 const PEAK_FACTOR: f64 = 1.15;
 
-/// The time of the switch is a multiple of this, so that nodes whose counts differ slightly arrive
-/// at the same one.
+/// A shortened switch lead is rounded up to a multiple of this, so that nodes whose counts differ
+/// slightly arrive at the same one.
 const SWITCH_LEAD_STEP: Duration = Duration::from_millis(100);
 
-/// Time before the latest end from which on the end is written if no request is in flight on the
-/// old version. Not sooner: the end cannot be revoked, and a version that is bad under load or on
-/// one route shows it in the first responses after the switch.
-const IDLE_END_LEAD: Duration = Duration::from_millis(100);
+/// Time before the completion deadline from which on the completion is recorded if no request is in
+/// flight on the old version. Not sooner: the completion cannot be revoked, and a version that is
+/// bad under load or on one route shows it in the first responses after the switch.
+const IDLE_COMPLETION_LEAD: Duration = Duration::from_millis(100);
 
-/// Fraction of the switch lead after which the end is written although requests on the old version
-/// remain, and the time before the end of the order at which it is written at the latest: a node
-/// checks five times a second, and an end that is written at the last moment may come too late to
-/// count.
+/// Fraction of the switch lead after which the completion is recorded although requests on the old
+/// version remain, and the time before the end of the order at which it is recorded at the latest:
+/// a node checks five times a second, and a completion that is recorded at the last moment may come
+/// too late to count.
 const GRACE_FRACTION: f64 = 0.5;
-const MIN_END_MARGIN: Duration = Duration::from_millis(500);
+const MIN_COMPLETION_MARGIN: Duration = Duration::from_millis(500);
 
 /// Phase of a rollout according to its schedule.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -67,7 +68,7 @@
     Trial,
     /// All requests go to the new version.
     Switched,
-    /// The old version is no longer used, and the end can be written.
+    /// The old version is no longer used, and the completion can be recorded.
     Done,
 }
 
@@ -91,11 +92,13 @@
 
     /// Returns the phase at the time `since` the order.
     pub fn phase(&self, since: Duration, verdict: Verdict) -> Phase {
-        let idle_end = self.completion_deadline().saturating_sub(IDLE_END_LEAD);
+        let idle_completion = self
+            .completion_deadline()
+            .saturating_sub(IDLE_COMPLETION_LEAD);
         let trial_start = MAX_TRIAL_START.min(self.duration.mul_f64(TRIAL_START_FRACTION));
         match verdict {
             _ if since < trial_start => Phase::Announced,
-            Verdict::Sound if since >= idle_end.max(self.switch_at()) => Phase::Done,
+            Verdict::Sound if since >= idle_completion.max(self.switch_at()) => Phase::Done,
             Verdict::Sound if since >= self.switch_at() => Phase::Switched,
             _ => Phase::Trial,
         }
@@ -122,11 +125,13 @@
         self.lead
     }
 
-    /// Returns the time since the order at which the end is written although requests on the old
-    /// version remain: an end that is late does not count, and the write may have to be repeated.
+    /// Returns the time since the order at which the completion is recorded although requests on
+    /// the old version remain: a late completion does not count, and the write may have to be
+    /// repeated.
     pub fn completion_deadline(&self) -> Duration {
         let margin = self.lead.mul_f64(1.0 - GRACE_FRACTION);
-        self.duration.saturating_sub(margin.max(MIN_END_MARGIN))
+        self.duration
+            .saturating_sub(margin.max(MIN_COMPLETION_MARGIN))
     }
 
     /// Returns the time since the order at which all requests switch to the new version.
@@ -147,9 +152,9 @@
 /// Returns the share of requests that try the new version, for a service with `rate` requests a
 /// second.
 ///
-/// Together with the requests after the switch, it uses up the planned exposure if there is no
-/// evidence against the version until the end: as much evidence as possible, and never more
-/// exposure.
+/// Together with the requests after the switch, the trial uses up the planned exposure if there is
+/// no evidence against the version until the end. This gives as much evidence as possible without
+/// exceeding the planned exposure.
 pub fn trial_share(limit: ExposureLimit, rate: f64, schedule: &Schedule) -> f64 {
     let secs = schedule.duration.as_secs_f64();
     let switch_lead = schedule.lead.as_secs_f64();
