--- a/crates/oatdale-policy/src/cascade.rs
+++ b/crates/oatdale-policy/src/cascade.rs
@@ -26,35 +26,36 @@
 /// Step size with which the price of quality follows the shortfall.
 const PRICE_STEP: f64 = 0.01;
 
-/// Margin above the target at which the price aims, as a share of answers.
+/// Margin by which the price control aims above the target, as a share of answers.
 const TARGET_MARGIN_SHARE: f64 = 0.001;
 
 /// Bounds of the price of quality, as multiples of the most expensive version's cost.
 const PRICE_RANGE: (f64, f64) = (1e-3, 100.0);
 
-/// Shortfall, in accepted answers, that raises the aim by one percentage point.
+/// Shortfall, in accepted answers, that raises the setpoint by one percentage point.
 const CATCH_UP_ANSWERS: f64 = 10.0;
 
-/// Bounds of the offset by which an excess lowers the aim and a shortfall raises it, as a share of
-/// answers.
+/// Bounds of the offset by which an excess lowers the setpoint and a shortfall raises it, as a
+/// share of answers.
 const AIM_OFFSET_RANGE: (f64, f64) = (-0.01, 0.03);
 
-/// Accepted answers above the target that worse answers may offset later; more would not benefit
-/// the later callers.
+/// Maximum excess of accepted answers over the target that is credited against later rejected ones.
+/// A larger credit would allow more bad answers to later callers, who do not benefit from it.
 const MAX_EXCESS_ANSWERS: f64 = 2.0;
 
 /// Requests over which a shortfall decays.
 const SHORTFALL_MEMORY_REQUESTS: f64 = 4_000.0;
 
-/// Answers over which the share of late ratings is averaged.
+/// Unbuffered answers over which the share of late ratings is averaged.
 const SAMPLING_MEMORY_ANSWERS: f64 = 1_000.0;
 
-/// Answers, all of them rated, that are assumed at the start, or the first rating would count for
-/// all answers before it.
+/// Unbuffered answers, all of them rated, that are assumed at the start. Without them, the first
+/// rating would count for all answers before it.
 const SAMPLING_PRIOR_ANSWERS: f64 = 50.0;
 
-/// Latency weight above which streaming has priority. A buffered answer reaches its caller only
-/// once it is complete and rated, so streams of such a service are never buffered.
+/// Latency weight above which a service's latency has priority over its cost. A buffered answer
+/// reaches its caller only once it is complete and rated, so streams of such a service are never
+/// buffered.
 const LATENCY_FIRST: f64 = 0.5;
 
 /// Share of requests that try a version to learn its quality.
@@ -86,10 +87,11 @@
     mean_max_cost: Mean,
     /// Mean time to the first byte at the slowest version, in seconds.
     mean_max_seconds: Mean,
-    /// Accepted answers that are missing to the target, according to the ratings.
+    /// Accepted answers that are lacking to reach the target, by the ratings; negative for an excess.
     shortfall: f64,
-    /// Recent answers that were not buffered, and how many of them were rated later.
+    /// Recent answers that were not buffered.
     unbuffered: f64,
+    /// Those of them that were rated after delivery.
     late_rated: f64,
 }
 
@@ -375,7 +377,7 @@
     /// exploration costs money and time but not quality. If the answer may not be buffered, the
     /// version is tried alone. A version that would not be chosen even at its optimistic share of
     /// accepted answers is not tried: exploring the most expensive version on the longest requests
-    /// costs more than it teaches.
+    /// costs more than its ratings are worth.
     fn explore(
         &self,
         info: &RequestInfo,
--- a/crates/oatdale-policy/src/cascade/sequence.rs
+++ b/crates/oatdale-policy/src/cascade/sequence.rs
@@ -41,8 +41,11 @@
 pub(super) struct Weights {
     /// Value of an accepted answer, as a multiple of the most expensive version's cost.
     pub(super) quality_price: f64,
+    /// Weight of latency against cost, from 0 to 1.
     pub(super) latency: f64,
+    /// Divisor that normalizes costs.
     pub(super) cost_scale: f64,
+    /// Divisor that normalizes times.
     pub(super) seconds_scale: f64,
 }
 
@@ -59,8 +62,8 @@
     forecasts.iter().map(f).fold(0.0, f64::max)
 }
 
-/// Returns the versions of which none is both more expensive and worse than another, cheapest
-/// first.
+/// Returns the versions that have a higher acceptance or a shorter time to the first byte than the
+/// next cheaper one, cheapest first, at most [`MAX_COMBINED_VERSIONS`].
 pub(super) fn pareto_front(forecasts: &[VersionForecast]) -> SmallVec<[VersionForecast; 8]> {
     let mut sorted: SmallVec<[VersionForecast; 64]> = SmallVec::from_slice(forecasts);
     sorted.sort_unstable_by(|a, b| {
@@ -127,7 +130,7 @@
     (steps.iter().map(|&i| front[i].version).collect(), forecast)
 }
 
-/// Returns the highest share that is plausible by this number of ratings.
+/// Returns the highest share of accepted answers that is plausible given this number of ratings.
 pub(super) fn optimistic_share(share: f64, ratings: f64) -> f64 {
     let variance = (share * (1.0 - share)).max(0.02);
     let margin = 2.0 * (variance / (ratings + 1.0)).sqrt();
--- a/crates/oatdale-policy/src/choice.rs
+++ b/crates/oatdale-policy/src/choice.rs
@@ -81,9 +81,9 @@
 
     /// Sets whether a stop is recorded.
     ///
-    /// A record replaces this router's own decision, which then ends with the record. A missing
-    /// record does not revoke the decision: it may still be in flight, and a node that took its
-    /// absence for the end of the stop would serve the bad version again.
+    /// A record replaces this router's own decision, so that the stop ends when the record is
+    /// removed. A missing record does not revoke the decision: the record may still be in flight,
+    /// and a node that took its absence for the end of the stop would serve the bad version again.
     pub(crate) fn set_recorded(&mut self, version: VersionKey, recorded: bool) {
         self.recorded_stops[version.index()] = recorded;
         if recorded {
@@ -143,8 +143,8 @@
 
     /// Returns the canary whose share includes the request, if any.
     ///
-    /// With `instead_of`, only canaries of that version's model are considered, since a share is a
-    /// share of its model's new work.
+    /// With `instead_of`, only canaries of that version's model are considered, since a canary's
+    /// share applies to the new work of its model.
     pub(crate) fn canary(
         &self,
         cfg: &Config,
--- a/crates/oatdale-policy/src/endpoint.rs
+++ b/crates/oatdale-policy/src/endpoint.rs
@@ -62,7 +62,7 @@
     ///
     /// `share` is this node's share of all the load on the pool. Every node sees the same free
     /// capacity in a report; if each filled it, the excess requests would multiply by the number of
-    /// nodes. So a node refills what its own requests free and takes its share of the rest.
+    /// nodes. So a node reuses the slots that its own requests free and takes its share of the rest.
     pub(crate) fn has_room_for_surge(&self, now: Duration, capacity: u32, share: f64) -> bool {
         let Some(own_at_report) = self.own_at_report else {
             return self.has_room(now, capacity);
@@ -140,8 +140,9 @@
 
     /// Records a load report, less the requests that this node had there when it was made.
     ///
-    /// If the report counted this node's own requests twice, or those that have ended since, each
-    /// node would leave the endpoint and return to it in step with the reports.
+    /// Otherwise this node's requests would count twice, or still count after their end, and the
+    /// load would oscillate: all nodes would avoid the endpoint and return to it in step with the
+    /// reports.
     pub(crate) fn record_report(&mut self, now: Duration, report: LoadReport, dither: f64) {
         let reported_at = now.saturating_sub(report.age);
         let own = self.running_at(reported_at);
--- a/crates/oatdale-policy/src/endpoints.rs
+++ b/crates/oatdale-policy/src/endpoints.rs
@@ -18,7 +18,8 @@
 /// other choice.
 const AFFINITY_SCORE_FACTOR: f64 = 2.0;
 
-/// A surging service leaves one slot in this many free at each endpoint.
+/// A service that uses more than its share of a pool leaves one slot in this many free at each
+/// endpoint.
 const SURGE_RESERVE_DIVISOR: u32 = 8;
 
 /// Fraction of its slots above which an endpoint counts as nearly full.
@@ -53,7 +54,7 @@
 pub(crate) struct Endpoints {
     pub(crate) states: Vec<EndpointState>,
     subsets: Vec<Vec<EndpointKey>>,
-    /// Rank of each endpoint in this node's order of preference.
+    /// Hash by which this node ranks each endpoint; subsets consist of the lowest ranks.
     ranks: Vec<u64>,
     versions: usize,
     pub(crate) domain: Option<DomainKey>,
@@ -246,7 +247,7 @@
         )
     }
 
-    /// Returns the available endpoint with the best score, whether or not it has room.
+    /// Returns the available endpoint with the best (lowest) score, whether or not it has room.
     pub(crate) fn least_loaded(
         &self,
         now: Duration,
--- a/crates/oatdale-policy/src/evidence.rs
+++ b/crates/oatdale-policy/src/evidence.rs
@@ -63,6 +63,7 @@
 /// Counters of this node, the latest of the other nodes, and the sums.
 pub(crate) struct Evidence {
     own: Vec<VersionCounters>,
+    /// Latest counters of the other nodes, by incarnation.
     remote: BTreeMap<u64, Vec<VersionCounters>>,
     totals: Vec<VersionCounters>,
 }
--- a/crates/oatdale-policy/src/lib.rs
+++ b/crates/oatdale-policy/src/lib.rs
@@ -1,4 +1,4 @@
-//! Every routing decision as pure functions over arenas.
+//! Routing decisions as deterministic code without I/O, over arenas with typed keys.
 //!
 //! A [`Router`] receives requests, answers, load reports, ratings and configurations, and returns
 //! what to do. Times are [`Duration`](std::time::Duration)s since the node's start. They are
--- a/crates/oatdale-policy/src/queue.rs
+++ b/crates/oatdale-policy/src/queue.rs
@@ -8,7 +8,7 @@
 pub(crate) struct QueuedRequest {
     /// The request.
     pub(crate) ticket: Ticket,
-    /// Requests of a flow run by descending priority; in order of arrival if equal.
+    /// Requests of a flow run by descending priority, those of equal priority in order of arrival.
     pub(crate) priority: u32,
     /// Expected resource use, in any unit that all requests share.
     pub(crate) cost: f64,
@@ -17,7 +17,7 @@
 /// Flows that share a resource in proportion to their weights.
 ///
 /// A flow that becomes backlogged starts at the current virtual time: it gains no credit while idle
-/// and pays nothing for the past.
+/// and is charged nothing for the past.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FairQueue {
     flows: Vec<Flow>,
--- a/crates/oatdale-policy/src/router/finish.rs
+++ b/crates/oatdale-policy/src/router/finish.rs
@@ -22,7 +22,7 @@
 /// Multiple of the usual time to the first byte above which an answer counts as slow.
 const SLOW_FIRST_BYTE_RATIO: f64 = 3.0;
 
-/// Multiple of the usual duration of an attempt from which on a timeout is evidence against the
+/// Multiple of the usual duration of an attempt at or above which a timeout is evidence against the
 /// endpoint and the version.
 const CONCLUSIVE_TIMEOUT_RATIO: f64 = 3.0;
 
@@ -111,7 +111,7 @@
     /// Whether an attempt timed out too early to be evidence against its endpoint or version.
     ///
     /// Callers set their own timeouts. If the far too short timeouts of one customer counted, they
-    /// would stop sound versions and pause endpoints for all customers. A timeout counts after
+    /// would stop healthy versions and back off from endpoints for all customers. A timeout counts after
     /// several times the usual duration or half of the service's deadline: a version that hangs
     /// must be detected even if all its callers have shorter timeouts than the service.
     fn is_inconclusive_timeout(&self, info: &RequestInfo, outcome: &Outcome) -> bool {
@@ -322,8 +322,8 @@
         }
     }
 
-    /// Runs the plan's next step that may still serve the request; without one, the last answer
-    /// stands.
+    /// Runs the plan's next step that may still serve the request; without one, the last answer is
+    /// final.
     fn escalate(&mut self, ticket: Ticket, info: &RequestInfo) -> AttemptDecision {
         let Some(request) = self.requests.get(ticket) else {
             return AttemptDecision::Done;
@@ -421,7 +421,7 @@
     })
 }
 
-/// Returns the result of a request whose customer, service or pinned version was removed from the
+/// Returns the decision for a request whose customer, service or pinned version was removed from the
 /// configuration while it ran.
 fn finish_orphaned(outcome: &Outcome) -> AttemptDecision {
     match outcome.result {
--- a/crates/oatdale-policy/src/router/poll.rs
+++ b/crates/oatdale-policy/src/router/poll.rs
@@ -5,7 +5,7 @@
 use oatdale_config::{Key, PoolKey, ServiceKey};
 use std::time::Duration;
 
-/// Flows of one service (one per customer) whose first request is tried before the next service's.
+/// Maximum number of flows of a service, one per customer, that are tried before the next service.
 const MAX_FLOWS_TRIED: usize = 4;
 
 impl Router {
--- a/crates/oatdale-policy/src/router/start.rs
+++ b/crates/oatdale-policy/src/router/start.rs
@@ -9,11 +9,11 @@
 use smallvec::SmallVec;
 use std::time::Duration;
 
-/// Multiple of its even share of the pool from which on a service is surging; chance alone takes a
-/// service with few requests slightly above its share.
+/// Multiple of its even share of the pool at or above which a service is surging; chance alone
+/// takes a service with few requests slightly above its share.
 const SURGE_RATIO: f64 = 1.25;
 
-/// Latency weight from which on a version with room is preferred to a cheaper one without.
+/// Latency weight at or above which a version with room is preferred to a cheaper one without.
 const MIN_LATENCY_FIRST_WEIGHT: f64 = 0.5;
 
 impl Router {
--- a/crates/oatdale-policy/src/trial.rs
+++ b/crates/oatdale-policy/src/trial.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Returns the accepted share of bad cases while there is nothing to compare with.
+    /// Returns the accepted share of bad cases while there are too few samples to compare with.
     fn default_share(self) -> f64 {
         match self {
             Fault::Errors => 0.05,
@@ -119,8 +119,8 @@
     /// Continues the trials of an earlier configuration.
     ///
     /// A trial restarts, with the version's counts so far as its history, unless the version's
-    /// state and the versions that it is compared with are the same as before: counts that were
-    /// compared with other versions say nothing now.
+    /// state and the versions that it is compared with are the same as before: earlier counts can't
+    /// be compared with those of other versions.
     pub(crate) fn migrate(
         &mut self,
         old: Trials,
@@ -248,8 +248,8 @@
     same_state && before == after
 }
 
-/// Returns the accepted share of bad cases: that of the other versions since the trial began, else
-/// the version's own before the trial, else a fixed one.
+/// Returns the accepted share of bad cases, with a margin: that of the other versions since the
+/// trial began, else the version's own before the trial, else [`Fault::default_share`].
 fn baseline_share(
     fault: Fault,
     reference_total: &VersionCounters,
--- a/crates/oatdale-policy/tests/router/admission.rs
+++ b/crates/oatdale-policy/tests/router/admission.rs
@@ -119,7 +119,7 @@
         while let Some((ticket, _)) = router.poll_queue(secs(0.2)) {
             decision_count += 1;
             if ticket == small_ticket {
-                assert!(decision_count <= 2, "turn {decision_count}");
+                assert!(decision_count <= 2, "ran as decision {decision_count}");
                 return;
             }
         }
@@ -258,8 +258,8 @@
     assert_eq!(reason, RefusalReason::Dependency);
 }
 
-/// An endpoint refuses every connection. It is paused after a few failures, so that not every
-/// request tries it first, and retried later, so that it can recover.
+/// An endpoint refuses every connection. It is backed off from after a few failures, so that not
+/// every request tries it first, and probed later, so that it can recover.
 #[test]
 fn failing_endpoint_is_paused_and_retried_later() {
     let mut router = TestConfig::default().router();
--- a/crates/oatdale-policy/tests/router/fixture.rs
+++ b/crates/oatdale-policy/tests/router/fixture.rs
@@ -65,7 +65,7 @@
 }
 
 impl TestConfig {
-    /// Returns a configuration of two customers, and three workers of the model service and three
+    /// Returns a configuration of two customers, and three engines of the model service and three
     /// hosts of the plain service in three domains.
     pub(crate) fn config(&self) -> Arc<Config> {
         Arc::new(Config {
--- a/crates/oatdale-policy/tests/router/learning.rs
+++ b/crates/oatdale-policy/tests/router/learning.rs
@@ -264,8 +264,8 @@
     );
 }
 
-/// A service is removed while requests are queued for it. They must be refused at once, not wait
-/// for a turn that never comes.
+/// A service is removed while requests are queued for it. They must be refused at once, since its
+/// queue no longer exists.
 #[test]
 fn queued_requests_of_a_removed_service_are_refused() {
     let mut router = TestConfig::default().router();
@@ -425,7 +425,7 @@
     }
 }
 
-/// A service is renamed while its requests are in flight. If the slots that they use at the
+/// A service is renamed, which removes the old one, while its requests are in flight. If the slots that they use at the
 /// endpoints were never released, the pool would stay full for the new service.
 #[test]
 fn requests_of_a_removed_service_release_their_slots() {
--- a/crates/oatdale-policy/tests/router/states.rs
+++ b/crates/oatdale-policy/tests/router/states.rs
@@ -87,7 +87,7 @@
     assert_eq!(refusal, RefusalReason::SessionVersionWithdrawn);
 }
 
-/// The version is withdrawn while a request waits for a free worker. If the choice made on arrival
+/// The version is withdrawn while a request waits for a free engine. If the choice made on arrival
 /// were kept, the version would answer seconds after its withdrawal.
 #[test]
 fn waiting_request_does_not_run_on_a_version_withdrawn_meanwhile() {
@@ -101,7 +101,7 @@
     let all_withdrawn = [VersionState::Withdrawn; 3];
     router.reconfigure(secs(0.5), with_states(all_withdrawn).config());
     router.finish(secs(0.5), running, &complete(None));
-    let (polled_ticket, decision) = router.poll_queue(secs(0.5)).expect("a worker is free");
+    let (polled_ticket, decision) = router.poll_queue(secs(0.5)).expect("an engine is free");
     assert_eq!(polled_ticket, ticket);
     let QueueDecision::Refuse(refusal) = decision else {
         panic!("ran on a withdrawn version: {decision:?}");
@@ -155,7 +155,7 @@
     assert_ne!(dispatch.version, Some(version(0)));
 }
 
-/// Sends requests until the workers are full and one request waits; returns the tickets of the last
+/// Sends requests until the engines are full and one request waits; returns the tickets of the last
 /// running and of the waiting request.
 fn fill_workers(router: &mut Router) -> (oatdale_policy::Ticket, oatdale_policy::Ticket) {
     let mut running = None;
@@ -165,7 +165,7 @@
             other => return (running.expect("a request ran"), expect_wait(other)),
         }
     }
-    panic!("the workers never became full");
+    panic!("the engines never became full");
 }
 
 /// The configuration has a canary that no engine has loaded yet. Requests of its share would wait
