--- a/crates/oatdale-policy/src/cascade.rs
+++ b/crates/oatdale-policy/src/cascade.rs
@@ -37,7 +37,7 @@
 
 /// Bounds of the offset by which an excess lowers the setpoint and a shortfall raises it, as a
 /// share of answers.
-const AIM_OFFSET_RANGE: (f64, f64) = (-0.01, 0.03);
+const SETPOINT_OFFSET_RANGE: (f64, f64) = (-0.01, 0.03);
 
 /// Maximum excess of accepted answers over the target that is credited against later rejected ones.
 /// A larger credit would allow more bad answers to later callers, who do not benefit from it.
@@ -47,11 +47,11 @@
 const SHORTFALL_MEMORY_REQUESTS: f64 = 4_000.0;
 
 /// Unbuffered answers over which the share of late ratings is averaged.
-const SAMPLING_MEMORY_ANSWERS: f64 = 1_000.0;
+const LATE_RATING_MEMORY_ANSWERS: f64 = 1_000.0;
 
 /// Unbuffered answers, all of them rated, that are assumed at the start. Without them, the first
 /// rating would count for all answers before it.
-const SAMPLING_PRIOR_ANSWERS: f64 = 50.0;
+const LATE_RATING_PRIOR_ANSWERS: f64 = 50.0;
 
 /// Latency weight above which a service's latency has priority over its cost. A buffered answer
 /// reaches its caller only once it is complete and rated, so streams of such a service are never
@@ -138,8 +138,8 @@
             mean_max_cost: Mean::new(SCALE_MEMORY_REQUESTS),
             mean_max_seconds: Mean::new(SCALE_MEMORY_REQUESTS),
             shortfall: 0.0,
-            unbuffered: SAMPLING_PRIOR_ANSWERS,
-            late_rated: SAMPLING_PRIOR_ANSWERS,
+            unbuffered: LATE_RATING_PRIOR_ANSWERS,
+            late_rated: LATE_RATING_PRIOR_ANSWERS,
         }
     }
 
@@ -197,9 +197,10 @@
     /// Adjusts the price of quality after a request got a plan of this expected quality.
     pub(crate) fn adjust_price(&mut self, target: f64, quality: f64) {
         let catch_up = 0.01 * self.shortfall * self.late_rating_share() / CATCH_UP_ANSWERS;
-        let aim =
-            target + TARGET_MARGIN_SHARE + catch_up.clamp(AIM_OFFSET_RANGE.0, AIM_OFFSET_RANGE.1);
-        let step = PRICE_STEP * (aim - quality) / (1.0 - target).max(0.05);
+        let setpoint = target
+            + TARGET_MARGIN_SHARE
+            + catch_up.clamp(SETPOINT_OFFSET_RANGE.0, SETPOINT_OFFSET_RANGE.1);
+        let step = PRICE_STEP * (setpoint - quality) / (1.0 - target).max(0.05);
         self.quality_price = (self.quality_price * step.exp()).clamp(PRICE_RANGE.0, PRICE_RANGE.1);
     }
 
@@ -221,7 +222,7 @@
         self.shortfall *= 1.0 - 1.0 / SHORTFALL_MEMORY_REQUESTS;
         self.shortfall = (self.shortfall + target - accepted).max(-MAX_EXCESS_ANSWERS);
         if rating.is_none() {
-            let retained = 1.0 - 1.0 / SAMPLING_MEMORY_ANSWERS;
+            let retained = 1.0 - 1.0 / LATE_RATING_MEMORY_ANSWERS;
             self.unbuffered = self.unbuffered * retained + 1.0;
             self.late_rated *= retained;
         }
--- a/crates/oatdale-policy/src/choice.rs
+++ b/crates/oatdale-policy/src/choice.rs
@@ -84,7 +84,7 @@
     /// A record replaces this router's own decision, so that the stop ends when the record is
     /// removed. A missing record does not revoke the decision: the record may still be in flight,
     /// and a node that took its absence for the end of the stop would serve the bad version again.
-    pub(crate) fn set_recorded(&mut self, version: VersionKey, recorded: bool) {
+    pub(crate) fn set_recorded_stop(&mut self, version: VersionKey, recorded: bool) {
         self.recorded_stops[version.index()] = recorded;
         if recorded {
             self.local_stops[version.index()] = false;
--- a/crates/oatdale-policy/src/endpoint.rs
+++ b/crates/oatdale-policy/src/endpoint.rs
@@ -118,12 +118,12 @@
     }
 
     /// Records an answer and its time to the first byte, relative to the usual one.
-    pub(crate) fn record_answer(&mut self, relative: Option<f64>) {
+    pub(crate) fn record_answer(&mut self, first_byte_ratio: Option<f64>) {
         self.consecutive_failures = 0;
         self.failure_share *= 1.0 - SAMPLE_WEIGHT;
-        if let Some(relative) = relative {
-            let old = self.relative_latency.unwrap_or(relative);
-            self.relative_latency = Some(old + SAMPLE_WEIGHT * (relative - old));
+        if let Some(first_byte_ratio) = first_byte_ratio {
+            let old = self.relative_latency.unwrap_or(first_byte_ratio);
+            self.relative_latency = Some(old + SAMPLE_WEIGHT * (first_byte_ratio - old));
         }
     }
 
--- a/crates/oatdale-policy/src/endpoints.rs
+++ b/crates/oatdale-policy/src/endpoints.rs
@@ -56,7 +56,7 @@
     subsets: Vec<Vec<EndpointKey>>,
     /// Hash by which this node ranks each endpoint; subsets consist of the lowest ranks.
     ranks: Vec<u64>,
-    versions: usize,
+    version_count: usize,
     pub(crate) domain: Option<DomainKey>,
     pub(crate) seed: u64,
 }
@@ -71,7 +71,7 @@
                 .iter()
                 .map(|(_, e)| mix(seed ^ name_hash(&e.name)))
                 .collect(),
-            versions: cfg.versions.len(),
+            version_count: cfg.versions.len(),
             domain,
             seed,
         };
@@ -81,8 +81,8 @@
 
     /// Recomputes all subsets after a configuration change.
     pub(crate) fn rebuild(&mut self, cfg: &Config) {
-        self.versions = cfg.versions.len();
-        self.subsets = vec![Vec::new(); cfg.pools.len() * (self.versions + 1)];
+        self.version_count = cfg.versions.len();
+        self.subsets = vec![Vec::new(); cfg.pools.len() * (self.version_count + 1)];
         for (pool, item) in cfg.pools.iter() {
             let index = self.subset_index(pool, None);
             self.subsets[index] = self.select_subset(item.endpoints.iter().copied());
@@ -129,7 +129,7 @@
 
     fn subset_index(&self, pool: PoolKey, version: Option<VersionKey>) -> usize {
         let offset = version.map_or(0, |v| v.index() + 1);
-        pool.index() * (self.versions + 1) + offset
+        pool.index() * (self.version_count + 1) + offset
     }
 
     /// Returns the endpoints that this node uses for a pool and version; `None` stands for all
@@ -248,7 +248,7 @@
     }
 
     /// Returns the available endpoint with the best (lowest) score, whether or not it has room.
-    pub(crate) fn least_loaded(
+    pub(crate) fn best_available(
         &self,
         now: Duration,
         cfg: &Config,
--- a/crates/oatdale-policy/src/evidence.rs
+++ b/crates/oatdale-policy/src/evidence.rs
@@ -92,8 +92,8 @@
     }
 
     /// Merges another node's counters; duplicate or outdated reports change nothing.
-    pub(crate) fn merge(&mut self, node: u64, counters: &[VersionCounters]) {
-        let reported = self.remote.entry(node).or_default();
+    pub(crate) fn merge(&mut self, incarnation: u64, counters: &[VersionCounters]) {
+        let reported = self.remote.entry(incarnation).or_default();
         for new in counters {
             let Some(total) = self.totals.get_mut(new.version.index()) else {
                 continue;
@@ -132,7 +132,7 @@
                 self.record(version, |c| *c = c.plus(&moved));
             }
         }
-        for (node, counters) in old.remote {
+        for (incarnation, counters) in old.remote {
             let moved: Vec<_> = counters
                 .iter()
                 .filter_map(|c| {
@@ -140,7 +140,7 @@
                     Some(VersionCounters { version, ..*c })
                 })
                 .collect();
-            self.merge(node, &moved);
+            self.merge(incarnation, &moved);
         }
     }
 }
--- a/crates/oatdale-policy/src/queue.rs
+++ b/crates/oatdale-policy/src/queue.rs
@@ -68,14 +68,14 @@
     }
 
     /// Returns the backlogged flows, lowest virtual time first.
-    pub(crate) fn order(&self) -> smallvec::SmallVec<[usize; 16]> {
-        let mut order: smallvec::SmallVec<[usize; 16]> =
+    pub(crate) fn backlogged_flows(&self) -> smallvec::SmallVec<[usize; 16]> {
+        let mut backlogged_flows: smallvec::SmallVec<[usize; 16]> =
             smallvec::SmallVec::from_slice(&self.backlogged);
-        order.sort_unstable_by(|&a, &b| {
+        backlogged_flows.sort_unstable_by(|&a, &b| {
             let (x, y) = (&self.flows[a], &self.flows[b]);
             x.virtual_time.total_cmp(&y.virtual_time).then(a.cmp(&b))
         });
-        order
+        backlogged_flows
     }
 
     /// Returns the next request of a flow.
--- a/crates/oatdale-policy/src/router.rs
+++ b/crates/oatdale-policy/src/router.rs
@@ -234,7 +234,7 @@
             return;
         }
         let was_stopped = self.catalogue.is_stopped(version);
-        self.catalogue.set_recorded(version, stopped);
+        self.catalogue.set_recorded_stop(version, stopped);
         if was_stopped && !self.catalogue.is_stopped(version) {
             self.trials.restart(version, &self.cfg, &self.evidence);
         }
--- a/crates/oatdale-policy/src/router/finish.rs
+++ b/crates/oatdale-policy/src/router/finish.rs
@@ -104,8 +104,8 @@
         let first_byte_ratio = self.relative_first_byte(info, attempt, outcome);
         let is_slow = self.is_slow_for_model(info, attempt, outcome);
         self.record_durations(info, outcome);
-        self.record_endpoint(info, attempt, outcome, first_byte_ratio);
-        self.record_version(info, attempt, outcome, is_slow);
+        self.record_endpoint_outcome(info, attempt, outcome, first_byte_ratio);
+        self.record_version_outcome(info, attempt, outcome, is_slow);
     }
 
     /// Whether an attempt timed out too early to be evidence against its endpoint or version.
@@ -163,7 +163,7 @@
         }
     }
 
-    fn record_endpoint(
+    fn record_endpoint_outcome(
         &mut self,
         info: &RequestInfo,
         attempt: Attempt,
@@ -187,11 +187,11 @@
         }
         let pool = self.cfg.services[info.service].pool;
         let pool = &mut self.pools[pool.index()];
-        let is_limit_in_use = f64::from(pool.running) + 1.0 >= 0.8 * pool.limit.get();
-        pool.limit.record_answer(now, congested, is_limit_in_use);
+        let near_limit = f64::from(pool.running) + 1.0 >= 0.8 * pool.limit.get();
+        pool.limit.record_answer(now, congested, near_limit);
     }
 
-    fn record_version(
+    fn record_version_outcome(
         &mut self,
         info: &RequestInfo,
         attempt: Attempt,
@@ -342,7 +342,8 @@
             if !self.catalogue.permits(&self.cfg, info, version) {
                 continue;
             }
-            if let Some(choice) = self.pick_or_least_loaded(info, Some(version), &failed_endpoints)
+            if let Some(choice) =
+                self.pick_or_best_available(info, Some(version), &failed_endpoints)
             {
                 return AttemptDecision::Run(self.dispatch(ticket, plan, step, choice));
             }
@@ -376,7 +377,7 @@
             .version
             .is_none_or(|v| self.catalogue.permits(&self.cfg, info, v));
         let same_version = match permitted {
-            true => self.pick_or_least_loaded(info, attempt.version, &failed_endpoints),
+            true => self.pick_or_best_available(info, attempt.version, &failed_endpoints),
             false => None,
         };
         let found = same_version
@@ -408,7 +409,7 @@
             .into_iter()
             .filter(|&v| Some(v) != failed_version)
             .find_map(|v| {
-                let choice = self.pick_or_least_loaded(info, Some(v), failed_endpoints)?;
+                let choice = self.pick_or_best_available(info, Some(v), failed_endpoints)?;
                 Some((Plan::single(v, VersionReason::Cheapest), 0, choice))
             })
     }
--- a/crates/oatdale-policy/src/router/offer.rs
+++ b/crates/oatdale-policy/src/router/offer.rs
@@ -152,7 +152,7 @@
         customer.in_flight += 1;
         self.requests.insert(Request {
             info: *info,
-            order: self.arrival_count,
+            arrival_number: self.arrival_count,
             attempts: 0,
             failed_endpoints: SmallVec::new(),
             plan: Plan::plain(),
@@ -227,7 +227,7 @@
         };
         let own_weight = weight(info.customer.index());
         let other_weights: f64 = queue
-            .order()
+            .backlogged_flows()
             .iter()
             .filter(|&&flow| flow != info.customer.index())
             .map(|&flow| weight(flow))
--- a/crates/oatdale-policy/src/router/poll.rs
+++ b/crates/oatdale-policy/src/router/poll.rs
@@ -90,8 +90,8 @@
         if !self.has_room(service) {
             return None;
         }
-        let order = self.services[service.index()].queue.order();
-        for &flow in order.iter().take(MAX_FLOWS_TRIED) {
+        let backlogged_flows = self.services[service.index()].queue.backlogged_flows();
+        for &flow in backlogged_flows.iter().take(MAX_FLOWS_TRIED) {
             let Some(item) = self.services[service.index()].queue.head(flow) else {
                 continue;
             };
--- a/crates/oatdale-policy/src/router/reconfigure.rs
+++ b/crates/oatdale-policy/src/router/reconfigure.rs
@@ -201,7 +201,7 @@
                 .collect();
             self.customers[customer.index()].in_flight += 1;
             match request.stage {
-                Stage::Waiting { .. } => waiting.push((request.order, ticket)),
+                Stage::Waiting { .. } => waiting.push((request.arrival_number, ticket)),
                 Stage::Running(_) => {
                     let pool = self.cfg.services[service].pool;
                     self.pools[pool.index()].running += 1;
--- a/crates/oatdale-policy/src/router/start.rs
+++ b/crates/oatdale-policy/src/router/start.rs
@@ -80,7 +80,7 @@
         for plan in plans {
             let version = plan.steps.first().copied();
             if let Some(choice) = self.pick(&info, version, &failed_endpoints) {
-                self.record_planned_quality(&info, quality);
+                self.adjust_quality_price(&info, quality);
                 return Ok(Some(self.dispatch(ticket, plan, 0, choice)));
             }
             if self.should_wait_for(&info, &plan) {
@@ -108,7 +108,7 @@
     }
 
     /// Adjusts the service's price of quality to the expected quality of this request's answer.
-    fn record_planned_quality(&mut self, info: &RequestInfo, quality: Option<f64>) {
+    fn adjust_quality_price(&mut self, info: &RequestInfo, quality: Option<f64>) {
         let kind = &self.cfg.services[info.service].kind;
         if let (
             ServiceKind::Model {
@@ -181,9 +181,9 @@
         ))
     }
 
-    /// Picks an endpoint with room, or else the least loaded available one. A request that has
+    /// Picks an endpoint with room, or else the available one with the best score. A request that has
     /// already been sent is not queued again, since the work done for it would be lost.
-    pub(super) fn pick_or_least_loaded(
+    pub(super) fn pick_or_best_available(
         &mut self,
         info: &RequestInfo,
         version: Option<VersionKey>,
@@ -192,7 +192,7 @@
         let pool = self.cfg.services[info.service].pool;
         self.pick(info, version, failed_endpoints).or_else(|| {
             self.endpoints
-                .least_loaded(self.now, &self.cfg, pool, version, failed_endpoints)
+                .best_available(self.now, &self.cfg, pool, version, failed_endpoints)
         })
     }
 
--- a/crates/oatdale-policy/src/state.rs
+++ b/crates/oatdale-policy/src/state.rs
@@ -21,7 +21,7 @@
 pub(crate) struct Request {
     pub(crate) info: RequestInfo,
     /// Sequence number in order of arrival.
-    pub(crate) order: u64,
+    pub(crate) arrival_number: u64,
     pub(crate) attempts: u16,
     /// Endpoints that failed the request.
     pub(crate) failed_endpoints: SmallVec<[EndpointKey; 4]>,
--- a/crates/oatdale-policy/src/trial.rs
+++ b/crates/oatdale-policy/src/trial.rs
@@ -157,7 +157,7 @@
     ) -> Vec<StopDecision> {
         let mut stops: Vec<StopDecision> = Vec::new();
         for version in cfg.versions.keys() {
-            if !is_on_trial(cfg, version) || catalogue.is_stopped(version) {
+            if !is_tested(cfg, version) || catalogue.is_stopped(version) {
                 continue;
             }
             let decision = Fault::ALL
@@ -202,7 +202,7 @@
 }
 
 /// Whether a version admits new work and can be stopped.
-fn is_on_trial(cfg: &Config, version: VersionKey) -> bool {
+fn is_tested(cfg: &Config, version: VersionKey) -> bool {
     match cfg.versions[version].state {
         VersionState::Canary { .. } | VersionState::Serving => true,
         VersionState::Draining | VersionState::Withdrawn => false,
--- a/crates/oatdale-policy/tests/router/admission.rs
+++ b/crates/oatdale-policy/tests/router/admission.rs
@@ -133,11 +133,11 @@
 fn non_idempotent_request_that_may_have_run_is_not_retried() {
     for result in [AttemptResult::Broken, AttemptResult::TimedOut] {
         let mut router = TestConfig::default().router();
-        let confirm = RequestInfo {
+        let non_idempotent = RequestInfo {
             idempotent: false,
             ..request(secs(0.0), 1)
         };
-        let dispatch = expect_run(router.offer(secs(0.0), &confirm));
+        let dispatch = expect_run(router.offer(secs(0.0), &non_idempotent));
         assert!(!dispatch.needs_rating);
         let decision = router.finish(secs(0.1), dispatch.ticket, &outcome(result));
         assert!(
@@ -150,11 +150,11 @@
 #[test]
 fn unsent_request_is_retried_at_another_endpoint() {
     let mut router = TestConfig::default().router();
-    let confirm = RequestInfo {
+    let non_idempotent = RequestInfo {
         idempotent: false,
         ..request(secs(0.0), 1)
     };
-    let first = expect_run(router.offer(secs(0.0), &confirm));
+    let first = expect_run(router.offer(secs(0.0), &non_idempotent));
     let decision = router.finish(secs(0.1), first.ticket, &outcome(AttemptResult::NotSent));
     let AttemptDecision::Run(second) = decision else {
         panic!("expected a retry, got {decision:?}");
@@ -261,7 +261,7 @@
 /// An endpoint refuses every connection. It is backed off from after a few failures, so that not
 /// every request tries it first, and probed later, so that it can recover.
 #[test]
-fn failing_endpoint_is_paused_and_retried_later() {
+fn failing_endpoint_gets_no_requests_until_its_back_off_ends() {
     let mut router = TestConfig::default().router();
     let mut count_failures = |now: f64| {
         let mut dispatch = expect_run(router.offer(secs(now), &request(secs(now), now.to_bits())));
--- a/crates/oatdale-policy/tests/router/learning.rs
+++ b/crates/oatdale-policy/tests/router/learning.rs
@@ -139,7 +139,7 @@
 /// times as long. Endpoints and versions are healthy. If such timeouts counted against them, a few
 /// would stop the canary on every node and leave all customers without an endpoint.
 #[test]
-fn timeouts_far_below_the_usual_latency_are_no_evidence() {
+fn timeouts_far_below_the_usual_latency_do_not_count_as_failures() {
     let mut router = router_with_canary();
     let mut now = secs(0.0);
     for i in 0..60_u64 {
--- a/crates/oatdale-policy/tests/router/states.rs
+++ b/crates/oatdale-policy/tests/router/states.rs
@@ -97,7 +97,7 @@
         VersionState::Withdrawn,
     ];
     let mut router = with_states(first_serving).router();
-    let (running, ticket) = fill_workers(&mut router);
+    let (running, ticket) = fill_engines(&mut router);
     let all_withdrawn = [VersionState::Withdrawn; 3];
     router.reconfigure(secs(0.5), with_states(all_withdrawn).config());
     router.finish(secs(0.5), running, &complete(None));
@@ -157,7 +157,7 @@
 
 /// Sends requests until the engines are full and one request waits; returns the tickets of the last
 /// running and of the waiting request.
-fn fill_workers(router: &mut Router) -> (oatdale_policy::Ticket, oatdale_policy::Ticket) {
+fn fill_engines(router: &mut Router) -> (oatdale_policy::Ticket, oatdale_policy::Ticket) {
     let mut running = None;
     for rollout_hash in 0..64 {
         match router.offer(secs(0.0), &request(secs(0.0), rollout_hash)) {
