--- a/crates/oatdale-policy/src/cascade.rs
+++ b/crates/oatdale-policy/src/cascade.rs
@@ -87,7 +87,8 @@
     mean_max_cost: Mean,
     /// Mean time to the first byte at the slowest version, in seconds.
     mean_max_seconds: Mean,
-    /// Accepted answers that are lacking to reach the target, by the ratings; negative for an excess.
+    /// Accepted answers that are lacking to reach the target, by the ratings; negative for an
+    /// excess.
     shortfall: f64,
     /// Recent answers that were not buffered.
     unbuffered: f64,
--- a/crates/oatdale-policy/src/endpoint.rs
+++ b/crates/oatdale-policy/src/endpoint.rs
@@ -62,7 +62,8 @@
     ///
     /// `share` is this node's share of all the load on the pool. Every node sees the same free
     /// capacity in a report; if each filled it, the excess requests would multiply by the number of
-    /// nodes. So a node reuses the slots that its own requests free and takes its share of the rest.
+    /// nodes. So a node reuses the slots that its own requests free and takes its share of the
+    /// rest.
     pub(crate) fn has_room_for_surge(&self, now: Duration, capacity: u32, share: f64) -> bool {
         let Some(own_at_report) = self.own_at_report else {
             return self.has_room(now, capacity);
--- a/crates/oatdale-policy/src/request.rs
+++ b/crates/oatdale-policy/src/request.rs
@@ -104,7 +104,8 @@
     Prefix,
     /// The better of two random endpoints in the node's own failure domain.
     OwnDomain,
-    /// The node's own failure domain has no room.
+    /// The node's own failure domain has no room, or no endpoint has and the one with the best
+    /// score is used.
     Spill,
     /// A retry, in another failure domain than the failed attempt if one has room.
     Retry,
--- a/crates/oatdale-policy/src/router/finish.rs
+++ b/crates/oatdale-policy/src/router/finish.rs
@@ -111,9 +111,9 @@
     /// Whether an attempt timed out too early to be evidence against its endpoint or version.
     ///
     /// Callers set their own timeouts. If the far too short timeouts of one customer counted, they
-    /// would stop healthy versions and back off from endpoints for all customers. A timeout counts after
-    /// several times the usual duration or half of the service's deadline: a version that hangs
-    /// must be detected even if all its callers have shorter timeouts than the service.
+    /// would stop healthy versions and back off from endpoints for all customers. A timeout counts
+    /// after several times the usual duration or half of the service's deadline: a version that
+    /// hangs must be detected even if all its callers have shorter timeouts than the service.
     fn is_inconclusive_timeout(&self, info: &RequestInfo, outcome: &Outcome) -> bool {
         let waited_s = outcome.total.as_secs_f64();
         let deadline_s = self.cfg.services[info.service].deadline.as_secs_f64();
@@ -422,8 +422,8 @@
     })
 }
 
-/// Returns the decision for a request whose customer, service or pinned version was removed from the
-/// configuration while it ran.
+/// Returns the decision for a request whose customer, service or pinned version was removed from
+/// the configuration while it ran.
 fn finish_orphaned(outcome: &Outcome) -> AttemptDecision {
     match outcome.result {
         AttemptResult::Complete { .. } | AttemptResult::Cancelled => AttemptDecision::Done,
--- a/crates/oatdale-policy/src/router/reconfigure.rs
+++ b/crates/oatdale-policy/src/router/reconfigure.rs
@@ -82,8 +82,8 @@
     }
 
     /// Carries the stops of versions over and returns the versions whose stop the new configuration
-    /// ends. Their trials must restart: earlier counts apply to the old configuration and would stop
-    /// them again at once.
+    /// ends. Their trials must restart: earlier counts apply to the old configuration and would
+    /// stop them again at once.
     fn migrate_catalogue(&mut self, old: &Config, key_map: &KeyMap) -> Vec<VersionKey> {
         let mut resumed = Vec::new();
         let mut catalogue = VersionCatalogue::new(&self.cfg);
--- a/crates/oatdale-policy/src/router/start.rs
+++ b/crates/oatdale-policy/src/router/start.rs
@@ -181,8 +181,8 @@
         ))
     }
 
-    /// Picks an endpoint with room, or else the available one with the best score. A request that has
-    /// already been sent is not queued again, since the work done for it would be lost.
+    /// Picks an endpoint with room, or else the available one with the best score. A request that
+    /// has already been sent is not queued again, since the work done for it would be lost.
     pub(super) fn pick_or_best_available(
         &mut self,
         info: &RequestInfo,
--- a/crates/oatdale-policy/src/trial.rs
+++ b/crates/oatdale-policy/src/trial.rs
@@ -201,7 +201,7 @@
     }
 }
 
-/// Whether a version admits new work and can be stopped.
+/// Whether the test covers a version: only one that admits new work can be stopped.
 fn is_tested(cfg: &Config, version: VersionKey) -> bool {
     match cfg.versions[version].state {
         VersionState::Canary { .. } | VersionState::Serving => true,
--- a/crates/oatdale-policy/tests/router/admission.rs
+++ b/crates/oatdale-policy/tests/router/admission.rs
@@ -258,8 +258,8 @@
     assert_eq!(reason, RefusalReason::Dependency);
 }
 
-/// An endpoint refuses every connection. It is backed off from after a few failures, so that not
-/// every request tries it first, and probed later, so that it can recover.
+/// An endpoint refuses every connection. After a few failures it is in back-off, so that not every
+/// request tries it first; then one request probes it, so that it can recover.
 #[test]
 fn failing_endpoint_gets_no_requests_until_its_back_off_ends() {
     let mut router = TestConfig::default().router();
--- a/crates/oatdale-policy/tests/router/learning.rs
+++ b/crates/oatdale-policy/tests/router/learning.rs
@@ -425,8 +425,9 @@
     }
 }
 
-/// A service is renamed, which removes the old one, while its requests are in flight. If the slots that they use at the
-/// endpoints were never released, the pool would stay full for the new service.
+/// A service is renamed, which removes the old one, while its requests are in flight. If the slots
+/// that they use at the endpoints were never released, the pool would stay full for the new
+/// service.
 #[test]
 fn requests_of_a_removed_service_release_their_slots() {
     let mut router = TestConfig::default().router();
