--- a/crates/oatdale-policy/src/cascade.rs
+++ b/crates/oatdale-policy/src/cascade.rs
@@ -26,35 +26,36 @@
 /// Step size with which the price of quality follows the shortfall.
 const PRICE_STEP: f64 = 0.01;
 
-/// Margin above the target at which the price aims, as a share of answers.
+/// Margin by which the price control aims above the target, as a share of answers.
 const TARGET_MARGIN_SHARE: f64 = 0.001;
 
 /// Bounds of the price of quality, as multiples of the most expensive version's cost.
 const PRICE_RANGE: (f64, f64) = (1e-3, 100.0);
 
-/// Shortfall, in accepted answers, that raises the aim by one percentage point.
+/// Shortfall, in accepted answers, that raises the setpoint by one percentage point.
 const CATCH_UP_ANSWERS: f64 = 10.0;
 
-/// Bounds of the offset by which an excess lowers the aim and a shortfall raises it, as a share of
-/// answers.
-const AIM_OFFSET_RANGE: (f64, f64) = (-0.01, 0.03);
+/// Bounds of the offset by which an excess lowers the setpoint and a shortfall raises it, as a
+/// share of answers.
+const SETPOINT_OFFSET_RANGE: (f64, f64) = (-0.01, 0.03);
 
-/// Accepted answers above the target that worse answers may offset later; more would not benefit
-/// the later callers.
+/// Maximum excess of accepted answers over the target that is credited against later rejected ones.
+/// A larger credit would allow more bad answers to later callers, who do not benefit from it.
 const MAX_EXCESS_ANSWERS: f64 = 2.0;
 
 /// Requests over which a shortfall decays.
 const SHORTFALL_MEMORY_REQUESTS: f64 = 4_000.0;
 
-/// Answers over which the share of late ratings is averaged.
-const SAMPLING_MEMORY_ANSWERS: f64 = 1_000.0;
+/// Unbuffered answers over which the share of late ratings is averaged.
+const LATE_RATING_MEMORY_ANSWERS: f64 = 1_000.0;
 
-/// Answers, all of them rated, that are assumed at the start, or the first rating would count for
-/// all answers before it.
-const SAMPLING_PRIOR_ANSWERS: f64 = 50.0;
+/// Unbuffered answers, all of them rated, that are assumed at the start. Without them, the first
+/// rating would count for all answers before it.
+const LATE_RATING_PRIOR_ANSWERS: f64 = 50.0;
 
-/// Latency weight above which streaming has priority. A buffered answer reaches its caller only
-/// once it is complete and rated, so streams of such a service are never buffered.
+/// Latency weight above which a service's latency has priority over its cost. A buffered answer
+/// reaches its caller only once it is complete and rated, so streams of such a service are never
+/// buffered.
 const LATENCY_FIRST: f64 = 0.5;
 
 /// Share of requests that try a version to learn its quality.
@@ -86,10 +87,12 @@
     mean_max_cost: Mean,
     /// Mean time to the first byte at the slowest version, in seconds.
     mean_max_seconds: Mean,
-    /// Accepted answers that are missing to the target, according to the ratings.
+    /// Accepted answers that are lacking to reach the target, by the ratings; negative for an
+    /// excess.
     shortfall: f64,
-    /// Recent answers that were not buffered, and how many of them were rated later.
+    /// Recent answers that were not buffered.
     unbuffered: f64,
+    /// Those of them that were rated after delivery.
     late_rated: f64,
 }
 
@@ -136,8 +139,8 @@
             mean_max_cost: Mean::new(SCALE_MEMORY_REQUESTS),
             mean_max_seconds: Mean::new(SCALE_MEMORY_REQUESTS),
             shortfall: 0.0,
-            unbuffered: SAMPLING_PRIOR_ANSWERS,
-            late_rated: SAMPLING_PRIOR_ANSWERS,
+            unbuffered: LATE_RATING_PRIOR_ANSWERS,
+            late_rated: LATE_RATING_PRIOR_ANSWERS,
         }
     }
 
@@ -195,9 +198,10 @@
     /// Adjusts the price of quality after a request got a plan of this expected quality.
     pub(crate) fn adjust_price(&mut self, target: f64, quality: f64) {
         let catch_up = 0.01 * self.shortfall * self.late_rating_share() / CATCH_UP_ANSWERS;
-        let aim =
-            target + TARGET_MARGIN_SHARE + catch_up.clamp(AIM_OFFSET_RANGE.0, AIM_OFFSET_RANGE.1);
-        let step = PRICE_STEP * (aim - quality) / (1.0 - target).max(0.05);
+        let setpoint = target
+            + TARGET_MARGIN_SHARE
+            + catch_up.clamp(SETPOINT_OFFSET_RANGE.0, SETPOINT_OFFSET_RANGE.1);
+        let step = PRICE_STEP * (setpoint - quality) / (1.0 - target).max(0.05);
         self.quality_price = (self.quality_price * step.exp()).clamp(PRICE_RANGE.0, PRICE_RANGE.1);
     }
 
@@ -219,7 +223,7 @@
         self.shortfall *= 1.0 - 1.0 / SHORTFALL_MEMORY_REQUESTS;
         self.shortfall = (self.shortfall + target - accepted).max(-MAX_EXCESS_ANSWERS);
         if rating.is_none() {
-            let retained = 1.0 - 1.0 / SAMPLING_MEMORY_ANSWERS;
+            let retained = 1.0 - 1.0 / LATE_RATING_MEMORY_ANSWERS;
             self.unbuffered = self.unbuffered * retained + 1.0;
             self.late_rated *= retained;
         }
@@ -375,7 +379,7 @@
     /// exploration costs money and time but not quality. If the answer may not be buffered, the
     /// version is tried alone. A version that would not be chosen even at its optimistic share of
     /// accepted answers is not tried: exploring the most expensive version on the longest requests
-    /// costs more than it teaches.
+    /// costs more than its ratings are worth.
     fn explore(
         &self,
         info: &RequestInfo,
--- a/crates/oatdale-policy/src/queue.rs
+++ b/crates/oatdale-policy/src/queue.rs
@@ -8,7 +8,7 @@
 pub(crate) struct QueuedRequest {
     /// The request.
     pub(crate) ticket: Ticket,
-    /// Requests of a flow run by descending priority; in order of arrival if equal.
+    /// Requests of a flow run by descending priority, those of equal priority in order of arrival.
     pub(crate) priority: u32,
     /// Expected resource use, in any unit that all requests share.
     pub(crate) cost: f64,
@@ -17,7 +17,7 @@
 /// Flows that share a resource in proportion to their weights.
 ///
 /// A flow that becomes backlogged starts at the current virtual time: it gains no credit while idle
-/// and pays nothing for the past.
+/// and is charged nothing for the past.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FairQueue {
     flows: Vec<Flow>,
@@ -68,14 +68,14 @@
     }
 
     /// Returns the backlogged flows, lowest virtual time first.
-    pub(crate) fn order(&self) -> smallvec::SmallVec<[usize; 16]> {
-        let mut order: smallvec::SmallVec<[usize; 16]> =
+    pub(crate) fn backlogged_flows(&self) -> smallvec::SmallVec<[usize; 16]> {
+        let mut backlogged_flows: smallvec::SmallVec<[usize; 16]> =
             smallvec::SmallVec::from_slice(&self.backlogged);
-        order.sort_unstable_by(|&a, &b| {
+        backlogged_flows.sort_unstable_by(|&a, &b| {
             let (x, y) = (&self.flows[a], &self.flows[b]);
             x.virtual_time.total_cmp(&y.virtual_time).then(a.cmp(&b))
         });
-        order
+        backlogged_flows
     }
 
     /// Returns the next request of a flow.
--- a/crates/oatdale-policy/src/router/poll.rs
+++ b/crates/oatdale-policy/src/router/poll.rs
@@ -5,7 +5,7 @@
 use oatdale_config::{Key, PoolKey, ServiceKey};
 use std::time::Duration;
 
-/// Flows of one service (one per customer) whose first request is tried before the next service's.
+/// Maximum number of flows of a service, one per customer, that are tried before the next service.
 const MAX_FLOWS_TRIED: usize = 4;
 
 impl Router {
@@ -90,8 +90,8 @@
         if !self.has_room(service) {
             return None;
         }
-        let order = self.services[service.index()].queue.order();
-        for &flow in order.iter().take(MAX_FLOWS_TRIED) {
+        let backlogged_flows = self.services[service.index()].queue.backlogged_flows();
+        for &flow in backlogged_flows.iter().take(MAX_FLOWS_TRIED) {
             let Some(item) = self.services[service.index()].queue.head(flow) else {
                 continue;
             };
--- a/crates/oatdale-policy/src/router/reconfigure.rs
+++ b/crates/oatdale-policy/src/router/reconfigure.rs
@@ -82,7 +82,8 @@
     }
 
     /// Carries the stops of versions over and returns the versions whose stop the new configuration
-    /// ends. Counts from before apply to the old configuration and would stop them again at once.
+    /// ends. Their trials must restart: earlier counts apply to the old configuration and would
+    /// stop them again at once.
     fn migrate_catalogue(&mut self, old: &Config, key_map: &KeyMap) -> Vec<VersionKey> {
         let mut resumed = Vec::new();
         let mut catalogue = VersionCatalogue::new(&self.cfg);
@@ -200,7 +201,7 @@
                 .collect();
             self.customers[customer.index()].in_flight += 1;
             match request.stage {
-                Stage::Waiting { .. } => waiting.push((request.order, ticket)),
+                Stage::Waiting { .. } => waiting.push((request.arrival_number, ticket)),
                 Stage::Running(_) => {
                     let pool = self.cfg.services[service].pool;
                     self.pools[pool.index()].running += 1;
--- a/crates/oatdale-policy/src/trial.rs
+++ b/crates/oatdale-policy/src/trial.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Returns the accepted share of bad cases while there is nothing to compare with.
+    /// Returns the accepted share of bad cases while there are too few samples to compare with.
     fn default_share(self) -> f64 {
         match self {
             Fault::Errors => 0.05,
@@ -119,8 +119,8 @@
     /// Continues the trials of an earlier configuration.
     ///
     /// A trial restarts, with the version's counts so far as its history, unless the version's
-    /// state and the versions that it is compared with are the same as before: counts that were
-    /// compared with other versions say nothing now.
+    /// state and the versions that it is compared with are the same as before: earlier counts can't
+    /// be compared with those of other versions.
     pub(crate) fn migrate(
         &mut self,
         old: Trials,
@@ -157,7 +157,7 @@
     ) -> Vec<StopDecision> {
         let mut stops: Vec<StopDecision> = Vec::new();
         for version in cfg.versions.keys() {
-            if !is_on_trial(cfg, version) || catalogue.is_stopped(version) {
+            if !is_tested(cfg, version) || catalogue.is_stopped(version) {
                 continue;
             }
             let decision = Fault::ALL
@@ -201,8 +201,8 @@
     }
 }
 
-/// Whether a version admits new work and can be stopped.
-fn is_on_trial(cfg: &Config, version: VersionKey) -> bool {
+/// Whether the test covers a version: only one that admits new work can be stopped.
+fn is_tested(cfg: &Config, version: VersionKey) -> bool {
     match cfg.versions[version].state {
         VersionState::Canary { .. } | VersionState::Serving => true,
         VersionState::Draining | VersionState::Withdrawn => false,
@@ -248,8 +248,8 @@
     same_state && before == after
 }
 
-/// Returns the accepted share of bad cases: that of the other versions since the trial began, else
-/// the version's own before the trial, else a fixed one.
+/// Returns the accepted share of bad cases, with a margin: that of the other versions since the
+/// trial began, else the version's own before the trial, else [`Fault::default_share`].
 fn baseline_share(
     fault: Fault,
     reference_total: &VersionCounters,
