--- a/crates/oatdale-check/src/lib.rs
+++ b/crates/oatdale-check/src/lib.rs
@@ -66,14 +66,14 @@
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Counterexample {
     /// Description of the violation, or of the bound that was too small.
-    pub broken: String,
+    pub violation: String,
     /// Names of the steps from an initial state to the violation.
     pub steps: Vec<String>,
 }
 
 impl fmt::Display for Counterexample {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "{} after {} steps", self.broken, self.steps.len())?;
+        writeln!(f, "{} after {} steps", self.violation, self.steps.len())?;
         for (index, step) in self.steps.iter().enumerate() {
             writeln!(f, "{:3}. {step}", index + 1)?;
         }
@@ -105,7 +105,7 @@
         }
         if count > max_states {
             return Err(Counterexample {
-                broken: format!(
+                violation: format!(
                     "more than {max_states} states are reachable; the bound is too small"
                 ),
                 steps: Vec::new(),
@@ -140,9 +140,9 @@
             Vertex::State(state) => Some(state),
         })
         .collect();
-    let broken = states.last().and_then(|last| spec.invariant(last).err());
+    let violation = states.last().and_then(|last| spec.invariant(last).err());
     Counterexample {
-        broken: broken.unwrap_or_default(),
+        violation: violation.unwrap_or_default(),
         steps: states
             .windows(2)
             .map(|pair| step_name(spec, pair[0], pair[1]))
--- a/crates/oatdale-cli/src/command/bills.rs
+++ b/crates/oatdale-cli/src/command/bills.rs
@@ -72,14 +72,14 @@
     let mut header = format == Format::Csv && target.is_empty()?;
     for shard in exporter.shards() {
         loop {
-            let ledger = exporter.take(shard).await?;
+            let ledger = exporter.read_oldest(shard).await?;
             target.write(&lines(&ledger, format, &mut header)?)?;
             if !flags.truncate {
                 tell_of_rest(&ledger);
                 break;
             }
             exporter.truncate(&ledger).await?;
-            if !ledger.more {
+            if !ledger.has_more {
                 break;
             }
         }
@@ -88,7 +88,7 @@
 }
 
 fn tell_of_rest(ledger: &Ledger) {
-    if ledger.more {
+    if ledger.has_more {
         log::warn!(
             "shard {} has more bills; they follow once these are truncated",
             ledger.shard.0
@@ -98,7 +98,7 @@
 
 fn lines(ledger: &Ledger, format: Format, header: &mut bool) -> Result<Vec<u8>> {
     let bills = ledger.bills.iter().map(|bill| row(bill, false));
-    let rows = bills.chain(ledger.late.iter().map(|bill| row(bill, true)));
+    let rows = bills.chain(ledger.late_closings.iter().map(|bill| row(bill, true)));
     match format {
         Format::Jsonl => {
             let mut lines = Vec::new();
--- a/crates/oatdale-cli/src/command/demo/ledger.rs
+++ b/crates/oatdale-cli/src/command/demo/ledger.rs
@@ -79,7 +79,7 @@
     let exporter = Exporter::new(stand_ins.kv().clone(), rand::rng().next_u64()).await?;
     let mut bills = Vec::new();
     for shard in exporter.shards() {
-        bills.extend(exporter.take(shard).await?.bills);
+        bills.extend(exporter.read_oldest(shard).await?.bills);
     }
     bills.retain(|bill| bill.outcome == Outcome::Complete);
     Ok(bills)
--- a/crates/oatdale-cli/tests/cli/bills.rs
+++ b/crates/oatdale-cli/tests/cli/bills.rs
@@ -30,8 +30,8 @@
 /// Lets a node's journal take the bills of requests `from..from + BILLS`.
 async fn bill(site: &Site, from: u128) {
     let settings = Settings {
-        preferred_pace: Duration::from_millis(5),
-        other_pace: Duration::from_millis(5),
+        preferred_append_interval: Duration::from_millis(5),
+        other_append_interval: Duration::from_millis(5),
         ..Settings::new(7)
     };
     let (_preferred, rx) = watch::channel(Preferred::default());
--- a/crates/oatdale-journal/src/duty.rs
+++ b/crates/oatdale-journal/src/duty.rs
@@ -32,15 +32,15 @@
     /// Random number that identifies this incarnation of the node.
     pub writer: u64,
     /// Minimum interval between appends to a shard that this node is preferred for.
-    pub preferred_pace: Duration,
+    pub preferred_append_interval: Duration,
     /// Minimum interval between appends to any other shard.
-    pub other_pace: Duration,
+    pub other_append_interval: Duration,
     /// Timeout of a call to the key-value service.
     pub call_timeout: Duration,
     /// Maximum total time that a claim or pin may wait; a bill may wait five times as long.
     pub max_wait: Duration,
     /// Capacity of the shared job queue and of each shard's job queue.
-    pub queue: usize,
+    pub queue_capacity: usize,
 }
 
 impl Settings {
@@ -49,11 +49,11 @@
         Settings {
             meta: Meta::default(),
             writer,
-            preferred_pace: Duration::from_millis(100),
-            other_pace: Duration::from_millis(500),
+            preferred_append_interval: Duration::from_millis(100),
+            other_append_interval: Duration::from_millis(500),
             call_timeout: Duration::from_secs(1),
             max_wait: Duration::from_secs(2),
-            queue: 8_192,
+            queue_capacity: 8_192,
         }
     }
 }
@@ -75,7 +75,7 @@
     clock: WallClock,
     preferred: watch::Receiver<Preferred>,
 ) -> (JournalHandle, Duty<K>) {
-    let (jobs, jobs_rx) = mpsc::channel(settings.queue);
+    let (jobs, jobs_rx) = mpsc::channel(settings.queue_capacity);
     let (meta, meta_rx) = watch::channel(None);
     let handle = JournalHandle {
         jobs,
@@ -101,7 +101,7 @@
     let mut senders = Vec::new();
     let mut shards = Vec::new();
     for shard in (0..meta.shards).map(ShardId) {
-        let (tx, rx) = mpsc::channel(duty.settings.queue);
+        let (tx, rx) = mpsc::channel(duty.settings.queue_capacity);
         senders.push(tx);
         shards.push(duty.new_shard(shard, meta, rx).run());
     }
--- a/crates/oatdale-journal/src/export.rs
+++ b/crates/oatdale-journal/src/export.rs
@@ -1,7 +1,7 @@
 //! Export of final bills from the journal.
 
 use crate::error::{JournalError, Result};
-use crate::fold::Entry;
+use crate::fold::FinalEntry;
 use crate::log::{Log, with_timeout};
 use crate::meta::{Meta, page_prefix};
 use crate::page::decode_bill_page;
@@ -35,11 +35,11 @@
     pub bills: Vec<Closing>,
     /// Closings that arrived after their requests' retention period. Operators have to judge them,
     /// since each request may or may not have a bill.
-    pub late: Vec<Closing>,
+    pub late_closings: Vec<Closing>,
     /// Time of the shard's last segment on the journal's clock.
-    pub until: Millis,
+    pub last_segment_at: Millis,
     /// Whether the shard has more bills than this ledger.
-    pub more: bool,
+    pub has_more: bool,
     /// Keys of the pages that were read.
     pages: Vec<String>,
 }
@@ -81,7 +81,7 @@
     /// # Errors
     ///
     /// Any [`JournalError`]; nothing is lost.
-    pub async fn take(&self, shard: ShardId) -> Result<Ledger> {
+    pub async fn read_oldest(&self, shard: ShardId) -> Result<Ledger> {
         let mut log = self.new_log(shard);
         for _ in 0..MAX_CONFLICTS {
             log.catch_up().await?;
@@ -134,9 +134,9 @@
         let mut ledger = Ledger {
             shard: log.shard,
             bills: Vec::new(),
-            late: Vec::new(),
-            until: log.fold.clock(),
-            more: bill_pages.len() > pages.len(),
+            late_closings: Vec::new(),
+            last_segment_at: log.fold.clock(),
+            has_more: bill_pages.len() > pages.len(),
             pages: Vec::new(),
         };
         for key in &pages {
@@ -146,8 +146,8 @@
             };
             for entry in decode_bill_page(key, &stored.value)? {
                 match entry {
-                    Entry::Bill(closing) => ledger.bills.push(closing),
-                    Entry::Late(closing) => ledger.late.push(closing),
+                    FinalEntry::Bill(closing) => ledger.bills.push(closing),
+                    FinalEntry::Late(closing) => ledger.late_closings.push(closing),
                 }
             }
         }
--- a/crates/oatdale-journal/src/fold.rs
+++ b/crates/oatdale-journal/src/fold.rs
@@ -1,9 +1,9 @@
 //! The state of a shard as a deterministic fold of its records, the same at every reader.
 //!
 //! The fold has its own clock: each segment carries its writer's time, and the fold's clock follows
-//! the highest time seen by at most [`MAX_TICK`] per segment. So state expires at the same position
-//! of the log at every reader, and neither an outage nor a single wrong clock makes much of it
-//! expire at once.
+//! the highest time seen by at most [`MAX_CLOCK_STEP_MS`] per segment. So state expires at the same
+//! position of the log at every reader, and neither an outage nor a single wrong clock makes much
+//! of it expire at once.
 
 use crate::record::{
     BillRecord, ClaimKey, Closing, MicroUnits, Millis, Opening, Outcome, Pin, Record, RequestId,
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Maximum advance of the fold's clock per segment, in milliseconds.
-pub const MAX_TICK: u64 = 500;
+pub const MAX_CLOCK_STEP_MS: u64 = 500;
 
 /// Retention periods in milliseconds of the journal's clock, the same for all nodes.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
@@ -60,7 +60,7 @@
 
 /// A final entry produced by applying a segment.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
-pub enum Entry {
+pub enum FinalEntry {
     /// The one bill of a request.
     Bill(Closing),
     /// A closing that arrived after its request's retention period; not a bill.
@@ -109,7 +109,7 @@
     }
 
     /// Applies one segment; `at` is its writer's time. Returns the entries that became final.
-    pub fn apply(&mut self, at: Millis, records: &[Record]) -> Vec<Entry> {
+    pub fn apply(&mut self, at: Millis, records: &[Record]) -> Vec<FinalEntry> {
         self.advance_clock(at);
         let mut entries = self.close_overdue();
         for record in records {
@@ -187,7 +187,7 @@
 
     fn advance_clock(&mut self, at: Millis) {
         let is_first_segment = self.clock == Millis(0);
-        let max_clock = self.clock.0.saturating_add(MAX_TICK);
+        let max_clock = self.clock.0.saturating_add(MAX_CLOCK_STEP_MS);
         self.clock = match is_first_segment {
             true => at,
             false => Millis(at.0.clamp(self.clock.0, max_clock)),
@@ -195,7 +195,7 @@
     }
 
     /// Closes requests whose closing is overdue, so that every acknowledged opening gets a bill.
-    fn close_overdue(&mut self) -> Vec<Entry> {
+    fn close_overdue(&mut self) -> Vec<FinalEntry> {
         let mut entries = Vec::new();
         while let Some((at, request)) = self.open_order.first().copied() {
             if self.is_retained(at, self.retention.open) {
@@ -210,7 +210,7 @@
         entries
     }
 
-    fn apply_record(&mut self, record: &Record) -> Option<Entry> {
+    fn apply_record(&mut self, record: &Record) -> Option<FinalEntry> {
         match record {
             Record::Claim { key, by } => {
                 self.apply_claim(*key, *by);
@@ -268,7 +268,7 @@
         self.pins.insert(session, pinned);
     }
 
-    fn apply_bill(&mut self, record: &BillRecord) -> Option<Entry> {
+    fn apply_bill(&mut self, record: &BillRecord) -> Option<FinalEntry> {
         match (self.bill_state(record), record) {
             (BillState::New, BillRecord::Open(opening)) => {
                 let value = (opening.clone(), self.clock);
@@ -277,17 +277,19 @@
                 None
             }
             (BillState::New, BillRecord::Close(closing)) => Some(self.settle_bill(closing)),
-            (BillState::TooLate, BillRecord::Close(closing)) => Some(Entry::Late(closing.clone())),
+            (BillState::TooLate, BillRecord::Close(closing)) => {
+                Some(FinalEntry::Late(closing.clone()))
+            }
             (BillState::TooLate, BillRecord::Open(_)) | (BillState::Known, _) => None,
         }
     }
 
-    fn settle_bill(&mut self, closing: &Closing) -> Entry {
+    fn settle_bill(&mut self, closing: &Closing) -> FinalEntry {
         if let Some((_, at)) = self.open.remove(&closing.request) {
             self.open_order.remove(&(at, closing.request));
         }
         self.settled.insert(closing.request, closing.opened_at);
-        Entry::Bill(closing.clone())
+        FinalEntry::Bill(closing.clone())
     }
 }
 
--- a/crates/oatdale-journal/src/handle.rs
+++ b/crates/oatdale-journal/src/handle.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 /// Maximum size of a record in bytes of CBOR; a segment holds many records.
-pub const MAX_RECORD: usize = 64_000;
+pub const MAX_RECORD_BYTES: usize = 64_000;
 
 /// Result of a claim.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -134,8 +134,8 @@
 
     fn submit(&self, record: Record, reply: Reply) -> Result<()> {
         let bytes = encode(&WireRecord::from(&record)).len();
-        if bytes > MAX_RECORD {
-            let limit = MAX_RECORD;
+        if bytes > MAX_RECORD_BYTES {
+            let limit = MAX_RECORD_BYTES;
             return Err(JournalError::TooLarge { bytes, limit });
         }
         let job = Job::new(record, reply, bytes);
--- a/crates/oatdale-journal/src/lib.rs
+++ b/crates/oatdale-journal/src/lib.rs
@@ -46,8 +46,8 @@
 pub use crate::duty::{Duty, Preferred, Settings, WallClock, journal, run};
 pub use crate::error::{JournalError, Result};
 pub use crate::export::{Exporter, Ledger};
-pub use crate::fold::{BillState, Entry, Fold, HeldClaim, MAX_TICK, Retention};
-pub use crate::handle::{Claim, JournalHandle, MAX_RECORD};
+pub use crate::fold::{BillState, FinalEntry, Fold, HeldClaim, MAX_CLOCK_STEP_MS, Retention};
+pub use crate::handle::{Claim, JournalHandle, MAX_RECORD_BYTES};
 pub use crate::meta::Meta;
 pub use crate::record::{
     BillRecord, ClaimKey, Closing, MicroUnits, Millis, Opening, Outcome, Pin, Record, RequestId,
--- a/crates/oatdale-journal/src/log.rs
+++ b/crates/oatdale-journal/src/log.rs
@@ -8,7 +8,7 @@
 //! delayed create would succeed once the key has been deleted.
 
 use crate::error::{JournalError, RETRY_AFTER, Result};
-use crate::fold::{Entry, Fold};
+use crate::fold::{FinalEntry, Fold};
 use crate::meta::{Meta, manifest_key, slot_key, slot_prefix};
 use crate::page::{StateKey, apply_state_page};
 use crate::record::{Millis, Record, ShardId};
@@ -62,7 +62,7 @@
     pub(crate) manifest: Manifest,
     pub(crate) manifest_revision: Option<ModRevision>,
     /// Final bills and late closings that the manifest does not cover, with their segment numbers.
-    pub(crate) entries: Vec<(u64, Entry)>,
+    pub(crate) entries: Vec<(u64, FinalEntry)>,
     /// Keys that may have changed since the manifest, with their segment numbers.
     pub(crate) changed_keys: Vec<(u64, StateKey)>,
     /// Size of the segments that the manifest does not cover.
--- a/crates/oatdale-journal/src/page.rs
+++ b/crates/oatdale-journal/src/page.rs
@@ -1,7 +1,7 @@
 //! Pages of a shard's state and of its final bills, each below the service's value size limit.
 
 use crate::error::Result;
-use crate::fold::{Entry, Fold, StoredPin};
+use crate::fold::{FinalEntry, Fold, StoredPin};
 use crate::record::{ClaimKey, Millis, Pin, Record, RequestId, SessionKey};
 use crate::wire::{WireItem, decode_items, encode, held_claim, join_key};
 use std::collections::BTreeSet;
@@ -63,9 +63,11 @@
     }
 
     /// Returns the key of a final entry, which need not come from a record.
-    pub(crate) fn of_entry(entry: &Entry) -> StateKey {
+    pub(crate) fn of_entry(entry: &FinalEntry) -> StateKey {
         match entry {
-            Entry::Bill(closing) | Entry::Late(closing) => StateKey::Request(closing.request),
+            FinalEntry::Bill(closing) | FinalEntry::Late(closing) => {
+                StateKey::Request(closing.request)
+            }
         }
     }
 
@@ -115,10 +117,10 @@
 }
 
 /// Decodes a bill page.
-pub(crate) fn decode_bill_page(key: &str, bytes: &[u8]) -> Result<Vec<Entry>> {
+pub(crate) fn decode_bill_page(key: &str, bytes: &[u8]) -> Result<Vec<FinalEntry>> {
     let entry = |item| match item {
-        WireItem::Bill(closing) => Some(Entry::Bill(closing.into())),
-        WireItem::Late(closing) => Some(Entry::Late(closing.into())),
+        WireItem::Bill(closing) => Some(FinalEntry::Bill(closing.into())),
+        WireItem::Late(closing) => Some(FinalEntry::Late(closing.into())),
         _ => None,
     };
     Ok(decode_items(key, bytes)?
--- a/crates/oatdale-journal/src/shard.rs
+++ b/crates/oatdale-journal/src/shard.rs
@@ -109,7 +109,9 @@
             let start = self.next_append.max(self.unavailable_until);
             tokio::select! {
                 biased;
-                job = self.rx.recv(), if self.rx_open && self.jobs.len() < self.settings.queue => {
+                job = self.rx.recv(),
+                    if self.rx_open && self.jobs.len() < self.settings.queue_capacity =>
+                {
                     match job {
                         Some(job) => self.accept(job),
                         None => self.rx_open = false,
@@ -286,8 +288,8 @@
     fn append_interval(&self) -> Duration {
         let preferred = self.preferred.borrow().0.contains(&self.log.shard);
         let append_interval = match preferred {
-            true => self.settings.preferred_pace,
-            false => self.settings.other_pace,
+            true => self.settings.preferred_append_interval,
+            false => self.settings.other_append_interval,
         };
         append_interval * 2_u32.pow(self.interval_doublings)
     }
--- a/crates/oatdale-journal/src/wire.rs
+++ b/crates/oatdale-journal/src/wire.rs
@@ -1,7 +1,7 @@
 //! CBOR encoding of the journal's values, with short field names since every request writes some.
 
 use crate::error::{JournalError, Result};
-use crate::fold::{Entry, HeldClaim, StoredPin};
+use crate::fold::{FinalEntry, HeldClaim, StoredPin};
 use crate::record::{
     BillRecord, ClaimKey, Closing, MicroUnits, Millis, Opening, Outcome, Pin, Record, RequestId,
     SessionKey,
@@ -253,11 +253,11 @@
     }
 }
 
-impl From<&Entry> for WireItem {
-    fn from(entry: &Entry) -> Self {
+impl From<&FinalEntry> for WireItem {
+    fn from(entry: &FinalEntry) -> Self {
         match entry {
-            Entry::Bill(closing) => WireItem::Bill(closing.into()),
-            Entry::Late(closing) => WireItem::Late(closing.into()),
+            FinalEntry::Bill(closing) => WireItem::Bill(closing.into()),
+            FinalEntry::Late(closing) => WireItem::Late(closing.into()),
         }
     }
 }
--- a/crates/oatdale-journal/tests/fold.rs
+++ b/crates/oatdale-journal/tests/fold.rs
@@ -3,7 +3,9 @@
 mod common;
 
 use common::{START_TIME_MS, close_record, key, open_record};
-use oatdale_journal::{BillState, Entry, Fold, MAX_TICK, Millis, Record, RequestId, Retention};
+use oatdale_journal::{
+    BillState, FinalEntry, Fold, MAX_CLOCK_STEP_MS, Millis, Record, RequestId, Retention,
+};
 
 const START_TIME: Millis = Millis(START_TIME_MS);
 
@@ -40,21 +42,27 @@
         open_record(1, START_TIME),
     ];
     let entries = fold.apply(START_TIME, &records.map(Record::Bill));
-    assert_eq!(entries, [Entry::Bill(common::closing(1, START_TIME, 10))]);
+    assert_eq!(
+        entries,
+        [FinalEntry::Bill(common::closing(1, START_TIME, 10))]
+    );
     assert!(!fold.is_open(RequestId(1)));
 }
 
 // The key-value service is down for a day. The journal's clock stops during the outage and then
-// advances by at most `MAX_TICK` per segment, so bills that nodes held during the outage are not
-// treated as late.
+// advances by at most `MAX_CLOCK_STEP_MS` per segment, so bills that nodes held during the outage
+// are not treated as late.
 #[test]
 fn bill_delayed_by_an_outage_is_not_late() {
     let mut fold = Fold::new(Retention::default());
     fold.apply(START_TIME, &[Record::Bill(close_record(1, START_TIME, 1))]);
     let next_day = Millis(START_TIME_MS + 24 * 3_600_000);
     let entries = fold.apply(next_day, &[Record::Bill(close_record(2, START_TIME, 2))]);
-    assert_eq!(entries, [Entry::Bill(common::closing(2, START_TIME, 2))]);
-    assert_eq!(fold.clock(), Millis(START_TIME_MS + MAX_TICK));
+    assert_eq!(
+        entries,
+        [FinalEntry::Bill(common::closing(2, START_TIME, 2))]
+    );
+    assert_eq!(fold.clock(), Millis(START_TIME_MS + MAX_CLOCK_STEP_MS));
 }
 
 // After an outage of an hour, segments are appended at full rate while one bill holder is still
@@ -81,8 +89,8 @@
         START_TIME,
         &[claim(1), Record::Bill(close_record(1, START_TIME, 1))],
     );
-    for tick in 1..=2_000 {
-        fold.apply(Millis(START_TIME_MS + tick * MAX_TICK), &[]);
+    for segment in 1..=2_000 {
+        fold.apply(Millis(START_TIME_MS + segment * MAX_CLOCK_STEP_MS), &[]);
     }
     let mut purged = fold.clone();
     purged.purge();
--- a/crates/oatdale-journal/tests/full_ring.rs
+++ b/crates/oatdale-journal/tests/full_ring.rs
@@ -102,7 +102,7 @@
     durable.push(RequestId(99));
     let exporter = Exporter::new(kv, 77).await.unwrap();
     let shard = exporter.shards().next().unwrap();
-    let bills = exporter.take(shard).await.unwrap().bills;
+    let bills = exporter.read_oldest(shard).await.unwrap().bills;
     let requests: Vec<RequestId> = bills.iter().map(|b| b.request).collect();
     assert_eq!(requests, durable);
 }
--- a/crates/oatdale-journal/tests/journal.rs
+++ b/crates/oatdale-journal/tests/journal.rs
@@ -135,7 +135,7 @@
 async fn claim_fails_when_its_wait_limit_expires() {
     let (kv, start) = (MemKv::new(1), Instant::now());
     let mut slow_settings = settings(1, small_meta(1, 8));
-    slow_settings.other_pace = 60 * SECOND;
+    slow_settings.other_append_interval = 60 * SECOND;
     let a = start_node(&kv, slow_settings, start);
     a.handle.pin(session(1), pin("planner/1")).await.unwrap();
     let called_at = Instant::now();
@@ -154,7 +154,7 @@
 async fn claim_is_not_delayed_by_a_bill_backlog() {
     let (kv, start) = (MemKv::new(1), Instant::now());
     let mut large_queue = settings(1, small_meta(1, 64));
-    large_queue.queue = 50_000;
+    large_queue.queue_capacity = 50_000;
     let a = start_node(&kv, large_queue, start);
     a.handle.pin(session(1), pin("planner/1")).await.unwrap();
     let at = now(start);
@@ -203,19 +203,22 @@
         .unwrap();
     let exporter = Exporter::new(kv.client("operator"), 77).await.unwrap();
     let shard = exporter.shards().next().unwrap();
-    let ledger = exporter.take(shard).await.unwrap();
+    let ledger = exporter.read_oldest(shard).await.unwrap();
     assert_eq!(ledger.bills, [common::closing(1, at, 10)]);
-    assert_eq!(exporter.take(shard).await.unwrap().bills, ledger.bills);
+    assert_eq!(
+        exporter.read_oldest(shard).await.unwrap().bills,
+        ledger.bills
+    );
     a.handle.bill(vec![close_record(2, at, 20)]).await.unwrap();
     exporter.truncate(&ledger).await.unwrap();
     exporter.truncate(&ledger).await.unwrap();
-    let remaining = exporter.take(shard).await.unwrap();
+    let remaining = exporter.read_oldest(shard).await.unwrap();
     assert_eq!(remaining.bills, [common::closing(2, at, 20)]);
     exporter.truncate(&remaining).await.unwrap();
     // A bill holder that was disconnected writes both bills again.
     let resubmitted = vec![close_record(1, at, 99), close_record(2, at, 99)];
     a.handle.bill(resubmitted).await.unwrap();
-    assert!(exporter.take(shard).await.unwrap().bills.is_empty());
+    assert!(exporter.read_oldest(shard).await.unwrap().bills.is_empty());
 }
 
 #[tokio::test(start_paused = true)]
@@ -244,10 +247,10 @@
     let shard = exporter.shards().next().unwrap();
     let mut requests = Vec::new();
     loop {
-        let ledger = exporter.take(shard).await.unwrap();
+        let ledger = exporter.read_oldest(shard).await.unwrap();
         requests.extend(ledger.bills.iter().map(|b| b.request.0));
         exporter.truncate(&ledger).await.unwrap();
-        if !ledger.more {
+        if !ledger.has_more {
             break;
         }
     }
@@ -320,13 +323,13 @@
     let shard = exporter.shards().next().unwrap();
     let mut tokens = std::collections::BTreeMap::new();
     loop {
-        let ledger = exporter.take(shard).await.unwrap();
+        let ledger = exporter.read_oldest(shard).await.unwrap();
         for bill in &ledger.bills {
             let previous = tokens.insert(bill.request, bill.output_tokens);
             assert_eq!(previous, None, "{} is billed twice", bill.request);
         }
         exporter.truncate(&ledger).await.unwrap();
-        if !ledger.more {
+        if !ledger.has_more {
             break;
         }
     }
@@ -388,7 +391,7 @@
     }
     let exporter = Exporter::new(kv.client("operator"), 77).await.unwrap();
     let shard = exporter.shards().next().unwrap();
-    let ledger = exporter.take(shard).await.unwrap();
+    let ledger = exporter.read_oldest(shard).await.unwrap();
     let overdue = ledger.bills.iter().find(|b| b.request == RequestId(1));
     assert_eq!(overdue.unwrap().outcome, Outcome::Interrupted);
 }
--- a/crates/oatdale-journal/tests/run/mod.rs
+++ b/crates/oatdale-journal/tests/run/mod.rs
@@ -170,8 +170,8 @@
     pub(crate) fn new_node(&self, index: usize, incarnation: u64) -> Node {
         let writer = index as u64 + 1 + incarnation * 100;
         let mut settings = common::settings(writer, common::small_meta(SHARDS, SLOTS));
-        settings.preferred_pace = Duration::from_millis(20);
-        settings.other_pace = Duration::from_millis(50);
+        settings.preferred_append_interval = Duration::from_millis(20);
+        settings.other_append_interval = Duration::from_millis(50);
         let kv = self.kv.client(&node_name(index));
         common::start_node_with_kv(kv, settings, self.start)
     }
@@ -200,7 +200,7 @@
         skip_truncation: bool,
     ) -> oatdale_journal::Result<()> {
         for shard in exporter.shards() {
-            let ledger = exporter.take(shard).await?;
+            let ledger = exporter.read_oldest(shard).await?;
             self.record_exported(&ledger);
             if !skip_truncation {
                 exporter.truncate(&ledger).await?;
@@ -230,10 +230,10 @@
             .map_err(describe_error)?;
         for shard in exporter.shards() {
             loop {
-                let ledger = exporter.take(shard).await.map_err(describe_error)?;
+                let ledger = exporter.read_oldest(shard).await.map_err(describe_error)?;
                 self.record_exported(&ledger);
                 exporter.truncate(&ledger).await.map_err(describe_error)?;
-                if !ledger.more {
+                if !ledger.has_more {
                     break;
                 }
             }
--- a/crates/oatdale-journal/tests/spec/mod.rs
+++ b/crates/oatdale-journal/tests/spec/mod.rs
@@ -10,7 +10,7 @@
 mod truth;
 
 use oatdale_check::Spec;
-use oatdale_journal::{Entry, Fold, Millis, Record, RequestId, Retention};
+use oatdale_journal::{FinalEntry, Fold, Millis, Record, RequestId, Retention};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -85,7 +85,7 @@
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub(crate) enum Page {
     State(Rc<Fold>),
-    Bills(Rc<Vec<Entry>>),
+    Bills(Rc<Vec<FinalEntry>>),
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Default)]
--- a/crates/oatdale-journal/tests/spec/node.rs
+++ b/crates/oatdale-journal/tests/spec/node.rs
@@ -4,7 +4,7 @@
 use super::{
     Fault, JournalSpec, Manifest, Page, PageName, Payload, SLOTS, Segment, WRITTEN_AT, World, Write,
 };
-use oatdale_journal::{BillRecord, BillState, Entry, Fold, Record, RequestId};
+use oatdale_journal::{BillRecord, BillState, FinalEntry, Fold, Record, RequestId};
 use std::rc::Rc;
 
 /// Phase of a node.
@@ -46,7 +46,7 @@
     pub(crate) next: u8,
     pub(crate) manifest: Rc<Manifest>,
     /// Entries that became final since the manifest, with the numbers of their segments.
-    pub(crate) entries: Vec<(u8, Entry)>,
+    pub(crate) entries: Vec<(u8, FinalEntry)>,
     /// Records to be written to the log.
     pub(crate) pending: Vec<Record>,
     /// Requests that won their claim and are not dispatched yet.
@@ -303,7 +303,7 @@
             node.attempts += 1;
         }
         let name = |bills| (generation, index as u8, node.attempts, bills);
-        let entries: Vec<Entry> = node.entries.iter().map(|(_, e)| e.clone()).collect();
+        let entries: Vec<FinalEntry> = node.entries.iter().map(|(_, e)| e.clone()).collect();
         let mut bills = node.manifest.bills.clone();
         let mut own_pages = vec![name(false)];
         world
--- a/crates/oatdale-journal/tests/spec/truth.rs
+++ b/crates/oatdale-journal/tests/spec/truth.rs
@@ -1,16 +1,18 @@
 //! The journal as a reader without local state finds it at the service, and the invariant on it.
 
 use super::{JournalSpec, Page, PageName, WRITTEN_AT, World};
-use oatdale_journal::{ClaimKey, Entry, Fold, RequestId};
+use oatdale_journal::{ClaimKey, FinalEntry, Fold, RequestId};
 use std::collections::BTreeMap;
 
 /// The key that all requests claim.
 pub(crate) const KEY: ClaimKey = ClaimKey([7; 32]);
 
 /// Returns the request of a bill and its output tokens, which distinguish closings of a request.
-pub(crate) fn bill_summary(entry: &Entry) -> (RequestId, u64) {
+pub(crate) fn bill_summary(entry: &FinalEntry) -> (RequestId, u64) {
     match entry {
-        Entry::Bill(closing) | Entry::Late(closing) => (closing.request, closing.output_tokens),
+        FinalEntry::Bill(closing) | FinalEntry::Late(closing) => {
+            (closing.request, closing.output_tokens)
+        }
     }
 }
 
--- a/crates/oatdale-mesh/tests/spec.rs
+++ b/crates/oatdale-mesh/tests/spec.rs
@@ -371,7 +371,7 @@
         let found = explore(&SpreadSpec { mutation }, MAX_STATES)
             .expect_err("the mutation violates an invariant");
         println!("{mutation:?}: {found}");
-        assert_eq!(found.broken, violation);
+        assert_eq!(found.violation, violation);
         assert!(found.steps.len() <= 12, "{found}");
     }
 }
--- a/crates/oatdale-node/tests/support/site.rs
+++ b/crates/oatdale-node/tests/support/site.rs
@@ -276,7 +276,10 @@
             .expect("the service is up");
         let mut bills = Vec::new();
         for shard in exporter.shards() {
-            let ledger = exporter.take(shard).await.expect("the service is up");
+            let ledger = exporter
+                .read_oldest(shard)
+                .await
+                .expect("the service is up");
             bills.extend(ledger.bills);
         }
         bills
--- a/crates/oatdale-placement/tests/spec_lease.rs
+++ b/crates/oatdale-placement/tests/spec_lease.rs
@@ -375,7 +375,10 @@
 #[test]
 fn engines_that_ignore_fencing_may_follow_an_older_holder_for_a_while() {
     let counterexample = find_counterexample(&lease_spec(Fault::None, false, Property::NoRegress));
-    assert_eq!(counterexample.broken, "the engine followed an older holder");
+    assert_eq!(
+        counterexample.violation,
+        "the engine followed an older holder"
+    );
 }
 
 #[test]
--- a/crates/oatdale-policy/tests/spec/rollout.rs
+++ b/crates/oatdale-policy/tests/spec/rollout.rs
@@ -282,7 +282,7 @@
     for (fault, expected) in faults {
         let found = explore(&Rollout { fault }, MAX_STATES).expect_err("the fault is detected");
         println!("{fault:?}: {found}");
-        assert_eq!(found.broken, expected, "{fault:?}");
+        assert_eq!(found.violation, expected, "{fault:?}");
         assert!(found.steps.len() <= 6, "{fault:?}: {found}");
     }
 }
--- a/crates/oatdale-relay/tests/placement_spec.rs
+++ b/crates/oatdale-relay/tests/placement_spec.rs
@@ -466,7 +466,7 @@
 fn assert_fault_found(spec: &impl Spec, fault: Fault, expected: &str) {
     let found = explore(spec, MAX_STATES).expect_err("the injected fault must be found");
     println!("{fault:?}: {found}");
-    assert!(found.broken.contains(expected), "{fault:?}: {found}");
+    assert!(found.violation.contains(expected), "{fault:?}: {found}");
 }
 
 #[test]
--- a/crates/oatdale-relay/tests/replica_spec.rs
+++ b/crates/oatdale-relay/tests/replica_spec.rs
@@ -319,6 +319,6 @@
     for (fault, expected) in cases {
         let found = explore_with(fault).expect_err("the fault is detected");
         println!("{fault:?}: {found}");
-        assert_eq!(found.broken, expected, "{fault:?}");
+        assert_eq!(found.violation, expected, "{fault:?}");
     }
 }
