--- a/crates/oatdale-node/src/relaying.rs
+++ b/crates/oatdale-node/src/relaying.rs
@@ -33,7 +33,7 @@
     let mut term = listen(SignalKind::terminate())?;
     let mut int = listen(SignalKind::interrupt())?;
     let mut hup = listen(SignalKind::hangup())?;
-    let link = oatdale_adapter::start(settings.clone())
+    let link = oatdale_adapter::start_adapter(settings.clone())
         .map_err(|err| format!("can't start the platform's thread: {err}"))?;
     let mut relay = Relay::start(settings, Headers, link)
         .await
