--- a/crates/oatdale-node/tests/relaying.rs
+++ b/crates/oatdale-node/tests/relaying.rs
@@ -6,7 +6,8 @@
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use oatdale_adapter_fakes::{
-    Behaviour, CONFIGURATION, Endpoint, EndpointOptions, NODES, READINESS, Store, StoreFault,
+    Behaviour, CONFIGURATION_KEY, Endpoint, EndpointOptions, NODE_KEY_PREFIX, READINESS_PATH,
+    Store, StoreFault,
 };
 use oatdale_platform::{Pool, Reuse};
 use serde_json::json;
@@ -81,12 +82,12 @@
         service: "desk".to_owned(),
         version: "v1".to_owned(),
         domain: "a".to_owned(),
-        usual: Behaviour::Answer(200),
+        default_behaviour: Behaviour::Answer(200),
     };
     let desk = Endpoint::start(options).await.expect("a port is free");
     store.put(&desk.key(), &desk.record("ready"));
     store.put(
-        CONFIGURATION,
+        CONFIGURATION_KEY,
         &json!({"version": 1, "routes": [{"name": "look", "host": "desk.example",
             "prefix": "/look/", "kind": "safe", "service": "desk", "max_attempts": 2}]}),
     );
@@ -126,21 +127,27 @@
     for relay in &relays {
         let ready = relay.at(24002);
         until("it is ready", async || {
-            status(ready, READINESS).await == Some(200)
+            status(ready, READINESS_PATH).await == Some(200)
         })
         .await;
         assert_eq!(status(relay.at(24001), "/look/1").await, Some(200));
     }
-    assert_eq!(desk.runs().len(), 2);
-    until("both are registered", async || store.keys(NODES).len() == 2).await;
+    assert_eq!(desk.executed_requests().len(), 2);
+    until("both are registered", async || {
+        store.keys(NODE_KEY_PREFIX).len() == 2
+    })
+    .await;
     relays[0].signal(Signal::SIGTERM);
     let ready = relays[0].at(24002);
     until("it is not ready", async || {
-        status(ready, READINESS).await != Some(200)
+        status(ready, READINESS_PATH).await != Some(200)
     })
     .await;
     assert_eq!(status(relays[0].at(24001), "/look/1").await, Some(200));
-    until("its record is gone", async || store.keys(NODES).len() == 1).await;
+    until("its record is gone", async || {
+        store.keys(NODE_KEY_PREFIX).len() == 1
+    })
+    .await;
     let end = Instant::now() + LONG;
     let code = loop {
         match relays[0].child.try_wait().expect("it is our child") {
@@ -161,14 +168,14 @@
     let relay = Process::start(3, store.addr());
     let ready = relay.at(24002);
     until("it is ready", async || {
-        status(ready, READINESS).await == Some(200)
+        status(ready, READINESS_PATH).await == Some(200)
     })
     .await;
     std::fs::write(&relay.settings, "platform: [").expect("the file can be written");
     relay.signal(Signal::SIGHUP);
     sleep(Duration::from_millis(300)).await;
     assert_eq!(status(relay.at(24001), "/look/1").await, Some(200));
-    assert_eq!(status(ready, READINESS).await, Some(200));
+    assert_eq!(status(ready, READINESS_PATH).await, Some(200));
 }
 
 // The host changes the settings file and tells nobody. Callers would be told for ever to keep addresses for
@@ -198,12 +205,12 @@
     let before = Process::start(4, store.addr());
     let ready = before.at(24002);
     until("it is ready", async || {
-        status(ready, READINESS).await == Some(200)
+        status(ready, READINESS_PATH).await == Some(200)
     })
     .await;
     before.signal(Signal::SIGKILL);
     drop(before);
-    store.set_fault(StoreFault::Busy);
+    store.set_fault(StoreFault::Unavailable);
     let after = Process::start(4, store.addr());
     until("it refuses for now", async || {
         status(after.at(24001), "/look/1").await == Some(503)
